--- a/src/sardinetrack/relay/api.py
+++ b/src/sardinetrack/relay/api.py
@@ -1,4 +1,4 @@
-"""What the relay knows of a request and of an answer, and who translates."""
+"""Requests and responses in the relay, and the protocol adapter."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from sardinetrack.topology.servers import BackendServer
 
 Headers = Sequence[tuple[bytes, bytes]]
-"""Names in lower case, in the order of arrival."""
+"""Header names in lower case and their values, in order of arrival."""
 
 
 @dataclass(slots=True)
 class Call:
-    """One request as it arrived, whole."""
+    """One complete request as it arrived."""
 
     request_id: str
     method: bytes
@@ -23,43 +23,43 @@
     host: str
     path: str
     forwarded: bytes
-    """The header lines that go on to the server, each with its line end."""
+    """The header lines to forward to the server, each with its line end."""
     body: bytes
     arrived_seconds: float
     """On the clock of the event loop."""
     patience_seconds: float | None
-    """How long the caller waits, if it says so."""
+    """The caller's time-out; ``None`` if the request states none."""
     api_key: str | None
     prompt: Prompt
     after_event: int | None = None
-    """The caller has the events up to this one."""
+    """The caller already has the events up to this number."""
     closes: bool = False
-    """The caller asked that the connection end with the answer."""
+    """The caller asked to close the connection after the response."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplyHead:
-    """The head of a server's answer."""
+    """The status and headers of a server's response."""
 
     status: int
     forwarded: bytes
-    """The header lines that go back to the caller."""
+    """The header lines to forward to the caller."""
     request_id: str
     not_run: bool
-    """The server proves that it did not run the request."""
+    """The response proves that the server did not run the request."""
     genuine: bool
-    """It bears the server's signature and no encoding of the body."""
+    """The response has the server's stamp header and no content encoding."""
     running: int = -1
-    """Requests at the server, waiting ones too; -1 if it does not say."""
+    """Running and queued requests at the server; -1 if not reported."""
     idle_seconds: float | None = None
-    """How long the server keeps an idle connection."""
+    """How long the server keeps an idle connection open."""
     misdirected: bool = False
-    """Another server than the named one runs at that address."""
+    """A server other than the addressed one runs at that address."""
 
 
 @dataclass(slots=True)
 class Sending:
-    """What an attempt adds to the call."""
+    """What one attempt adds to the request."""
 
     server: BackendServer
     patience_seconds: float
@@ -68,7 +68,7 @@
 
 
 class Dialect(ABC):
-    """Translates between the relay and what callers and servers speak."""
+    """Translates between the relay and the headers of callers and servers."""
 
     @abstractmethod
     def call(
@@ -78,19 +78,19 @@
         headers: Headers,
         now: float,
     ) -> Call:
-        """Read the head of a request; its body follows.
+        """Parse the head of a request; its body follows.
 
-        :raises AnsweredError: the head is not one of a proper request.
+        :raises AnsweredError: the head is not valid.
         """
 
     @abstractmethod
     def request(self, call: Call, sending: Sending) -> bytes:
-        """Write the request as a server gets it."""
+        """Serialise the request for a server."""
 
     @abstractmethod
     def reply(self, status: int, headers: Headers) -> ReplyHead:
-        """Read the head of a server's answer."""
+        """Parse the head of a server's response."""
 
     @abstractmethod
     def identity(self, call: Call) -> bytes:
-        """Write the header lines that each answer of our own bears."""
+        """Serialise the header lines of every response of the entry itself."""
--- a/src/sardinetrack/relay/attempt.py
+++ b/src/sardinetrack/relay/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one backend server."""
+"""One attempt to run a request on one backend server."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 from sardinetrack.relay.api import Call, Dialect, ReplyHead
 from sardinetrack.relay.caller_connection import CallerConnection
-from sardinetrack.relay.events import EventCutter
+from sardinetrack.relay.events import EventSplitter
 from sardinetrack.relay.server_connection import BreakReason, ReplySink
 
-_MOST_BUFFERED_BYTES: Final = 16_777_216
+_MAX_BUFFERED_BYTES: Final = 16_777_216
 
 
-class AttemptEnd(Enum):
-    """How a send ended."""
+class SendOutcome(Enum):
+    """How an attempt ended."""
 
     DELIVERED = auto()
-    """The caller has the whole answer."""
+    """The caller has the complete response."""
     ANSWERED = auto()
-    """The server's whole answer is at hand, and tells of a failure."""
+    """A complete response that reports a failure is buffered."""
     NOT_RUN = auto()
     """The server proves that it did not run the request."""
     UNKNOWN = auto()
-    """It may have run; there is no whole answer."""
+    """The request may have run; there is no complete response."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """What the caller has of the answer; lives over all attempts."""
+    """What the caller has received so far, over all attempts."""
 
-    cutter: EventCutter
+    splitter: EventSplitter
     started: bool = False
-    begun_seconds: float | None = None
-    """When the first event came, on the clock of the event loop."""
+    first_event_seconds: float | None = None
+    """When the first event arrived, on the clock of the event loop."""
 
 
 class Attempt(ReplySink):
-    """Passes events on as they come; holds any other answer until whole."""
+    """Forwards events as they arrive; buffers any other response."""
 
     def __init__(
         self,
@@ -51,129 +51,133 @@
         progress: Progress,
         *,
         streams: bool,
-        on_begun: Callable[[], None],
+        on_first_event: Callable[[], None],
     ) -> None:
-        """Prepare to take the answer."""
         loop = asyncio.get_running_loop()
-        self.done: asyncio.Future[AttemptEnd] = loop.create_future()
-        self.reply: ReplyHead | None = None
+        self.done: asyncio.Future[SendOutcome] = loop.create_future()
+        self.response: ReplyHead | None = None
         self.reason = ''
-        self.begun = False
-        self.heard_seconds = loop.time()
+        self.first_event_received = False
+        self.last_data_seconds = loop.time()
         self.body = b''
         self._call = call
         self._caller = caller
         self._dialect = dialect
         self._progress = progress
         self._streams = streams
-        self._on_begun = on_begun
+        self._on_first_event = on_first_event
         self._pieces: list[bytes] = []
         self._size = 0
-        self._passes_on = False
+        self._forwards = False
         self._loop = loop
 
     @property
     def last_event(self) -> int | None:
-        """The last event that the caller has."""
-        return self._progress.cutter.last_event
+        """The number of the last event that the caller has."""
+        return self._progress.splitter.last_event
 
     def head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Judge the head."""
-        reply = self._dialect.reply(status, headers)
-        self.reply = reply
-        self.heard_seconds = self._loop.time()
-        if reply.not_run:
-            self._end(AttemptEnd.NOT_RUN, self._status)
+        """Check the head; end the attempt if the response is not acceptable."""
+        response = self._dialect.reply(status, headers)
+        self.response = response
+        self.last_data_seconds = self._loop.time()
+        if response.not_run:
+            self._finish(SendOutcome.NOT_RUN, self._status)
             return
-        # A late answer to an earlier request, or one that its server did not
-        # sign, must not reach this caller.
-        if reply.request_id != self._call.request_id:
-            self._end(AttemptEnd.UNKNOWN, 'answer to another request')
-        elif not reply.genuine:
-            self._end(AttemptEnd.UNKNOWN, 'answer without signature')
-        self._passes_on = self._streams and status == HTTPStatus.OK
+        # A late response to an earlier request, or one without the server's
+        # stamp, must not reach this caller.
+        if response.request_id != self._call.request_id:
+            self._finish(SendOutcome.UNKNOWN, 'response to another request')
+        elif not response.genuine:
+            self._finish(
+                SendOutcome.UNKNOWN, 'response without the server stamp'
+            )
+        self._forwards = self._streams and status == HTTPStatus.OK
 
     def piece(self, piece: bytes) -> None:
-        """Pass whole events on, or hold the piece."""
+        """Forward complete events, or buffer the piece."""
         if self.done.done():
             return
-        if not self._passes_on:
-            self._hold(piece)
+        if not self._forwards:
+            self._buffer(piece)
             return
-        self.heard_seconds = self._loop.time()
-        events = self._progress.cutter.feed(piece)
+        self.last_data_seconds = self._loop.time()
+        events = self._progress.splitter.feed(piece)
         if not events:
             return
-        if not self.begun:
-            self._begin()
-        self._caller.piece(events)
+        if not self.first_event_received:
+            self._start_response()
+        self._caller.write_chunk(events)
 
     def whole(self) -> None:
-        """Judge the whole answer."""
+        """Handle the end of a complete response."""
         if self.done.done():
             return
-        if self._passes_on:
-            self._end_stream()
+        if self._forwards:
+            self._finish_stream()
         else:
-            self._end_held()
+            self._finish_buffered()
 
     def broken(self, reason: BreakReason) -> None:
-        """Note that the rest will not come."""
-        self._end(AttemptEnd.UNKNOWN, reason.value)
-
-    def silent(self) -> None:
-        """Give up on a server that says nothing any more."""
-        self._end(AttemptEnd.UNKNOWN, 'silent')
-
-    def deliver_held(self) -> None:
-        """Give the caller the answer that was held."""
-        assert self.reply is not None  # noqa: S101
-        self._caller.whole(
-            self.reply.status,
-            self.reply.forwarded,
+        """End the attempt: the rest of the response will not arrive."""
+        self._finish(SendOutcome.UNKNOWN, reason.value)
+
+    def abandon(self) -> None:
+        """End the attempt: the server has sent nothing for too long."""
+        self._finish(SendOutcome.UNKNOWN, 'silent')
+
+    def deliver_buffered(self) -> None:
+        """Send the buffered response to the caller."""
+        assert self.response is not None  # noqa: S101
+        self._caller.write_response(
+            self.response.status,
+            self.response.forwarded,
             self.body,
         )
 
     @property
     def _status(self) -> str:
-        status = 0 if self.reply is None else self.reply.status
+        status = 0 if self.response is None else self.response.status
         return f'status {status}'
 
-    def _end_stream(self) -> None:
-        if self._progress.cutter.torn or not self._progress.started:
-            self._end(AttemptEnd.UNKNOWN, 'stream ends inside an event')
+    def _finish_stream(self) -> None:
+        if (
+            self._progress.splitter.ends_inside_event
+            or not self._progress.started
+        ):
+            self._finish(SendOutcome.UNKNOWN, 'stream ended inside an event')
             return
-        self._caller.finish()
-        self._end(AttemptEnd.DELIVERED, '')
+        self._caller.finish_response()
+        self._finish(SendOutcome.DELIVERED, '')
 
-    def _end_held(self) -> None:
-        if self.reply is None:
-            self._end(AttemptEnd.UNKNOWN, 'no head')
+    def _finish_buffered(self) -> None:
+        if self.response is None:
+            self._finish(SendOutcome.UNKNOWN, 'no response head')
             return
         self.body = b''.join(self._pieces)
-        if self.reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            self._end(AttemptEnd.ANSWERED, self._status)
+        if self.response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+            self._finish(SendOutcome.ANSWERED, self._status)
             return
-        self.deliver_held()
-        self._end(AttemptEnd.DELIVERED, '')
+        self.deliver_buffered()
+        self._finish(SendOutcome.DELIVERED, '')
 
-    def _hold(self, piece: bytes) -> None:
+    def _buffer(self, piece: bytes) -> None:
         self._size += len(piece)
-        if self._size > _MOST_BUFFERED_BYTES:
-            self._end(AttemptEnd.UNKNOWN, 'answer too large')
+        if self._size > _MAX_BUFFERED_BYTES:
+            self._finish(SendOutcome.UNKNOWN, 'response too large')
             return
         self._pieces.append(piece)
 
-    def _begin(self) -> None:
-        self.begun = True
-        self._on_begun()
-        reply = self.reply
-        if not self._progress.started and reply is not None:
+    def _start_response(self) -> None:
+        self.first_event_received = True
+        self._on_first_event()
+        response = self.response
+        if not self._progress.started and response is not None:
             self._progress.started = True
-            self._progress.begun_seconds = self._loop.time()
-            self._caller.start(reply.status, reply.forwarded)
+            self._progress.first_event_seconds = self._loop.time()
+            self._caller.start_response(response.status, response.forwarded)
 
-    def _end(self, end: AttemptEnd, reason: str) -> None:
+    def _finish(self, outcome: SendOutcome, reason: str) -> None:
         if not self.done.done():
             self.reason = reason
-            self.done.set_result(end)
+            self.done.set_result(outcome)
--- a/src/sardinetrack/relay/capacity.py
+++ b/src/sardinetrack/relay/capacity.py
@@ -1,4 +1,4 @@
-"""How much work one entry takes on before it refuses."""
+"""How many requests and connections one entry accepts."""
 
 from __future__ import annotations
 
@@ -10,46 +10,54 @@
 from sardinetrack.relay.settings import NodeSettings
 
 BASE_BYTES: Final = 45_000_000
-"""A started entry with its metrics page loaded; 27 MB without."""
+"""Memory of a started entry with its metrics page loaded; 27 MB without."""
 CONNECTION_BYTES: Final = 64_000
-"""A caller's connection; 55 KB is the mean of 1,846 of which half
-had a prompt of 12 KB under way."""
+"""Memory of a caller's connection. Measured: 55 KB on average over 1,846
+connections, half of which had a prompt of 12 KB in progress."""
 REQUEST_BYTES: Final = 160_000
-"""A request under way: its body, the copy on its way, and both connections."""
-DESCRIPTORS_PART: Final = 0.45
-"""Part of the descriptors for callers; each may need one to a server too."""
-LATE_SECONDS: Final = 0.25
-"""A loop that is later than this has more to do than it can.
-
-Callers that leave are noticed late then, and work goes on for nobody.
+"""Memory of a request in progress: its body, the copy being sent, and both
+connections."""
+DESCRIPTORS_FRACTION: Final = 0.45
+"""Fraction of the descriptors for callers; each may need one for a server
+too."""
+OVERLOADED_LATE_SECONDS: Final = 0.25
+"""Lateness of the event loop from which the entry is overloaded.
+
+Beyond it, callers that disconnect are detected late and servers work for
+callers that are no longer there.
 """
-CALM_SECONDS: Final = 0.05
-_GAIN: Final = 0.5
-CROWDED_PART: Final = 0.5
-"""Part of the requests that it can hold from which an entry shares them out."""
-SHARED_PART: Final = 0.9
-"""Part that is shared out then; the rest is for who has nothing here yet."""
-SHORT_PART: Final = 0.85
-"""Part of the memory from which an entry takes on no more than it holds. What
-comes in one sweep, and what the kernel holds unread, goes beyond it."""
+RECOVERED_LATE_SECONDS: Final = 0.05
+_SMOOTHING_FACTOR: Final = 0.5
+CROWDED_FRACTION: Final = 0.5
+"""Fraction of the maximum requests from which they are shared between
+workspaces."""
+SHARED_FRACTION: Final = 0.9
+"""Fraction that is shared then; the rest is for workspaces without any request
+here."""
+MEMORY_SHORT_FRACTION: Final = 0.85
+"""Fraction of the memory from which an entry accepts no more requests and
+connections than it has. What arrives within one sweep, and what the kernel
+buffers unread, goes beyond it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
-    """The requests under way at an entry when another one comes."""
+class RequestCounts:
+    """The requests in progress at an entry when another one arrives."""
 
     requests: int
-    own: int
-    """Those of the workspace that asks."""
+    of_workspace: int
+    """Requests of the workspace that sends the new one."""
     workspaces: int
-    """Those that have requests here, the one that asks among them."""
+    """Workspaces with requests here, including the one that sends the new
+    one."""
 
 
 class Capacity:
-    """Bounds of one entry from its memory, descriptors and lateness.
+    """Limits of one entry, by its memory, descriptors and event loop lateness.
 
-    An instance that gets more than its share of the callers would otherwise
-    take all of it, run out of memory and lose every request that it holds.
+    An instance that gets more than its fair share of the callers would
+    otherwise accept all of it, run out of memory and lose every request in
+    progress.
     """
 
     def __init__(
@@ -57,77 +65,88 @@
         settings: NodeSettings,
         used_bytes: Callable[[], int] = resident_bytes,
     ) -> None:
-        """Work out the bounds.
+        """Calculate the limits.
 
-        :param used_bytes: tells how much memory the process holds.
+        :param used_bytes: returns how much memory the process uses.
         """
         self._used_bytes = used_bytes
-        room = max(CONNECTION_BYTES, settings.memory_bytes - BASE_BYTES)
-        by_descriptors = int(settings.max_descriptors * DESCRIPTORS_PART)
-        self.most_connections = min(by_descriptors, room // CONNECTION_BYTES)
-        self.most_requests = max(1, room // REQUEST_BYTES)
+        available_bytes = max(
+            CONNECTION_BYTES, settings.memory_bytes - BASE_BYTES
+        )
+        by_descriptors = int(settings.max_descriptors * DESCRIPTORS_FRACTION)
+        self.max_connections = min(
+            by_descriptors, available_bytes // CONNECTION_BYTES
+        )
+        self.max_requests = max(1, available_bytes // REQUEST_BYTES)
         self.overloaded = False
         self.late_seconds = float(0)
-        self.short = False
+        self.memory_short = False
         self._memory_bytes = settings.memory_bytes
-        self._held_requests = self.most_requests
-        self._held_connections = self.most_connections
+        self._requests_when_short = self.max_requests
+        self._connections_when_short = self.max_connections
 
-    def note_late(self, seconds: float) -> bool:
-        """Learn how late the loop was.
+    def update_lateness(self, seconds: float) -> bool:
+        """Update the average lateness of the event loop.
 
         :return: whether ``overloaded`` has changed.
         """
-        self.late_seconds += _GAIN * (seconds - self.late_seconds)
-        bound = CALM_SECONDS if self.overloaded else LATE_SECONDS
+        self.late_seconds += _SMOOTHING_FACTOR * (seconds - self.late_seconds)
+        bound = (
+            RECOVERED_LATE_SECONDS
+            if self.overloaded
+            else OVERLOADED_LATE_SECONDS
+        )
         overloaded = self.late_seconds > bound
         changed = overloaded != self.overloaded
         self.overloaded = overloaded
         return changed
 
-    def note_memory(self, requests: int, connections: int) -> bool:
-        """Hold what there is when memory runs short.
+    def update_memory(self, requests: int, connections: int) -> bool:
+        """Freeze the limits at the current counts when memory runs short.
 
-        Memory that was used once is not given back, so the bound stays what
-        it was when it was reached, for as long as memory is short; it is used
-        again by as many requests.
+        Memory that was used once is not returned to the system. So the limits
+        stay at the counts at which memory ran short, for as long as it is
+        short; as many requests use that memory again.
 
-        :return: whether ``short`` has changed.
+        :return: whether ``memory_short`` has changed.
         """
-        short = self._used_bytes() > SHORT_PART * self._memory_bytes
-        changed = short != self.short
+        short = self._used_bytes() > MEMORY_SHORT_FRACTION * self._memory_bytes
+        changed = short != self.memory_short
         if changed:
-            self.short = short
-            self._held_requests = max(1, requests)
-            self._held_connections = max(1, connections)
+            self.memory_short = short
+            self._requests_when_short = max(1, requests)
+            self._connections_when_short = max(1, connections)
         return changed
 
     @property
     def connections(self) -> int:
-        """Tell how many callers' connections may be open now."""
-        if self.short:
-            return min(self.most_connections, self._held_connections)
-        return self.most_connections
+        """The number of callers' connections that may be open now."""
+        if self.memory_short:
+            return min(self.max_connections, self._connections_when_short)
+        return self.max_connections
 
     @property
     def requests(self) -> int:
-        """Tell how many requests may be under way now."""
-        if self.short:
-            return min(self.most_requests, self._held_requests)
-        return self.most_requests
-
-    def takes(self, crowd: Crowd) -> bool:
-        """Whether a workspace may have another request under way here.
-
-        At a crowded entry each has its even share. Refused blindly, a few
-        requests of a small workspace would be lost in another one's flood
-        before any side hears of them, and least served first can't help.
+        """The number of requests that may be in progress now."""
+        if self.memory_short:
+            return min(self.max_requests, self._requests_when_short)
+        return self.max_requests
+
+    def accepts(self, counts: RequestCounts) -> bool:
+        """Whether a workspace may have another request in progress here.
+
+        At a crowded entry each workspace gets an equal share. If requests were
+        refused regardless of their workspace, the few of a small one would be
+        lost in the flood of another before any side receives them, and the fair
+        queueing at the sides could not help.
         """
-        most = self.requests
-        if crowd.requests >= most:
+        maximum = self.requests
+        if counts.requests >= maximum:
             return False
         if self.overloaded:
-            return 2 * crowd.own * crowd.workspaces < crowd.requests
-        if crowd.requests < CROWDED_PART * most:
+            return 2 * counts.of_workspace * counts.workspaces < counts.requests
+        if counts.requests < CROWDED_FRACTION * maximum:
             return True
-        return crowd.own * crowd.workspaces < SHARED_PART * most
+        return (
+            counts.of_workspace * counts.workspaces < SHARED_FRACTION * maximum
+        )
--- a/src/sardinetrack/relay/door.py
+++ b/src/sardinetrack/relay/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a caller's connection needs of its entry."""
+"""The interface between a caller's connection and its entry."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
     from sardinetrack.relay.caller_connection import CallerConnection
 
 
-class Door(ABC):
-    """Serves calls and knows the connections."""
+class ConnectionOwner(ABC):
+    """Serves requests and tracks the connections."""
 
     limits: CallerLimits
 
     @abstractmethod
     def now(self) -> float:
-        """Read the clock of the event loop."""
+        """Return the time of the event loop's clock."""
 
     @abstractmethod
     def opened(self, connection: CallerConnection) -> None:
-        """Note a new connection."""
+        """Register a new connection."""
 
     @abstractmethod
     def closed(self, connection: CallerConnection) -> None:
-        """Note that a connection is gone."""
+        """Remove a closed connection."""
 
     @abstractmethod
     async def serve(self, call: Call, caller: CallerConnection) -> None:
-        """Answer a call."""
+        """Serve a request."""
 
     @abstractmethod
     def failed(self, error: BaseException | None) -> None:
-        """Note a fault of the program."""
+        """Log an unexpected exception."""
--- a/src/sardinetrack/relay/crashes.py
+++ b/src/sardinetrack/relay/crashes.py
@@ -1,4 +1,4 @@
-"""Find the requests that crash the servers which run them; no I/O."""
+"""Find the requests that crash the servers that run them; no I/O."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from sardinetrack.routing.strikes import StrikeBook
 from sardinetrack.turns.entry import Crashes
 
-SERVERS_TO_CONDEMN: Final = 3
-"""Different servers that went down under a request before it is refused.
+SERVERS_TO_BLOCK: Final = 3
+"""Different servers that crash while running a request before it is refused.
 
-Whatever ran at a server beside such a request is suspected as well. In a
-crash of a quarter of the engines one in sixteen of their requests meets two
-crashes, and one in sixty three.
+Every request that ran on a server beside the crashing one gets a strike too. In
+a crash of a quarter of the engines one in sixteen of their requests meets two
+crashes, and one in sixty meets three.
 """
 STRIKE_SECONDS: Final = 60.0
-"""How long a crash counts; its caller sends such a request again at once."""
-TOGETHER_SECONDS: Final = 3.0
+"""How long a strike counts; callers send such a request again immediately."""
+CRASH_CONFIRM_SECONDS: Final = 3.0
 """Longest time between the end of a connection and the sign of a crash.
 
-A server that went down is found out by the next connection, or by the list.
+A crashed server is detected by the next connection or by the instance list.
 """
-_MOST_SUSPECTS: Final = 512
-"""Of one server: it runs 64 requests, and idle ones are asked again."""
+_MAX_SUSPECTS: Final = 512
+"""Per server, which runs 64 requests at a time and gets new ones when idle."""
 
 
 def fingerprint(call: Call, workspace: str) -> str:
-    """Name what stays the same when a caller sends a request again."""
+    """Hash what stays the same when a caller sends a request again."""
     digest = xxhash.xxh3_128(workspace.encode())
     digest.update(call.method)
     digest.update(call.target)
@@ -40,73 +40,72 @@
 
 
 class CrashWatch(Crashes):
-    """Suspects what ran at a server when it went down.
+    """Suspects the requests that ran on a server when it crashed.
 
-    The connection of a running request that ends proves no crash: answers
-    are lost on the way too. The server must be found away, or be listed no
-    more, soon after.
+    A connection that ends while a request runs proves no crash: responses are
+    lost in transit too. Soon after, the server must also turn out to be
+    unreachable or be removed from the instance list.
     """
 
     def __init__(self) -> None:
-        """Start with no suspects."""
-        self.book = StrikeBook(SERVERS_TO_CONDEMN)
+        self.book = StrikeBook(SERVERS_TO_BLOCK)
         self._suspects: dict[str, dict[str, float]] = {}
 
     def refused_seconds(self, now: float, call: Call, workspace: str) -> float:
-        """Tell for how long a call is refused; 0 when it is not."""
+        """Return for how long a request is refused; 0 if it is not."""
         if not self.book:
             return 0
         name = fingerprint(call, workspace)
         return self.book.condemned_seconds(now, name)
 
-    def broke(
+    def connection_ended(
         self,
         now: float,
         server: str,
         call: Call,
         workspace: str,
     ) -> Sequence[Strike]:
-        """Note that a connection ended while a call ran.
+        """Record that a connection ended while a request ran.
 
-        :return: a strike against it, if that is beyond doubt.
+        :return: a strike against the request, if that is certain already.
         """
         name = fingerprint(call, workspace)
-        if self.book.count(now, name) >= SERVERS_TO_CONDEMN - 1:
-            # Under a request that is known from two crashes the next server
-            # is not waited for to be found away: the one after it would go
-            # down meanwhile.
+        if self.book.count(now, name) >= SERVERS_TO_BLOCK - 1:
+            # For a request with two strikes the next server need not be
+            # confirmed as unreachable first: the server after it would crash
+            # in that time.
             strikes = (Strike(name, server, STRIKE_SECONDS),)
             self.hear(now, strikes)
             return strikes
         suspects = self._suspects.setdefault(server, {})
         suspects[name] = now
-        if len(suspects) > _MOST_SUSPECTS:
+        if len(suspects) > _MAX_SUSPECTS:
             suspects.pop(next(iter(suspects)))
         return ()
 
-    def away(self, now: float, server: str) -> Sequence[Strike]:
-        """Note that a server is away.
+    def confirm_crash(self, now: float, server: str) -> Sequence[Strike]:
+        """Record that a server is unreachable.
 
-        :return: the strikes against what ran there until a moment ago.
+        :return: the strikes against the requests that ran there until just now.
         """
         strikes = tuple(
             Strike(name, server, STRIKE_SECONDS)
-            for name, broke in self._suspects.pop(server, {}).items()
-            if now - broke <= TOGETHER_SECONDS
+            for name, ended_seconds in self._suspects.pop(server, {}).items()
+            if now - ended_seconds <= CRASH_CONFIRM_SECONDS
         )
         self.hear(now, strikes)
         return strikes
 
     def forget(self, server: str) -> None:
-        """Forget what ran at a server that has left in good order."""
+        """Forget what ran on a server that has shut down in good order."""
         self._suspects.pop(server, None)
 
     def hear(self, now: float, strikes: Iterable[Strike]) -> None:
-        """Take in strikes, own or of other entries."""
+        """Add strikes, from this entry or other ones."""
         for strike in strikes:
             self.book.add(now, strike)
 
     def served(self, call: Call, workspace: str) -> None:
-        """Clear a call that ran to its end."""
+        """Clear a request that was served completely."""
         if self.book:
             self.book.clear(fingerprint(call, workspace))
--- a/src/sardinetrack/relay/entry.py
+++ b/src/sardinetrack/relay/entry.py
@@ -1,4 +1,4 @@
-"""An entry: the callers' listener, its feeds and its end."""
+"""An entry: accepts callers' connections, serves requests and drains."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from sardinetrack.logs.events import Event
 from sardinetrack.relay.api import Call, Dialect
 from sardinetrack.relay.caller_connection import CallerConnection
-from sardinetrack.relay.capacity import Capacity, Crowd
-from sardinetrack.relay.door import Door
+from sardinetrack.relay.capacity import Capacity, RequestCounts
+from sardinetrack.relay.connection_owner import ConnectionOwner
 from sardinetrack.relay.exchange import Exchange
 from sardinetrack.relay.fleet import Fleet
 from sardinetrack.relay.listener import Listener
@@ -24,23 +24,24 @@
 from sardinetrack.views.source import ViewSource
 
 SWEEP_SECONDS: Final = 0.1
-"""How often idle and silent connections are looked for."""
-LEAVE_SECONDS: Final = 2.6
-"""How long a stopping entry still takes requests.
+"""Interval of the checks for idle and silent connections."""
+DRAIN_ACCEPT_SECONDS: Final = 2.6
+"""How long a draining entry still accepts requests.
 
-The balancer asks each second and leaves it out after two misses.
+The load balancer checks the readiness each second and removes the entry after
+two failed checks.
 """
-_SHED_PARTS: Final = 10
-_CUT_PART: Final = 0.9
-"""Part of the grace after which what still runs is cut."""
-SILENT_FIRST_SECONDS: Final = 2.0
-SILENT_GAP_PARTS: Final = 5.0
-SILENT_GAP_SECONDS: Final = 1.2
+_EVICT_DIVISOR: Final = 10
+_DRAIN_FRACTION: Final = 0.9
+"""Fraction of the grace period after which running requests are interrupted."""
+SILENT_START_SECONDS: Final = 2.0
+SILENT_GAP_FACTOR: Final = 5.0
+MIN_SILENT_GAP_SECONDS: Final = 1.2
 _SWEEPS_A_SECOND: Final = 10
 
 
-class Entry(Door):
-    """Takes callers' connections and serves their requests."""
+class Entry(ConnectionOwner):
+    """Accepts callers' connections and serves their requests."""
 
     def __init__(
         self,
@@ -48,10 +49,10 @@
         dialect: Dialect,
         view: ViewSource | None,
     ) -> None:
-        """Prepare.
+        """Create an entry; it listens once entered as a context.
 
-        :param view: keeps the fleet's view of the store; none where a test
-            sets it.
+        :param view: keeps the view of the store up to date; none where a test
+            sets the view.
         """
         self.draining = False
         self.port = 0
@@ -60,51 +61,52 @@
         self._view = view
         self._connections: set[CallerConnection] = set()
         self._exchanges: set[Exchange] = set()
-        self._under_way: Counter[str] = Counter()
+        self._in_progress: Counter[str] = Counter()
         self._loop = asyncio.get_running_loop()
         self._listener: Listener
         self._stack = AsyncExitStack()
         self._was_ready = False
         self.capacity = Capacity(fleet.settings)
-        self._none_left = asyncio.Event()
+        self._all_finished = asyncio.Event()
         self._draining_since = math.inf
 
     @property
     def limits(self) -> CallerLimits:  # type: ignore[override]
-        """Tell what a caller may send."""
+        """The limits on what a caller may send."""
         configuration = self._fleet.configuration
         return CallerLimits() if configuration is None else configuration.limits
 
     @property
     def connections(self) -> int:
-        """Count the callers' connections."""
+        """The number of callers' connections."""
         return len(self._connections)
 
     def _refusal(self, workspace: str) -> ErrorKind | None:
-        if self._too_late:
+        if self._drain_expired:
             return ErrorKind.NOT_RUN_DRAINING
-        own = self._under_way[workspace]
-        crowd = Crowd(
+        of_workspace = self._in_progress[workspace]
+        counts = RequestCounts(
             len(self._exchanges),
-            own,
-            len(self._under_way) + (not own),
+            of_workspace,
+            len(self._in_progress) + (not of_workspace),
         )
-        if not self.capacity.takes(crowd):
+        if not self.capacity.accepts(counts):
             return ErrorKind.INSTANCE_BUSY
         return None
 
     @property
-    def _too_late(self) -> bool:
-        """Whether a stopping entry takes no request any more.
+    def _drain_expired(self) -> bool:
+        """Whether a draining entry accepts no more requests.
 
-        What came now might outlast the grace and would be cut. Callers whose
-        whole zone is stopping come back to another instance at once.
+        A request accepted now might outlast the grace period and be
+        interrupted. Callers whose whole failure domain is shutting down
+        immediately connect to another instance.
         """
-        return self.now() >= self._draining_since + LEAVE_SECONDS
+        return self.now() >= self._draining_since + DRAIN_ACCEPT_SECONDS
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers here."""
         fleet = self._fleet
         known = fleet.configuration is not None
         fresh = fleet.freshness.holds() and not self.capacity.overloaded
@@ -122,9 +124,9 @@
         return ready
 
     async def __aenter__(self) -> Self:
-        """Follow the store and listen to callers."""
+        """Follow the store and listen for callers."""
         if self._view is not None:
-            self._own(self._loop.create_task(self._view.run()))
+            self._add_task(self._loop.create_task(self._view.run()))
         address = self._fleet.settings.callers
         assert address is not None  # noqa: S101
         self._listener = await Listener.open(
@@ -134,7 +136,7 @@
         self.port = self._listener.port
         self._stack.callback(self._listener.close)
         self._stack.callback(self._fleet.close)
-        self._own(self._loop.create_task(self._sweep()))
+        self._add_task(self._loop.create_task(self._sweep()))
         return self
 
     async def __aexit__(
@@ -143,142 +145,146 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End everything."""
+        """Close everything."""
         await self._stack.aclose()
 
     async def drain(self) -> None:
-        """Leave: take nothing new, finish what runs, cut nothing early."""
+        """Drain: accept nothing new, finish running requests."""
         self.draining = True
         self._draining_since = self.now()
         for connection in self._connections:
-            connection.end_after_answer()
-        ends_seconds = (
-            self.now() + _CUT_PART * self._fleet.settings.grace_seconds
+            connection.close_after_response()
+        deadline_seconds = (
+            self.now() + _DRAIN_FRACTION * self._fleet.settings.grace_seconds
         )
-        await asyncio.sleep(LEAVE_SECONDS)
+        await asyncio.sleep(DRAIN_ACCEPT_SECONDS)
         for connection in list(self._connections):
             if connection.idle:
                 connection.close_idle()
-        await self._wait_idle(ends_seconds)
-        await self._answer_last(ends_seconds)
+        await self._wait_idle(deadline_seconds)
+        await self._refuse_pending(deadline_seconds)
 
-    async def _answer_last(self, ends_seconds: float) -> None:
-        """Refuse who has connected or asked as the entry ends.
+    async def _refuse_pending(self, deadline_seconds: float) -> None:
+        """Refuse the callers that connect or send a request at the very end.
 
-        The end of the process resets a connection whose request is unread; its
-        caller could not tell whether that has run.
+        When the process ends, the kernel resets connections with unread
+        requests; their callers could not tell whether those have run.
         """
-        await self._listener.take_last()
+        await self._listener.accept_pending()
         await asyncio.sleep(LAST_REQUEST_SECONDS)
-        # One more turn, in which the loop reads what came while it was late.
+        # One more iteration, in which the loop reads what arrived while it was
+        # late.
         await asyncio.sleep(0)
-        await self._wait_idle(ends_seconds)
+        await self._wait_idle(deadline_seconds)
 
-    async def _wait_idle(self, ends_seconds: float) -> None:
-        self._none_left.clear()
+    async def _wait_idle(self, deadline_seconds: float) -> None:
+        self._all_finished.clear()
         if not self._exchanges:
             return
         try:
-            async with asyncio.timeout_at(ends_seconds):
-                await self._none_left.wait()
+            async with asyncio.timeout_at(deadline_seconds):
+                await self._all_finished.wait()
         except TimeoutError:
-            # Longer than the grace; what the process leaves here is cut by
-            # the signal that kills it.
+            # The grace period is over; requests that still run are interrupted
+            # when the process is killed.
             self._fleet.log.write(
                 Event.STOPPING,
                 requests_cut=len(self._exchanges),
             )
 
     def now(self) -> float:
-        """Read the clock of the event loop."""
+        """Return the time of the event loop's clock."""
         return self._loop.time()
 
     def opened(self, connection: CallerConnection) -> None:
-        """Note a new connection."""
+        """Register a new connection; over the limit, close idle ones."""
         self._connections.add(connection)
         if len(self._connections) > self.capacity.connections:
-            self._make_room(connection)
+            self._evict_idle(connection)
         if self.draining:
-            connection.end_after_answer()
+            connection.close_after_response()
 
-    def _make_room(self, newest: CallerConnection) -> None:
-        """Close the connections that were idle longest, or else the newest.
+    def _evict_idle(self, newest: CallerConnection) -> None:
+        """Close the longest idle connections, or else the newest one.
 
-        When an instance returns alone after its zone has lost power, all
-        callers of the zone connect to it at once, and again each second that
-        they are not served. Without the bound it runs out of descriptors:
-        nothing is accepted then, the balancer's question neither.
+        When an instance returns alone after a power loss in its failure domain,
+        all callers of the domain connect to it at the same time, and again each
+        second until they are served. Without the limit it runs out of
+        descriptors and accepts no connection at all, not even the load
+        balancer's health check.
         """
         idle = [one for one in self._connections if one.idle]
         idle.sort(key=attrgetter('changed_seconds'))
-        longest = idle[: max(1, len(idle) // _SHED_PARTS)]
-        leaving = [one for one in longest if one.close_idle()]
-        if not leaving:
+        longest = idle[: max(1, len(idle) // _EVICT_DIVISOR)]
+        closed = [one for one in longest if one.close_idle()]
+        if not closed:
             newest.close()
-            leaving = [newest]
-        self._connections.difference_update(leaving)
+            closed = [newest]
+        self._connections.difference_update(closed)
         self._fleet.log.write(
             Event.CONNECTIONS_CLOSED,
-            count=len(leaving),
+            count=len(closed),
             idle=len(idle),
             held=len(self._connections),
         )
 
     def closed(self, connection: CallerConnection) -> None:
-        """Note that a connection is gone."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     async def serve(self, call: Call, caller: CallerConnection) -> None:
-        """Answer a call."""
+        """Serve a request, or refuse it if the entry has no capacity for it."""
         exchange = Exchange(self._fleet, self._dialect, call, caller)
         workspace = self._fleet.workspace_name(call.api_key)
         refusal = self._refusal(workspace)
         if refusal is not None:
             exchange.refuse(AnsweredError(refusal))
-            self._note(call, exchange)
+            self._record_end(call, exchange)
             return
         self._exchanges.add(exchange)
-        self._under_way[workspace] += 1
+        self._in_progress[workspace] += 1
         try:
             await exchange.run()
         except asyncio.CancelledError:
-            exchange.trace.reason = 'caller left'
-            exchange.trace.end = 'caller_left'
+            exchange.trace.reason = 'caller disconnected'
+            exchange.trace.outcome = 'caller_left'
             raise
         finally:
-            self._leave(workspace)
-            self._finished(call, exchange)
+            self._count_ended(workspace)
+            self._request_finished(call, exchange)
 
-    def _leave(self, workspace: str) -> None:
-        self._under_way[workspace] -= 1
-        if not self._under_way[workspace]:
-            self._under_way.pop(workspace)
+    def _count_ended(self, workspace: str) -> None:
+        self._in_progress[workspace] -= 1
+        if not self._in_progress[workspace]:
+            self._in_progress.pop(workspace)
 
     def failed(self, error: BaseException | None) -> None:
-        """Tell of a fault of the program."""
+        """Log an unexpected exception."""
         self._fleet.log.write(Event.FAULT, cause=repr(error))
 
-    def _own(self, task: asyncio.Task[None]) -> None:
+    def _add_task(self, task: asyncio.Task[None]) -> None:
         self._stack.callback(task.cancel)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
             self.failed(task.exception())
 
-    def _finished(self, call: Call, exchange: Exchange) -> None:
+    def _request_finished(self, call: Call, exchange: Exchange) -> None:
         self._exchanges.discard(exchange)
         if not self._exchanges:
-            self._none_left.set()
-        self._note(call, exchange)
+            self._all_finished.set()
+        self._record_end(call, exchange)
 
-    def _note(self, call: Call, exchange: Exchange) -> None:
+    def _record_end(self, call: Call, exchange: Exchange) -> None:
         took_seconds = self.now() - call.arrived_seconds
         plan, trace = exchange.plan, exchange.trace
         workspace = plan.workspace_name if plan else ''
-        first_seconds = _since(call, exchange.progress.begun_seconds)
+        first_seconds = _since_arrival(
+            call, exchange.progress.first_event_seconds
+        )
         meters = self._fleet.meters
-        meters.ended(trace.end, workspace, took_seconds)
+        meters.ended(trace.outcome, workspace, took_seconds)
         if first_seconds is not None:
             meters.first_event.add(first_seconds)
         self._fleet.log.write(
@@ -299,10 +305,10 @@
         while True:
             due_seconds = self.now() + SWEEP_SECONDS
             await asyncio.sleep(SWEEP_SECONDS)
-            self._note_late(self.now() - due_seconds)
-            self._note_memory()
+            self._update_lateness(self.now() - due_seconds)
+            self._update_memory()
             count += 1
-            self._find_silent()
+            self._abandon_silent()
             self._fleet.expire_servers()
             self._fleet.log.flush()
             if not count % _SWEEPS_A_SECOND:
@@ -310,9 +316,9 @@
                 self._fleet.sides.sweep()
                 self._close_idle()
 
-    def _note_late(self, late_seconds: float) -> None:
+    def _update_lateness(self, late_seconds: float) -> None:
         capacity = self.capacity
-        if capacity.note_late(late_seconds):
+        if capacity.update_lateness(late_seconds):
             self._fleet.log.write(
                 Event.OVERLOAD,
                 overloaded=capacity.overloaded,
@@ -320,12 +326,12 @@
                 requests=len(self._exchanges),
             )
 
-    def _note_memory(self) -> None:
+    def _update_memory(self) -> None:
         requests, connections = len(self._exchanges), len(self._connections)
-        if self.capacity.note_memory(requests, connections):
+        if self.capacity.update_memory(requests, connections):
             self._fleet.log.write(
                 Event.MEMORY_SHORT,
-                short=self.capacity.short,
+                short=self.capacity.memory_short,
                 requests=requests,
                 connections=connections,
             )
@@ -342,36 +348,40 @@
             if now - connection.changed_seconds > allowed:
                 connection.close_idle()
 
-    def _find_silent(self) -> None:
-        """Move what may be repeated away from servers that went silent.
+    def _abandon_silent(self) -> None:
+        """Abandon attempts on silent servers if the request may be repeated.
 
-        A server that went dark sends no reset; without this its streams
-        would hang until their callers give up. One that has started anew
-        knows nothing of what was sent to it before.
+        An unreachable server sends no reset; without this check its streams
+        would hang until their callers give up. A server that has restarted
+        knows nothing of the requests sent to its former start.
         """
         now = self.now()
         for exchange in self._exchanges:
             plan, attempt = exchange.plan, exchange.attempt
             if plan is None or attempt is None or attempt.done.done():
                 continue
-            allowed = _silence_seconds(plan.route, begun=attempt.begun)
-            silent = now - attempt.heard_seconds > allowed
-            over = plan.route.repeatable and exchange.server_is_over
-            if silent or over:
-                attempt.silent()
+            allowed = _silence_seconds(
+                plan.route, started=attempt.first_event_received
+            )
+            silent = now - attempt.last_data_seconds > allowed
+            superseded = plan.route.repeatable and exchange.server_restarted
+            if silent or superseded:
+                attempt.abandon()
 
 
-def _since(call: Call, seconds: float | None) -> float | None:
-    """Tell how long after its arrival something happened to a request."""
+def _since_arrival(call: Call, seconds: float | None) -> float | None:
+    """Return how long after its arrival something happened to a request."""
     if seconds is None:
         return None
     return round(seconds - call.arrived_seconds, 3)
 
 
-def _silence_seconds(route: Route, *, begun: bool) -> float:
-    """Tell how long a server may say nothing."""
+def _silence_seconds(route: Route, *, started: bool) -> float:
+    """Return how long a server may send nothing."""
     if route.kind is not RouteKind.STREAMING or not route.resumable:
         return math.inf
-    if not begun:
-        return SILENT_FIRST_SECONDS + route.first_answer_seconds
-    return max(SILENT_GAP_SECONDS, SILENT_GAP_PARTS * route.event_gap_seconds)
+    if not started:
+        return SILENT_START_SECONDS + route.first_answer_seconds
+    return max(
+        MIN_SILENT_GAP_SECONDS, SILENT_GAP_FACTOR * route.event_gap_seconds
+    )
--- a/src/sardinetrack/relay/own_answer.py
+++ b/src/sardinetrack/relay/error_response.py
@@ -1,4 +1,4 @@
-"""Answers of the entry itself, from the closed table of errors."""
+"""Error responses of the entry itself, from the table of errors."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @cache
 def status_line(status: int) -> bytes:
-    """Write the first line of an answer."""
+    """Return the first line of a response."""
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
@@ -21,24 +21,24 @@
     return f'HTTP/1.1 {status} {phrase}\r\n'.encode()
 
 
-def own_answer(error: AnsweredError) -> tuple[int, bytes, bytes]:
-    """Write the answer to a failure.
+def error_response(error: AnsweredError) -> tuple[int, bytes, bytes]:
+    """Serialise the response to a failure.
 
     :return: status, header lines and body.
     """
-    answer = answer_for(error.kind)
+    response = answer_for(error.kind)
     retry_after = error.retry_after_seconds
     if retry_after is None:
-        retry_after = answer.retry_after_seconds
+        retry_after = response.retry_after_seconds
     headers = b'content-type: application/json\r\n'
     if retry_after is not None:
         headers += b'retry-after: %.3f\r\n' % retry_after
     body = {
         'error': {
-            'message': error.detail or answer.message,
-            'type': answer.error_type,
+            'message': error.detail or response.message,
+            'type': response.error_type,
             'code': error.kind.value,
-            'not_run': answer.not_run,
+            'not_run': response.not_run,
         },
     }
-    return answer.status.value, headers, msgspec.json.encode(body)
+    return response.status.value, headers, msgspec.json.encode(body)
--- a/src/sardinetrack/relay/events.py
+++ b/src/sardinetrack/relay/events.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events at the ends of its events."""
+"""Split a stream of server-sent events at the ends of its events."""
 
 from __future__ import annotations
 
@@ -8,69 +8,69 @@
 _ID: Final = b'id:'
 
 
-class EventCutter:
-    """Hands on whole events only, and no event twice.
+class EventSplitter:
+    """Returns complete events only, and none twice.
 
-    A server may stop in the middle of an event. Were half of one handed on,
-    the run that goes on elsewhere would be joined to it and the caller would
-    read one broken event made of two.
+    A server may stop in the middle of an event. If half an event were
+    forwarded, the run that continues on another server would be appended to it,
+    and the caller would parse one corrupt event made of two.
     """
 
     def __init__(self, after_event: int | None) -> None:
-        """Remember what the caller has.
+        """Start after the events that the caller already has.
 
-        :param after_event: the last event that the caller has.
+        :param after_event: the number of the last such event.
         """
         self.last_event = after_event
         self._rest = b''
-        self._skip_to = after_event
+        self._delivered_up_to = after_event
 
     @property
-    def torn(self) -> bool:
+    def ends_inside_event(self) -> bool:
         """Whether the bytes so far end inside an event."""
         return bool(self._rest.strip())
 
     def resume(self) -> None:
-        """Begin a new run that goes on after the last whole event."""
+        """Prepare for a run that continues after the last complete event."""
         self._rest = b''
-        self._skip_to = self.last_event
+        self._delivered_up_to = self.last_event
 
     def feed(self, piece: bytes) -> bytes:
-        """Take bytes of the stream.
+        """Add bytes of the stream.
 
-        :return: the bytes of whole events, empty if there is none.
+        :return: the bytes of complete events, empty if there is none.
         """
-        held = self._rest + piece if self._rest else piece
-        end = held.rfind(_END)
+        buffered = self._rest + piece if self._rest else piece
+        end = buffered.rfind(_END)
         if end < 0:
-            self._rest = held
+            self._rest = buffered
             return b''
-        cut = end + len(_END)
-        self._rest = held[cut:]
-        whole = held[:cut]
-        if self._skip_to is None:
-            self._note_last(whole)
-            return whole
-        return self._skip(whole)
-
-    def _skip(self, whole: bytes) -> bytes:
-        """Drop the events that the caller has already."""
+        split_at = end + len(_END)
+        self._rest = buffered[split_at:]
+        complete = buffered[:split_at]
+        if self._delivered_up_to is None:
+            self._record_last(complete)
+            return complete
+        return self._drop_delivered(complete)
+
+    def _drop_delivered(self, complete: bytes) -> bytes:
+        """Drop the events that the caller already has."""
         kept: list[bytes] = []
-        for event in whole.split(_END)[:-1]:
+        for event in complete.split(_END)[:-1]:
             number = _number(event)
-            if number is not None and number <= (self._skip_to or 0):
+            if number is not None and number <= (self._delivered_up_to or 0):
                 continue
             kept.append(event + _END)
         if kept:
-            self._skip_to = None
-            self._note_last(kept[-1])
+            self._delivered_up_to = None
+            self._record_last(kept[-1])
         return b''.join(kept)
 
-    def _note_last(self, whole: bytes) -> None:
-        start = whole.rfind(_ID)
+    def _record_last(self, complete: bytes) -> None:
+        start = complete.rfind(_ID)
         if start < 0:
             return
-        number = _number(whole[start:])
+        number = _number(complete[start:])
         if number is not None:
             self.last_event = number
 
--- a/src/sardinetrack/relay/exchange.py
+++ b/src/sardinetrack/relay/exchange.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its answer: place, send, repeat."""
+"""One request from arrival to response: place, send, retry."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.logs.events import Event
 from sardinetrack.relay.api import Call, Dialect
-from sardinetrack.relay.attempt import Attempt, AttemptEnd, Progress
+from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
 from sardinetrack.relay.caller_connection import CallerConnection
-from sardinetrack.relay.events import EventCutter
+from sardinetrack.relay.error_response import error_response
+from sardinetrack.relay.events import EventSplitter
 from sardinetrack.relay.fleet import Fleet
-from sardinetrack.relay.own_answer import own_answer
-from sardinetrack.relay.placing import SERVER_AWAY_SECONDS, Placer
-from sardinetrack.relay.plan import Plan, make_plan
+from sardinetrack.relay.placing import SERVER_UNREACHABLE_RETRY_SECONDS, Placer
+from sardinetrack.relay.request_plan import Plan, make_plan
 from sardinetrack.relay.sender import Sender
 from sardinetrack.relay.server_pool import NotConnectedError
 from sardinetrack.relay.trace import Trace
@@ -21,7 +21,7 @@
 
 
 class Exchange:
-    """Serves one call; cancelled when the caller leaves."""
+    """Serves one request; cancelled when the caller disconnects."""
 
     def __init__(
         self,
@@ -30,54 +30,53 @@
         call: Call,
         caller: CallerConnection,
     ) -> None:
-        """Take over a call."""
         self.plan: Plan | None = None
         self.trace = Trace()
         self._fleet = fleet
         self._dialect = dialect
         self._call = call
         self._caller = caller
-        self.progress = Progress(EventCutter(call.after_event))
+        self.progress = Progress(EventSplitter(call.after_event))
         self._placer = Placer(fleet, call, self.trace)
         self._sender = Sender(fleet, dialect, call, caller, self.trace)
 
     @property
     def attempt(self) -> Attempt | None:
-        """The latest send."""
+        """The latest attempt."""
         return self._sender.attempt
 
     @property
-    def server_is_over(self) -> bool:
-        """Whether the server has started anew since the latest send."""
+    def server_restarted(self) -> bool:
+        """Whether the server has restarted since the latest attempt."""
         server = self._sender.server
-        return server is not None and self._fleet.is_over(server)
+        return server is not None and self._fleet.is_superseded(server)
 
     async def run(self) -> None:
-        """Answer the call."""
+        """Serve the request."""
         try:
-            await self._run_in_time()
+            await self._run_with_deadline()
         except AnsweredError as error:
             self.refuse(error)
 
     def refuse(self, error: AnsweredError) -> None:
-        """Tell the caller why there is no answer, or no more of it."""
+        """Send an error response, or truncate a response that has begun."""
         cause = self.trace.reason or error.detail
         kind = error.kind.value
-        self.trace.end = kind
+        self.trace.outcome = kind
         self.trace.reason = f'{kind}: {cause}'
         if self.progress.started:
-            self._caller.cut()
+            self._caller.truncate()
             return
-        status, headers, body = own_answer(error)
+        status, headers, body = error_response(error)
         self.trace.status = status
         identity = self._dialect.identity(self._call)
-        self._caller.whole(status, identity + headers, body)
+        self._caller.write_response(status, identity + headers, body)
 
-    async def _run_in_time(self) -> None:
+    async def _run_with_deadline(self) -> None:
         self.plan = make_plan(self._fleet, self._call)
         self._check_crashes(self.plan)
         try:
-            async with asyncio.timeout_at(self.plan.ends_seconds):
+            async with asyncio.timeout_at(self.plan.deadline_seconds):
                 await self._serve(self.plan)
         except TimeoutError as error:
             kind = ErrorKind.TIMED_OUT
@@ -86,9 +85,9 @@
             raise AnsweredError(kind) from error
 
     def _check_crashes(self, plan: Plan) -> None:
-        """Refuse what servers went down under, whoever found that out.
+        """Refuse a request that has crashed too many servers.
 
-        :raises AnsweredError: this one did.
+        :raises AnsweredError: the request is blocked.
         """
         seconds = self._refused_seconds(plan)
         if seconds > 0:
@@ -107,44 +106,46 @@
     async def _serve(self, plan: Plan) -> None:
         delivered = False
         while not delivered:
-            placed = await self._placer.place(plan)
-            whole = False
+            placement = await self._placer.place(plan)
+            complete = False
             try:
-                attempt = await self._sender.send(plan, placed, self.progress)
-                whole = attempt.done.result() is AttemptEnd.DELIVERED
+                attempt = await self._sender.send(
+                    plan, placement, self.progress
+                )
+                complete = attempt.done.result() is SendOutcome.DELIVERED
             except NotConnectedError:
-                self.trace.unreached.add(placed.candidate.server.instance)
+                self.trace.unreachable.add(placement.candidate.server.instance)
                 continue
             finally:
-                placed.turn.ended(whole=whole)
-            delivered = self._judge(plan, attempt)
+                placement.permit.release(complete=complete)
+            delivered = self._handle_outcome(plan, attempt)
 
-    def _judge(self, plan: Plan, attempt: Attempt) -> bool:
-        """Tell whether the answer is out; if not, the request is repeated.
+    def _handle_outcome(self, plan: Plan, attempt: Attempt) -> bool:
+        """Return whether the response is delivered; if not, retry.
 
-        :raises AnsweredError: it may not be repeated.
+        :raises AnsweredError: the request may not be retried.
         """
-        end = attempt.done.result()
-        if end is AttemptEnd.DELIVERED:
+        outcome = attempt.done.result()
+        if outcome is SendOutcome.DELIVERED:
             return True
         self.trace.reason = attempt.reason
-        if self._may_repeat(plan, end):
-            self._fleet.meters.retries[end.name.lower()] += 1
+        if self._may_retry(plan, outcome):
+            self._fleet.meters.retries[outcome.name.lower()] += 1
             self._fleet.log.write(
                 Event.REQUEST_RETRIED,
                 request=self._call.request_id,
-                after=end.name.lower(),
+                after=outcome.name.lower(),
                 cause=attempt.reason,
                 last_event=attempt.last_event,
             )
             return False
-        if end is AttemptEnd.ANSWERED:
-            attempt.deliver_held()
+        if outcome is SendOutcome.ANSWERED:
+            attempt.deliver_buffered()
             return True
-        raise _final_error(end, attempt.reason)
+        raise _final_error(outcome, attempt.reason)
 
-    def _may_repeat(self, plan: Plan, end: AttemptEnd) -> bool:
-        if end is not AttemptEnd.NOT_RUN and not plan.route.repeatable:
+    def _may_retry(self, plan: Plan, outcome: SendOutcome) -> bool:
+        if outcome is not SendOutcome.NOT_RUN and not plan.route.repeatable:
             return False
         if self.trace.sent >= plan.route.max_servers:
             return False
@@ -153,10 +154,10 @@
         return self._fleet.budget(plan.pool.name).take()
 
 
-def _final_error(end: AttemptEnd, reason: str) -> AnsweredError:
-    if end is AttemptEnd.NOT_RUN:
+def _final_error(outcome: SendOutcome, reason: str) -> AnsweredError:
+    if outcome is SendOutcome.NOT_RUN:
         return AnsweredError(
             ErrorKind.NOT_RUN_NO_SERVER,
-            retry_after_seconds=SERVER_AWAY_SECONDS,
+            retry_after_seconds=SERVER_UNREACHABLE_RETRY_SECONDS,
         )
     return AnsweredError(ErrorKind.OUTCOME_UNKNOWN, reason)
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the fleet, and the objects that decide with it."""
+"""The state of an entry: what it knows of the fleet, and what decides by it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from sardinetrack.fairness.recent import RecentService
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.placement.holdings import Holdings
-from sardinetrack.relay.beliefs import ServerBeliefs
 from sardinetrack.relay.crashes import CrashWatch
 from sardinetrack.relay.meters import Meters
 from sardinetrack.relay.server_pool import ServerPool
+from sardinetrack.relay.server_states import ServerStates
 from sardinetrack.relay.settings import NodeSettings
-from sardinetrack.relay.side_links import FIRST_ENTRIES, SideLinks
+from sardinetrack.relay.side_links import INITIAL_ENTRIES, SideLinks
 from sardinetrack.routing.retries import RetryBudget
 from sardinetrack.topology.configuration import Configuration, Pool
 from sardinetrack.topology.freshness import Freshness, boot_clock
@@ -23,25 +23,30 @@
 from sardinetrack.turns.desk import LocalDesk
 from sardinetrack.turns.entry import Restarts, SideLink
 
-_KEPT_RATIO: Final = 0.8
-_KEPT_SLACK: Final = 0.6
-"""Parts of the fleet's retry budget that are given out.
+_BUDGET_RATIO_FRACTION: Final = 0.8
+_BUDGET_SLACK_FRACTION: Final = 0.6
+"""Fractions of the fleet's retry budget that are used.
 
-The rest covers retries that a restarted entry counts anew and windows in
-which the requests are spread unevenly over the entries.
+The rest covers the retries that a restarted entry counts from zero again, and
+windows in which requests are spread unevenly over the entries.
 """
-_MOST_SHARES: Final = 4.0
-"""Even shares of a server's connections that one entry may keep, and never
-more than half of them all."""
-LEAST_ALLOWED_PART: Final = 0.5
-"""Part of a pool's servers below which breakers are not heeded."""
+_MAX_SHARE_FACTOR: Final = 4.0
+"""Equal shares of a server's connections that one entry may keep, but never
+more than half of all."""
+MIN_ALLOWED_FRACTION: Final = 0.5
+"""If fewer of a pool's breakers are closed than this fraction, breakers are
+ignored."""
 
 
 class Fleet(Restarts):
     """Configuration, servers, loads, breakers and budgets of one entry."""
 
     def __init__(self, settings: NodeSettings, log: EventLog) -> None:
-        """Start knowing nothing."""
+        """Start without a configuration or servers.
+
+        :param settings: of this instance.
+        :param log: receives the log events.
+        """
         self.settings = settings
         self.log = log
         self.configuration: Configuration | None = None
@@ -59,12 +64,12 @@
             self,
             log,
         )
-        self.beliefs = ServerBeliefs(self.sides)
+        self.server_states = ServerStates(self.sides)
         self._budgets: dict[str, RetryBudget] = {}
         self._known: dict[str, BackendServer] = {}
 
     def reload(self, settings: NodeSettings) -> list[str]:
-        """Take over changed settings; addresses need a new process.
+        """Apply changed settings; changed addresses need a new process.
 
         :return: the names of the fields that have changed.
         """
@@ -76,11 +81,11 @@
 
     @property
     def entries(self) -> int:
-        """Count the entries of the fleet, as the sides see them."""
-        return self.sides.entries_seen or FIRST_ENTRIES
+        """The number of entries in the fleet, as the sides report it."""
+        return self.sides.reported_entries or INITIAL_ENTRIES
 
-    def in_force(self) -> Configuration:
-        """Return the configuration.
+    def active_configuration(self) -> Configuration:
+        """Return the active configuration.
 
         :raises AnsweredError: there is none yet.
         """
@@ -89,24 +94,28 @@
         return self.configuration
 
     def workspace_name(self, api_key: str | None) -> str:
-        """Name who holds a key; empty for nobody."""
+        """Return the workspace of a key; empty if there is none."""
         configuration = self.configuration
         if configuration is None or api_key is None:
             return ''
         workspace = configuration.workspaces.get(api_key)
         return '' if workspace is None else workspace.name
 
-    def desk(self, server: BackendServer, pool: Pool) -> LocalDesk:
-        """Find the own desk for a server whose side is away."""
-        desk = self.beliefs.desk(server, pool, 1 / self.entries)
-        desk.cool(self.beliefs.cold.own(server, pool))
-        return desk
+    def local_admission(self, server: BackendServer, pool: Pool) -> LocalDesk:
+        """Return the local admission for a server whose side is unreachable."""
+        local_admission = self.server_states.local_admission(
+            server, pool, 1 / self.entries
+        )
+        local_admission.cool(
+            self.server_states.cold_starts.own_period(server, pool)
+        )
+        return local_admission
 
     def evacuate(self, failure_domains: frozenset[str]) -> None:
-        """Take over which failure domains get no new work.
+        """Set the failure domains that get no new requests.
 
-        The servers of one that takes part again may have become cold shortly
-        before, and their entries tell that seconds later.
+        The servers of a domain that is no longer evacuated may have become cold
+        shortly before, and their records show that only seconds later.
         """
         ended = self.servers.evacuated - failure_domains
         begun = failure_domains - self.servers.evacuated
@@ -115,119 +124,122 @@
         self.servers.evacuate(failure_domains)
         for server, pool in self._model_servers():
             if server.failure_domain in ended:
-                self.beliefs.cold.presume(server, pool)
+                self.server_states.cold_starts.assume_cold(server, pool)
         self.log.write(
             Event.EVACUATION,
             begun=sorted(begun),
             ended=sorted(ended),
             in_force=sorted(failure_domains),
         )
-        self.servers_changed()
+        self.apply_server_changes()
 
-    def connection_share(self, server: BackendServer) -> float:
-        """Tell how many connections to a server this entry may keep.
+    def connection_limit(self, server: BackendServer) -> float:
+        """Return how many connections to a server this entry may keep.
 
-        Callers are spread unevenly: an entry of a crowded domain has several
-        times the mean. Held to an even share it opened half as many
+        Callers are spread unevenly: an entry in a crowded domain has several
+        times the mean. Limited to an equal share it opened half as many
         connections again (10,195 in place of 6,704 on the heaviest day of the
-        users' grown Zagreb).
+        users' workload).
         """
-        pool = self.in_force().pools.get(server.pool)
+        pool = self.active_configuration().pools.get(server.pool)
         if pool is None:
             return float('inf')
-        shares = min(_MOST_SHARES, self.entries / 2)
-        return shares * pool.max_connections / self.entries
+        share_factor = min(_MAX_SHARE_FACTOR, self.entries / 2)
+        return share_factor * pool.max_connections / self.entries
 
     def side(self, server: BackendServer) -> SideLink | None:
-        """Find the link to a server's side if it is live."""
+        """Return the link to a server's side if it is live."""
         return self.sides.find(server.ip)
 
     def budget(self, pool: str) -> RetryBudget:
-        """Find the retry budget of a pool."""
+        """Return the retry budget of a pool."""
         budget = self._budgets.get(pool)
         if budget is None:
             settings = self.settings
-            slack = _KEPT_SLACK * settings.retry_slack / self.entries
-            ratio = _KEPT_RATIO * settings.retry_ratio
+            slack = _BUDGET_SLACK_FRACTION * settings.retry_slack / self.entries
+            ratio = _BUDGET_RATIO_FRACTION * settings.retry_ratio
             budget = RetryBudget(ratio, max(1, slack))
             self._budgets[pool] = budget
         return budget
 
-    def usable(self, now: float, pool: str) -> list[BackendServer]:
+    def usable_servers(self, now: float, pool: str) -> list[BackendServer]:
         """List the servers of a pool that may be sent a request.
 
-        When fewer than half of the breakers are closed all servers are tried.
-        Then it is not single servers that fail, and the few whose breakers
-        happen to be closed would get the work of all.
+        If fewer than half of the breakers are closed, all servers are used. The
+        fault then lies not with single servers, and the few whose breakers
+        happen to be closed would get the requests of all.
         """
         servers = self.servers.of_pool(pool)
         allowed = [
-            server for server in servers if self.beliefs.allows(now, server)
+            server
+            for server in servers
+            if self.server_states.allows(now, server)
         ]
-        few = len(allowed) < LEAST_ALLOWED_PART * len(servers)
+        few = len(allowed) < MIN_ALLOWED_FRACTION * len(servers)
         return list(servers) if few else allowed
 
     def started(self, start: ServerStart) -> None:
-        """Take a side's word that its server has started anew."""
+        """Handle a side's report that its server has restarted."""
         if self.servers.started(start):
-            self.servers_changed()
+            self.apply_server_changes()
 
-    def disown(self, server: BackendServer) -> None:
-        """Note that another server has answered at a server's address."""
+    def mark_misaddressed(self, server: BackendServer) -> None:
+        """Mark a server at whose address another server has responded."""
         self.servers.disown(boot_clock(), server.instance)
 
-    def is_over(self, server: BackendServer) -> bool:
-        """Whether that start of a server has been followed by another."""
+    def is_superseded(self, server: BackendServer) -> bool:
+        """Whether a later start of the server is known."""
         listed = self.servers.instances.get(server.instance)
         return listed is not None and listed.start.supersedes(server.start)
 
-    def servers_changed(self) -> None:
-        """Open links to new sides, forget servers that are gone."""
+    def apply_server_changes(self) -> None:
+        """Open links to new sides, forget removed servers."""
         for instance, known in self._known.items():
-            if self.is_over(known):
+            if self.is_superseded(known):
                 self._restarted(known, self.servers.instances[instance])
         listed = self.servers.instances
-        self.beliefs.cold.hear(listed.values())
+        self.server_states.cold_starts.update(listed.values())
         for server, pool in self._model_servers():
-            cold = self.beliefs.cold.word(server, pool)
+            cold = self.server_states.cold_starts.estimate(server, pool)
             load = self.sides.load(server, pool, cold)
-            self.beliefs.loads[server.instance] = load
+            self.server_states.loads[server.instance] = load
         self.sides.keep({one.ip for one in listed.values()})
-        for gone in set(self._known) - set(listed):
-            # Whatever runs at its address next starts with an empty memory.
-            self.holdings.lose(self._known[gone].ip)
-            if self._known[gone].leaving:
-                self.crashes.forget(gone)
+        for removed in set(self._known) - set(listed):
+            # The next server at its address starts with an empty cache.
+            self.holdings.lose(self._known[removed].ip)
+            if self._known[removed].leaving:
+                self.crashes.forget(removed)
             else:
-                self.sides.server_away(gone, 'listed no more')
-            self.log.write(Event.SERVER_GONE, server=gone)
-        self.beliefs.keep(listed)
+                self.sides.server_unreachable(removed, 'no longer listed')
+            self.log.write(Event.SERVER_GONE, server=removed)
+        self.server_states.keep(listed)
         self._known = dict(listed)
 
     def expire_servers(self) -> None:
-        """Drop servers that did not come back after an outage.
+        """Drop servers that were not listed again after an outage.
 
-        By the clock, not by the store's answers: in a quiet store these are
-        seconds apart, and a server that has left would get work until then.
+        This goes by the clock, not by the store's responses: with few changes
+        those are seconds apart, and until then requests would be sent to a
+        server that has shut down.
         """
         if self.servers.expire(boot_clock()):
-            self.servers_changed()
+            self.apply_server_changes()
 
     def close(self) -> None:
-        """End the links to the sides."""
+        """Close the links to the sides."""
         self.sides.close()
 
     def _restarted(self, former: BackendServer, server: BackendServer) -> None:
-        """Drop all that was believed of a server's former start.
+        """Drop all state of a server's former start.
 
-        With its old holdings a server would be sent requests as if it had
-        read their prompts; with its old breaker it would stand idle. What
-        crashed with it is suspected; the load of a model engine is renewed
-        with its link.
+        With the former prefix index the server would be sent requests as if it
+        had cached their prefixes; with the former breaker it would stay idle.
+        The requests that ran when it crashed become suspect. The load of a
+        model engine is reset with its link.
         """
         self.holdings.lose(former.ip)
         self.connections.forget(former.address)
-        self.beliefs.forget(server.instance)
+        self.server_states.forget(server.instance)
         self.meters.restarts += 1
         self.log.write(
             Event.SERVER_RESTARTED,
@@ -236,7 +248,7 @@
             former_milliseconds=former.started_milliseconds,
             revision=server.revision,
         )
-        self.sides.server_away(server.instance, 'started anew')
+        self.sides.server_unreachable(server.instance, 'has restarted')
 
     def _model_servers(self) -> Iterator[tuple[BackendServer, Pool]]:
         if self.configuration is None:
--- a/src/sardinetrack/relay/followers.py
+++ b/src/sardinetrack/relay/followers.py
@@ -1,4 +1,4 @@
-"""Take what the feeds read into the entry's knowledge."""
+"""Apply what the feeds read from the store to the state of an entry."""
 
 from __future__ import annotations
 
@@ -14,45 +14,48 @@
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.servers import BackendServer
 
-MOST_REFUSED: Final = 1000
-"""Refused entries that are remembered, so that each is told once."""
-_MOST_NAME: Final = 100
-_MOST_CAUSE: Final = 200
+MAX_REFUSED: Final = 1000
+"""Unreadable records that are remembered, so that each is logged once."""
+_MAX_NAME_CHARS: Final = 100
+_MAX_CAUSE_CHARS: Final = 200
 
 
 class Decoder(ABC):
-    """Reads the operator's and the servers' objects."""
+    """Decodes the objects of the operator and of the servers."""
 
     @abstractmethod
     def configuration(self, stored: StoredObject) -> Configuration | None:
-        """Read a configuration; ``None`` for another object.
+        """Decode a configuration; ``None`` for another object.
 
-        :raises ValueError: it can't be understood.
+        :raises ValueError: it can't be decoded.
         """
 
     @abstractmethod
     def server(self, stored: StoredObject) -> BackendServer:
-        """Read a server.
+        """Decode a server.
 
-        :raises ValueError: it can't be understood.
+        :raises ValueError: it can't be decoded.
         """
 
 
 class ConfigurationFollower(Follower):
-    """Puts each newer configuration in force, and never an older one."""
+    """Activates each newer configuration, and never an older one."""
 
     def __init__(self, fleet: Fleet, decoder: Decoder) -> None:
-        """Feed a fleet."""
+        """Update the state of an entry.
+
+        :param decoder: reads the configuration objects.
+        """
         self._fleet = fleet
         self._decoder = decoder
 
     def listed(self, listing: Listing) -> None:
-        """Take the newest."""
+        """Apply the newest of the listed objects."""
         for stored in listing.objects:
             self.changed(stored)
 
     def changed(self, stored: StoredObject) -> None:
-        """Take a newer one; keep the last good one in force otherwise."""
+        """Apply a newer configuration; otherwise keep the last good one."""
         if stored.deleted:
             return
         try:
@@ -60,20 +63,20 @@
         except ValueError as error:
             self._fleet.log.write(Event.CONFIG_REFUSED, cause=str(error))
             return
-        held = self._fleet.configuration
+        active = self._fleet.configuration
         if configuration is None:
             return
-        if held is not None and configuration.version <= held.version:
+        if active is not None and configuration.version <= active.version:
             return
         self._fleet.configuration = configuration
-        self._fleet.beliefs.lengths.keep(
+        self._fleet.server_states.lengths.keep(
             {
                 route.name
                 for routes in configuration.routes.values()
                 for route in routes
             },
         )
-        self._fleet.servers_changed()
+        self._fleet.apply_server_changes()
         self._fleet.log.write(
             Event.CONFIGURED,
             version=configuration.version,
@@ -83,55 +86,58 @@
         )
 
     def confirmed(self, asked_seconds: float) -> None:
-        """Renew the age of the view."""
+        """Reset the age of the view."""
         self._fleet.freshness.confirm(asked_seconds)
 
     def lost(self) -> None:
-        """Let the view grow old."""
+        """Let the age of the view grow."""
 
 
 class EvacuationsFollower(Follower):
-    """Keeps which failure domains get no new work.
+    """Tracks the failure domains that get no new requests.
 
-    They are known by the names of the objects: one whose content can't be
-    read evacuates all the same.
+    Only the names of the objects count: an object with unreadable content
+    evacuates its domain all the same.
     """
 
     def __init__(self, fleet: Fleet) -> None:
-        """Feed a fleet."""
+        """Update the state of an entry."""
         self._fleet = fleet
         self._domains: set[str] = set()
 
     def listed(self, listing: Listing) -> None:
-        """Take over all of them."""
+        """Replace all evacuated domains."""
         self._domains = {_name(stored) for stored in listing.objects}
         self._fleet.evacuate(frozenset(self._domains))
 
     def changed(self, stored: StoredObject) -> None:
-        """Take one change."""
+        """Apply one change."""
         self._domains.discard(_name(stored))
         if not stored.deleted:
             self._domains.add(_name(stored))
         self._fleet.evacuate(frozenset(self._domains))
 
     def confirmed(self, asked_seconds: float) -> None:
-        """They have no age of their own; changes come by themselves."""
+        """Do nothing: evacuations do not age; changes arrive by themselves."""
 
     def lost(self) -> None:
-        """What was evacuated stays so until the store tells otherwise."""
+        """Do nothing: evacuations stay until the store reports a change."""
 
 
 class ServersFollower(Follower):
-    """Keeps the list of servers."""
+    """Maintains the list of servers."""
 
     def __init__(self, fleet: Fleet, decoder: Decoder) -> None:
-        """Feed a fleet."""
+        """Update the state of an entry.
+
+        :param decoder: reads the server objects.
+        """
         self._fleet = fleet
         self._decoder = decoder
         self._refused: dict[str, int] = {}
 
     def listed(self, listing: Listing) -> None:
-        """Take over the whole list."""
+        """Replace the list."""
         found: list[BackendServer] = []
         refused: list[StoredObject] = []
         for stored in listing.objects:
@@ -142,32 +148,33 @@
                 found.append(server)
         servers = self._fleet.servers
         servers.replace(boot_clock(), found)
-        for unread in refused:
-            servers.refuse(_name(unread), unread.version)
-        self._remember({one.key for one in refused})
-        self._fleet.servers_changed()
+        for unreadable in refused:
+            servers.refuse(_name(unreadable), unreadable.version)
+        self._keep_refused({one.key for one in refused})
+        self._fleet.apply_server_changes()
 
     def changed(self, stored: StoredObject) -> None:
-        """Take one change."""
+        """Apply one change."""
         if stored.deleted:
             self._refused.pop(stored.key, None)
             self._fleet.servers.remove(boot_clock(), _name(stored))
         else:
             self._put(stored)
-        self._fleet.servers_changed()
+        self._fleet.apply_server_changes()
 
     def confirmed(self, asked_seconds: float) -> None:
-        """The list has no age of its own; changes come by themselves."""
+        """Do nothing: the list does not age; changes arrive by themselves."""
 
     def lost(self) -> None:
-        """Keep servers for a while whose entries lapse in the outage."""
+        """Keep servers whose records expire during the outage for a while."""
         self._fleet.servers.outage(boot_clock())
 
     def _put(self, stored: StoredObject) -> None:
         server = self._read(stored)
         if server is None:
-            # A good entry that stood here before says nothing any more: what
-            # runs there gets no new work, and what it runs is not cut.
+            # A readable record was replaced by an unreadable one: the server
+            # gets no new requests, and the requests that it runs are not
+            # interrupted.
             self._fleet.servers.refuse(_name(stored), stored.version)
             return
         self._refused.pop(stored.key, None)
@@ -187,30 +194,30 @@
         try:
             return self._decoder.server(stored)
         except ValueError as error:
-            self._note_refused(stored, error)
+            self._log_refused(stored, error)
             return None
 
-    def _remember(self, keys: Collection[str]) -> None:
-        """Forget refused entries that are listed no more."""
+    def _keep_refused(self, keys: Collection[str]) -> None:
+        """Forget unreadable records that are no longer listed."""
         self._refused = {
             key: version
             for key, version in self._refused.items()
             if key in keys
         }
 
-    def _note_refused(self, stored: StoredObject, error: ValueError) -> None:
-        """Tell once for each change of an entry, however often it is listed."""
+    def _log_refused(self, stored: StoredObject, error: ValueError) -> None:
+        """Log an unreadable record once per change, not per listing."""
         if self._refused.get(stored.key) == stored.version:
             return
-        if len(self._refused) >= MOST_REFUSED:
+        if len(self._refused) >= MAX_REFUSED:
             self._refused.pop(next(iter(self._refused)))
         self._refused[stored.key] = stored.version
         self._fleet.meters.refused_entries += 1
         self._fleet.log.write(
             Event.SERVER_REFUSED,
-            entry=stored.key[:_MOST_NAME],
+            entry=stored.key[:_MAX_NAME_CHARS],
             revision=stored.version,
-            cause=str(error)[:_MOST_CAUSE],
+            cause=str(error)[:_MAX_CAUSE_CHARS],
         )
 
 
--- a/src/sardinetrack/relay/lengths.py
+++ b/src/sardinetrack/relay/lengths.py
@@ -1,4 +1,4 @@
-"""How long an answer will be whose caller does not say."""
+"""Estimates the output length of requests without an estimate of their own."""
 
 from __future__ import annotations
 
@@ -7,38 +7,37 @@
 
 from sardinetrack.placement.prompt import Prompt
 
-_GAIN: Final = 0.05
-"""Weight of the latest estimate: it follows within twenty requests."""
+_SMOOTHING_FACTOR: Final = 0.05
+"""Weight of the latest estimate: the mean adapts within twenty requests."""
 
 
-class AnswerLengths:
-    """Learns from the estimates of other callers of a route.
+class OutputLengths:
+    """Averages, per route, the estimates of callers that state one.
 
-    Without an estimate a request tells only the most that its answer may have,
-    four times what most answers do. Reckoned at that it would hold memory, and
-    its workspace would be charged, for what is never written.
+    A request without an estimate states only the maximum output, four times the
+    length of most outputs. With that number it would reserve KV cache, and its
+    workspace would be charged, for tokens that are never generated.
     """
 
     def __init__(self) -> None:
-        """Start knowing no route."""
-        self._log_parts: dict[str, float] = {}
+        self._log_ratios: dict[str, float] = {}
 
     def tokens(self, route: str, prompt: Prompt) -> int:
-        """Tell how long the answer to a prompt is likely to be."""
-        most = prompt.most_answer_tokens
+        """Return the likely output length for a prompt."""
+        maximum = prompt.most_answer_tokens
         if not prompt.is_estimated:
-            log_part = self._log_parts.get(route, float(0))
-            return math.ceil(most * math.exp(log_part))
-        if most:
-            self._learn(route, max(1, prompt.answer_tokens) / most)
+            log_ratio = self._log_ratios.get(route, float(0))
+            return math.ceil(maximum * math.exp(log_ratio))
+        if maximum:
+            self._learn(route, max(1, prompt.answer_tokens) / maximum)
         return prompt.answer_tokens
 
-    def _learn(self, route: str, part: float) -> None:
-        log_part = math.log(part)
-        held = self._log_parts.get(route, log_part)
-        self._log_parts[route] = held + _GAIN * (log_part - held)
+    def _learn(self, route: str, ratio: float) -> None:
+        log_ratio = math.log(ratio)
+        mean = self._log_ratios.get(route, log_ratio)
+        self._log_ratios[route] = mean + _SMOOTHING_FACTOR * (log_ratio - mean)
 
     def keep(self, routes: set[str]) -> None:
         """Forget all other routes."""
-        for gone in set(self._log_parts) - routes:
-            self._log_parts.pop(gone)
+        for removed in set(self._log_ratios) - routes:
+            self._log_ratios.pop(removed)
--- a/src/sardinetrack/relay/listener.py
+++ b/src/sardinetrack/relay/listener.py
@@ -11,11 +11,11 @@
 from sardinetrack.http.sockets import accept_all
 
 _BACKLOG: Final = 1024
-_ACCEPTED_AT_ONCE: Final = 32
+_ACCEPTS_PER_ITERATION: Final = 32
 
 
 class Listener:
-    """Makes a protocol for each connection, until it is closed."""
+    """Creates a protocol for each connection, until it is closed."""
 
     def __init__(
         self,
@@ -36,28 +36,29 @@
     ) -> Self:
         """Listen.
 
-        :param make: builds the protocol of a connection.
+        :param make: creates the protocol of a connection.
         :param address: IP number and port; 0 lets the system choose.
         """
         server = await asyncio.get_running_loop().create_server(
             make,
             *address,
-            backlog=_ACCEPTED_AT_ONCE,
+            backlog=_ACCEPTS_PER_ITERATION,
         )
         fileno = server.sockets[0].fileno()
         listening = socket.socket(fileno=os.dup(fileno))
-        # The loop accepts as many in one turn as its backlog, which it also
-        # gives to the kernel; a thousand in a turn would stop all streams.
+        # The event loop accepts as many connections in one iteration as its
+        # backlog argument, which it also passes to the kernel; a thousand in
+        # an iteration would stall all streams.
         listening.listen(_BACKLOG)
         return cls(make, server, listening)
 
     @property
     def port(self) -> int:
-        """Tell where it listens."""
+        """The port that it listens on."""
         return int(self._listening.getsockname()[1])
 
-    async def take_last(self) -> None:
-        """Accept who has connected, and listen no more."""
+    async def accept_pending(self) -> None:
+        """Accept the pending connections and stop listening."""
         accepted = list(accept_all(self._listening))
         self.close()
         loop = asyncio.get_running_loop()
@@ -65,6 +66,6 @@
             await loop.connect_accepted_socket(self._make, connection)
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self._server.close()
         self._listening.close()
--- a/src/sardinetrack/relay/memory.py
+++ b/src/sardinetrack/relay/memory.py
@@ -1,4 +1,4 @@
-"""How much memory this process holds."""
+"""The memory use of this process."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 _STATM: Final = Path('/proc/self/statm')
 _PAGE_BYTES: Final = os.sysconf('SC_PAGE_SIZE')
-_RESIDENT: Final = 1
-"""Place of the resident pages in the file."""
+_RESIDENT_FIELD: Final = 1
+"""Index of the resident pages in the file."""
 
 
 def resident_bytes() -> int:
-    """Read the resident size; 0 where the system does not tell it."""
+    """Return the resident size; 0 where the system does not provide it."""
     try:
         fields = _STATM.read_text().split()
-        return int(fields[_RESIDENT]) * _PAGE_BYTES
+        return int(fields[_RESIDENT_FIELD]) * _PAGE_BYTES
     except (OSError, ValueError, IndexError):
         return 0
--- a/src/sardinetrack/relay/metrics.py
+++ b/src/sardinetrack/relay/metrics.py
@@ -1,4 +1,4 @@
-"""The numbers of a process as a page for Prometheus."""
+"""The metrics of a process as a page for Prometheus."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 
 
 def page_of(metrics: Callable[[], Iterable[Metric]]) -> bytes:
-    """Write a page in the text format."""
+    """Render a page in the text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Page(metrics))
     return generate_latest(registry)
 
 
 def entry_metrics(fleet: Fleet, store: StoreUse) -> Iterable[Metric]:
-    """Tell the numbers of an entry.
+    """Return the metrics of an entry.
 
     :param store: its calls to the store since its start.
     """
     meters = fleet.meters
-    yield _counter('requests', 'Requests by how they ended', meters.ends)
+    yield _counter('requests', 'Requests by how they ended', meters.outcomes)
     yield _counter('retries', 'Repeated sends by their cause', meters.retries)
     yield _counter(
         'workspace_requests',
@@ -55,12 +55,12 @@
     yield _histogram(
         'first_event', 'Arrival to first event', meters.first_event
     )
-    yield from _knowledge(fleet, store)
-    yield _plain('log_lines_dropped', 'Dropped lines', fleet.log.dropped)
+    yield from _view_metrics(fleet, store)
+    yield _total('log_lines_dropped', 'Dropped lines', fleet.log.dropped)
 
 
-def _knowledge(fleet: Fleet, store: StoreUse) -> Iterable[Metric]:
-    """Tell what an entry knows, and by whom."""
+def _view_metrics(fleet: Fleet, store: StoreUse) -> Iterable[Metric]:
+    """Return the metrics of an entry's view of the fleet."""
     yield _gauge(
         'configuration_age_seconds',
         'Age of the confirmed view',
@@ -74,12 +74,12 @@
         len(fleet.servers.instances),
     )
     meters = fleet.meters
-    yield _plain(
+    yield _total(
         'refused_entries',
         'Listed entries that name no server',
         meters.refused_entries,
     )
-    yield _plain(
+    yield _total(
         'server_restarts',
         'Servers that started again under their id',
         meters.restarts,
@@ -91,12 +91,12 @@
     )
     yield _gauge('live_sides', 'Sides that answer', len(fleet.sides.live))
     yield _gauge('entries', 'Entries that the sides see', fleet.entries)
-    yield _plain(
+    yield _total(
         'server_connections',
         'Connections opened to servers',
         fleet.connections.opened,
     )
-    yield from _of_store(store)
+    yield from _store_metrics(store)
     yield _gauge(
         'view_borrowed',
         '1 while a side watches the store for this entry',
@@ -105,7 +105,7 @@
 
 
 def side_metrics(side: Side, store: StoreUse) -> Iterable[Metric]:
-    """Tell the numbers of a side.
+    """Return the metrics of a side.
 
     :param store: its calls to the store since its start.
     """
@@ -139,7 +139,7 @@
         'Entries for which it watches the store',
         side.watcher.followers,
     )
-    yield from _of_store(store)
+    yield from _store_metrics(store)
     yield _counter(
         'engine_use_seconds',
         "The engine's time by its use",
@@ -148,9 +148,9 @@
     yield _counter('turns', 'Verdicts on asked turns', side.verdicts)
 
 
-def _of_store(store: StoreUse) -> Iterable[Metric]:
-    yield _plain('store_calls', 'Calls to the store', store.calls)
-    yield _plain(
+def _store_metrics(store: StoreUse) -> Iterable[Metric]:
+    yield _total('store_calls', 'Calls to the store', store.calls)
+    yield _total(
         'unreadable_objects',
         'Objects read from the store that say nothing',
         store.unreadable,
@@ -164,7 +164,7 @@
     return family
 
 
-def _plain(name: str, text: str, count: float) -> Metric:
+def _total(name: str, text: str, count: float) -> Metric:
     return CounterMetricFamily(f'sardinetrack_{name}', text, value=count)
 
 
--- a/src/sardinetrack/relay/neighbours.py
+++ b/src/sardinetrack/relay/neighbours.py
@@ -8,14 +8,13 @@
 
 
 class SideNeighbours(Neighbours):
-    """Every entry has a connection to each side, so it needs no other."""
+    """Lists the live sides; every entry is connected to each side anyway."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Belong to an entry."""
         self._fleet = fleet
 
     def ranked(self) -> list[Neighbour]:
-        """List the live sides, the one to ask first in front."""
+        """List the live sides, the preferred one first."""
         live = {link.name: link for link in self._fleet.sides.live}
         names = ranked_neighbours(
             self._fleet.settings.failure_domain,
--- /dev/null
+++ b/src/sardinetrack/relay/permit.py
@@ -0,0 +1,186 @@
+"""A permit to send one request, granted by a server's side or by the entry."""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from typing import Final
+
+from sardinetrack.admission.ask import Ask, Granted
+from sardinetrack.placement.choice import Candidate
+from sardinetrack.placement.load import ServerLoad
+from sardinetrack.relay.fleet import Fleet
+from sardinetrack.topology.configuration import Pool
+from sardinetrack.turns.clock import loop_now
+from sardinetrack.turns.desk import LocalDesk
+from sardinetrack.turns.entry import SideLines
+from sardinetrack.turns.messages import AskTurn, TurnGranted, TurnRefused
+
+_RESPONSE_SECONDS: Final = 0.25
+"""Longest wait for a side's response beyond what the request may wait."""
+
+
+class Permit(ABC):
+    """Permit to send one request to one server."""
+
+    @abstractmethod
+    def first_event_received(self) -> None:
+        """Report that the first event arrived."""
+
+    @abstractmethod
+    def release(self, *, complete: bool) -> None:
+        """Release the permit.
+
+        :param complete: the caller has the complete response.
+        """
+
+
+class PlainPermit(Permit):
+    """For a plain service, which has no side; counted as soon as it is chosen.
+
+    Simultaneous requests are all placed before any of them is sent.
+    """
+
+    def __init__(self, load: ServerLoad) -> None:
+        """Count the request.
+
+        :param load: of the chosen server.
+        """
+        self._load = load
+        load.running += 1
+
+    def first_event_received(self) -> None:
+        """Do nothing: no admission depends on it."""
+
+    def release(self, *, complete: bool) -> None:
+        """Stop counting the request."""
+        self._load.running -= 1
+
+
+class SidePermit(Permit):
+    """Granted by the server's side."""
+
+    def __init__(self, connection: SideLines, permit_id: str) -> None:
+        """Create a permit granted by a side.
+
+        :param connection: the connection to the side.
+        :param permit_id: the id of the permit.
+        """
+        self._connection = connection
+        self._permit_id = permit_id
+
+    def first_event_received(self) -> None:
+        """Report it to the side."""
+        self._connection.begun(self._permit_id)
+
+    def release(self, *, complete: bool) -> None:
+        """Release the permit at the side."""
+        self._connection.ended(self._permit_id, whole=complete)
+
+
+class LocalPermit(Permit):
+    """Granted by the entry itself."""
+
+    def __init__(self, local_admission: LocalDesk, permit_id: str) -> None:
+        """Create a permit granted by the entry itself.
+
+        :param local_admission: the local admission that granted it.
+        :param permit_id: the id of the permit.
+        """
+        self._local_admission = local_admission
+        self._permit_id = permit_id
+
+    def first_event_received(self) -> None:
+        """Inform the local admission."""
+        self._local_admission.begun(self._permit_id)
+
+    def release(self, *, complete: bool) -> None:
+        """Release it at the local admission."""
+        self._local_admission.withdraw(self._permit_id, whole=complete)
+
+
+class PermitRefusedError(Exception):
+    """The server grants no permit in time."""
+
+    def __init__(
+        self,
+        retry_after_seconds: float,
+        reason: str,
+        since_refusal_seconds: float = 0,
+    ) -> None:
+        """Describe the refusal.
+
+        :param retry_after_seconds: when to retry.
+        :param reason: for the log.
+        :param since_refusal_seconds: how long ago it was refused before.
+        """
+        super().__init__(reason)
+        self.retry_after_seconds = retry_after_seconds
+        self.since_refusal_seconds = since_refusal_seconds
+
+
+async def acquire_permit(
+    fleet: Fleet,
+    pool: Pool,
+    candidate: Candidate,
+    admission_request: Ask,
+) -> Permit:
+    """Wait for a permit for a server.
+
+    Where the side is unreachable, or is lost during the request, the entry
+    grants its own fraction of the server, whose engine keeps running.
+
+    :raises PermitRefusedError: there is none in time.
+    """
+    link = fleet.side(candidate.server)
+    if link is not None and link.lines is not None:
+        permit = await _request_from_side(fleet, link.lines, admission_request)
+        if permit is not None:
+            return permit
+    cold_seconds = fleet.server_states.cold_starts.no_send_seconds(
+        candidate.server, pool
+    )
+    if cold_seconds > 0:
+        raise PermitRefusedError(
+            cold_seconds, 'cold, and its side is unreachable'
+        )
+    local_admission = fleet.local_admission(candidate.server, pool)
+    decision = await local_admission.turn(admission_request)
+    if isinstance(decision, Granted):
+        return LocalPermit(local_admission, admission_request.ask_id)
+    raise PermitRefusedError(
+        decision.retry_after_seconds, 'local admission is full'
+    )
+
+
+async def _request_from_side(
+    fleet: Fleet,
+    connection: SideLines,
+    admission_request: Ask,
+) -> Permit | None:
+    message = AskTurn(
+        admission_request.ask_id,
+        admission_request.workspace,
+        admission_request.new_tokens,
+        admission_request.kept_tokens,
+        admission_request.answer_tokens,
+        admission_request.patience_seconds,
+        admission_request.priority,
+        round(admission_request.served_tokens),
+        admission_request.part,
+        round(admission_request.due_seconds, 3),
+        connection.news.rows(loop_now(), fleet.service),
+        admission_request.fingerprint,
+        round(admission_request.ends_seconds, 3),
+        round(admission_request.returned_seconds, 3),
+    )
+    timeout_seconds = admission_request.patience_seconds + _RESPONSE_SECONDS
+    response = await connection.ask(message, timeout_seconds)
+    if isinstance(response, TurnGranted):
+        return SidePermit(connection, admission_request.ask_id)
+    if isinstance(response, TurnRefused):
+        raise PermitRefusedError(
+            response.retry_after_seconds,
+            f'side: {response.ahead_tokens} tokens ahead',
+            response.returned_seconds,
+        )
+    return None
--- a/src/sardinetrack/relay/ready.py
+++ b/src/sardinetrack/relay/ready.py
@@ -1,4 +1,4 @@
-"""The small listener for the balancer's question and the metrics."""
+"""The small HTTP listener for the load balancer's health checks and metrics."""
 
 from __future__ import annotations
 
@@ -7,35 +7,38 @@
 from http import HTTPStatus
 from typing import Final, cast
 
-from sardinetrack.relay.own_answer import status_line
+from sardinetrack.relay.error_response import status_line
 
 Page = Callable[[], tuple[int, bytes]]
-"""Tells status and body of one path."""
+"""Returns status and body of one path."""
 
-_MOST_BYTES: Final = 8192
+_MAX_HEAD_BYTES: Final = 8192
 
 
 class PageConnection(asyncio.Protocol):
-    """Answers GET requests for a few fixed pages."""
+    """Responds to GET requests for a few fixed pages."""
 
     def __init__(self, pages: dict[bytes, Page]) -> None:
-        """Serve these pages by path."""
+        """Serve pages.
+
+        :param pages: the pages by path.
+        """
         self._pages = pages
         self._transport: asyncio.Transport | None = None
         self._rest = b''
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Answer each whole head."""
+        """Respond to each complete request head."""
         self._rest += data
         while b'\r\n\r\n' in self._rest:
             head, _, rest = self._rest.partition(b'\r\n\r\n')
             self._rest = rest
             self._answer(head)
-        if len(self._rest) > _MOST_BYTES and self._transport is not None:
+        if len(self._rest) > _MAX_HEAD_BYTES and self._transport is not None:
             self._transport.close()
 
     def _answer(self, head: bytes) -> None:
@@ -51,6 +54,6 @@
 
 
 def readiness_page(*, ready: bool) -> tuple[int, bytes]:
-    """Answer the balancer's question."""
+    """Return status and body of the load balancer's health check."""
     status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
     return status, b''
--- a/src/sardinetrack/relay/plan.py
+++ b/src/sardinetrack/relay/request_plan.py
@@ -1,4 +1,4 @@
-"""What a request is allowed, by the configuration in force."""
+"""What a request is allowed to use under the active configuration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Workspace,
 )
 
-_PARTS: Final = 1_000_000
+_WEIGHT_POINTS: Final = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,17 +29,17 @@
     pool: Pool
     workspace: Workspace | None
     """``None`` on an anonymous route."""
-    ends_seconds: float
-    """When the caller must have its final answer."""
+    deadline_seconds: float
+    """When the caller must have its complete response, on the loop's clock."""
 
     @property
     def workspace_name(self) -> str:
-        """Name who is charged."""
+        """The workspace that is charged."""
         return self.workspace.name if self.workspace else ''
 
     @property
     def priority(self) -> int:
-        """Rank, 0 first; that of the workspace goes before the route's."""
+        """Rank, 0 first; a priority of the workspace overrides the route's."""
         if self.workspace is None or self.workspace.priority is None:
             return self.route.priority
         return self.workspace.priority
@@ -51,30 +51,30 @@
     :raises AnsweredError: the request is not allowed, or this instance can't
         know whether it is.
     """
-    configuration = fleet.in_force()
+    configuration = fleet.active_configuration()
     route = configuration.route(call.host, call.path)
     if route is None:
         raise AnsweredError(ErrorKind.UNKNOWN_PATH)
     workspace = _workspace(fleet, configuration, route, call)
-    patience = call.patience_seconds
+    caller_seconds = call.patience_seconds
     allowed = route.timeout_seconds
-    if patience is not None:
-        allowed = min(allowed, patience)
+    if caller_seconds is not None:
+        allowed = min(allowed, caller_seconds)
     return Plan(
         version=configuration.version,
         route=route,
         pool=_pool(configuration, route, call),
         workspace=workspace,
-        ends_seconds=call.arrived_seconds + allowed,
+        deadline_seconds=call.arrived_seconds + allowed,
     )
 
 
-def still_allowed(fleet: Fleet, plan: Plan, call: Call) -> None:
+def check_still_allowed(fleet: Fleet, plan: Plan, call: Call) -> None:
     """Check key and route again just before a request is sent.
 
-    :raises AnsweredError: they were taken away meanwhile.
+    :raises AnsweredError: they were removed in the meantime.
     """
-    configuration = fleet.in_force()
+    configuration = fleet.active_configuration()
     if plan.workspace is not None:
         _workspace(fleet, configuration, plan.route, call)
     if configuration.version == plan.version:
@@ -110,12 +110,12 @@
 
 
 def _pool(configuration: Configuration, route: Route, call: Call) -> Pool:
-    """Pick a pool by weight, the same one for the same request."""
+    """Choose a pool by weight, the same one for the same request."""
     total = sum(weighted.weight for weighted in route.pools)
     point = (
         xxhash.xxh3_64_intdigest(call.request_id.encode())
-        % _PARTS
-        / _PARTS
+        % _WEIGHT_POINTS
+        / _WEIGHT_POINTS
         * total
     )
     name = route.pools[-1].pool
--- a/src/sardinetrack/relay/sender.py
+++ b/src/sardinetrack/relay/sender.py
@@ -1,4 +1,4 @@
-"""Send a request to one server, and learn from how that ends."""
+"""Send a request to one server, and update its state by the outcome."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 from sardinetrack.placement.choice import Candidate
 from sardinetrack.placement.load import ServerLoad
 from sardinetrack.relay.api import Call, Dialect, Sending
-from sardinetrack.relay.attempt import Attempt, AttemptEnd, Progress
+from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
 from sardinetrack.relay.caller_connection import CallerConnection
 from sardinetrack.relay.fleet import Fleet
-from sardinetrack.relay.plan import Plan, still_allowed
+from sardinetrack.relay.permit import Permit
+from sardinetrack.relay.request_plan import Plan, check_still_allowed
 from sardinetrack.relay.server_connection import (
     BreakReason,
     ServerConnection,
 )
 from sardinetrack.relay.server_pool import IDLE_SECONDS, NotConnectedError
-from sardinetrack.relay.trace import Placed, Trace
-from sardinetrack.relay.turn import Turn
+from sardinetrack.relay.trace import Placement, Trace
 from sardinetrack.routing.breaker import Breaker
 from sardinetrack.topology.configuration import RouteKind
 from sardinetrack.topology.servers import BackendServer
 
-ONCE_IDLE_SECONDS: Final = 1.0
-"""Idle time of a connection that a request which runs once may go on.
+RUN_ONCE_IDLE_SECONDS: Final = 1.0
+"""Maximum idle time of a connection used for a request that must run once.
 
-A server may close an idle connection just as the request arrives; nobody
-could say then whether it has run.
+A server may close an idle connection just as the request arrives; it would be
+unknown then whether the request has run.
 """
-_LEAST_SECONDS: Final = 0.02
+_MIN_TIMEOUT_SECONDS: Final = 0.02
 _DIGITS: Final = 3
 _HEAD: Final = b'HEAD'
-_BREAKS: Final = frozenset((BreakReason.CLOSED, BreakReason.RESET))
+_CONNECTION_ENDS: Final = frozenset((BreakReason.CLOSED, BreakReason.RESET))
 
 
 @dataclass(frozen=True, slots=True)
 class _Target:
-    """A server as it was when a request was sent there.
+    """A server in the state it had when a request was sent to it.
 
-    What is learned from the end of a send counts for that start of the
-    server; the breaker and the load of a later start are other ones.
+    The outcome counts for that start of the server; a later start has another
+    breaker and another load.
     """
 
     server: BackendServer
@@ -53,25 +53,27 @@
 
     @classmethod
     def of(cls, fleet: Fleet, server: BackendServer) -> Self:
-        """Take what is believed of a server now, and note a request to it."""
-        breaker = fleet.beliefs.breaker(server)
-        return cls(server, breaker, breaker.sent(), fleet.beliefs.load(server))
+        """Return the current state of a server, and count a request to it."""
+        breaker = fleet.server_states.breaker(server)
+        return cls(
+            server, breaker, breaker.sent(), fleet.server_states.load(server)
+        )
 
-    def succeeded(self) -> None:
-        """Note an answer."""
+    def record_success(self) -> None:
+        """Record a response."""
         self.breaker.succeeded(self.generation)
 
-    def failed(self, now: float) -> None:
-        """Note a failure."""
+    def record_failure(self, now: float) -> None:
+        """Record a failure."""
         self.breaker.failed(now, self.generation)
 
-    def undecided(self) -> None:
-        """Note an end that says nothing about the server."""
+    def record_inconclusive(self) -> None:
+        """Record an outcome that shows nothing about the server."""
         self.breaker.undecided(self.generation)
 
 
 class Sender:
-    """Sends one request, once or a few times one after the other."""
+    """Sends one request, in one or more successive attempts."""
 
     def __init__(
         self,
@@ -81,7 +83,6 @@
         caller: CallerConnection,
         trace: Trace,
     ) -> None:
-        """Work for one request."""
         self.attempt: Attempt | None = None
         self.server: BackendServer | None = None
         self._fleet = fleet
@@ -94,36 +95,37 @@
     async def send(
         self,
         plan: Plan,
-        placed: Placed,
+        placement: Placement,
         progress: Progress,
     ) -> Attempt:
-        """Send, and wait for the end of the answer.
+        """Send, and wait for the end of the response.
 
-        :return: the attempt, whose end is known.
+        :return: the attempt, whose outcome is known.
         :raises NotConnectedError: nothing was sent.
-        :raises AnsweredError: it is not allowed any more; nothing was sent.
+        :raises AnsweredError: the request is no longer allowed; nothing was
+            sent.
         """
-        server = placed.candidate.server
+        server = placement.candidate.server
         self.server = server
         target = _Target.of(self._fleet, server)
         try:
             connection = await self._connect(plan, server)
         except NotConnectedError as error:
-            self._note_unreached(target, error)
+            self._record_unreachable(target, error)
             raise
         except BaseException:
-            target.undecided()
+            target.record_inconclusive()
             raise
-        attempt = self._prepare(plan, placed, progress, target)
+        attempt = self._prepare(plan, placement, progress, target)
         try:
-            await self._exchange(plan, placed.candidate, connection, attempt)
+            await self._exchange(plan, placement.candidate, connection, attempt)
         except BaseException:
-            target.undecided()
+            target.record_inconclusive()
             connection.abort()
             raise
         else:
-            self._learn(target, attempt)
-            self._suspect(plan, server, attempt)
+            self._record_outcome(target, attempt)
+            self._update_suspects(plan, server, attempt)
         finally:
             self._release(server, connection, attempt)
         return attempt
@@ -133,29 +135,29 @@
         plan: Plan,
         server: BackendServer,
     ) -> ServerConnection:
-        fresh_seconds = IDLE_SECONDS
+        max_idle_seconds = IDLE_SECONDS
         if not plan.route.repeatable:
-            fresh_seconds = ONCE_IDLE_SECONDS
+            max_idle_seconds = RUN_ONCE_IDLE_SECONDS
         return await self._fleet.connections.take(
             server.address,
-            fresh_seconds=fresh_seconds,
+            max_idle_seconds=max_idle_seconds,
         )
 
     def _prepare(
         self,
         plan: Plan,
-        placed: Placed,
+        placement: Placement,
         progress: Progress,
         target: _Target,
     ) -> Attempt:
-        progress.cutter.resume()
+        progress.splitter.resume()
         return Attempt(
             self._call,
             self._caller,
             self._dialect,
             progress,
             streams=plan.route.kind is RouteKind.STREAMING,
-            on_begun=partial(_begun, placed.turn, target),
+            on_first_event=partial(_first_event, placement.permit, target),
         )
 
     async def _exchange(
@@ -166,14 +168,14 @@
         attempt: Attempt,
     ) -> None:
         server = candidate.server
-        self._check_again(plan, server)
+        self._recheck(plan, server)
         request = self._dialect.request(
             self._call,
             self._sending(plan, server, attempt),
         )
-        self._note_sent(plan, candidate)
+        self._log_sent(plan, candidate)
         self.attempt = attempt
-        load = self._fleet.beliefs.load(server)
+        load = self._fleet.server_states.load(server)
         load.added_tokens += candidate.new_tokens
         try:
             connection.send(
@@ -186,19 +188,21 @@
         finally:
             self._caller.flow = None
 
-    def _check_again(self, plan: Plan, server: BackendServer) -> None:
-        """Look once more at what may have changed while the request waited.
+    def _recheck(self, plan: Plan, server: BackendServer) -> None:
+        """Check again what may have changed while the request waited.
 
-        A key that was taken away, or a server that is leaving, would
-        otherwise get work for as long as requests wait.
+        Otherwise a revoked key or a draining server would get requests for as
+        long as requests wait.
 
-        :raises CancelledError: the caller has left, as if that had been read.
+        :raises CancelledError: the caller has disconnected, handled as if that
+            had been read.
+        :raises NotConnectedError: the server may get no more requests.
         """
-        if self._caller.hung_up:
+        if self._caller.disconnected:
             raise asyncio.CancelledError
-        still_allowed(self._fleet, plan, self._call)
+        check_still_allowed(self._fleet, plan, self._call)
         if self._fleet.servers.get(server.instance) is None:
-            raise NotConnectedError('left meanwhile')
+            raise NotConnectedError('the server accepts no more requests')
 
     def _sending(
         self,
@@ -206,15 +210,15 @@
         server: BackendServer,
         attempt: Attempt,
     ) -> Sending:
-        left_seconds = plan.ends_seconds - self._loop.time()
+        left_seconds = plan.deadline_seconds - self._loop.time()
         return Sending(
             server,
-            max(_LEAST_SECONDS, left_seconds),
+            max(_MIN_TIMEOUT_SECONDS, left_seconds),
             plan.workspace.name if plan.workspace else None,
             attempt.last_event,
         )
 
-    def _note_sent(self, plan: Plan, candidate: Candidate) -> None:
+    def _log_sent(self, plan: Plan, candidate: Candidate) -> None:
         fleet, trace = self._fleet, self._trace
         if not trace.sent:
             fleet.budget(plan.pool.name).first_attempt()
@@ -227,7 +231,7 @@
             pool=plan.pool.name,
             workspace=plan.workspace_name,
             send=trace.sent,
-            ask=max(0, trace.asks - 1),
+            ask=max(0, trace.permit_requests - 1),
             config_version=plan.version,
             config_age_seconds=round(fleet.freshness.age_seconds(), _DIGITS),
             waited_seconds=round(trace.waited_seconds, _DIGITS),
@@ -236,49 +240,49 @@
             again_tokens=candidate.again_tokens,
         )
 
-    def _learn(self, target: _Target, attempt: Attempt) -> None:
-        end = attempt.done.result()
-        if end in {AttemptEnd.DELIVERED, AttemptEnd.NOT_RUN}:
-            target.succeeded()
+    def _record_outcome(self, target: _Target, attempt: Attempt) -> None:
+        outcome = attempt.done.result()
+        if outcome in {SendOutcome.DELIVERED, SendOutcome.NOT_RUN}:
+            target.record_success()
         else:
-            target.failed(self._loop.time())
-        if end is AttemptEnd.NOT_RUN:
+            target.record_failure(self._loop.time())
+        if outcome is SendOutcome.NOT_RUN:
             self._trace.proved_not_run = True
-        if attempt.reply is not None and attempt.reply.misdirected:
-            self._disown(target)
-        elif attempt.reply is not None:
-            target.load.reported_running = max(0, attempt.reply.running)
+        if attempt.response is not None and attempt.response.misdirected:
+            self._mark_misaddressed(target)
+        elif attempt.response is not None:
+            target.load.reported_running = max(0, attempt.response.running)
 
-    def _disown(self, target: _Target) -> None:
+    def _mark_misaddressed(self, target: _Target) -> None:
         server = target.server
-        self._fleet.disown(server)
+        self._fleet.mark_misaddressed(server)
         self._fleet.log.write(
             Event.SERVER_SUSPECT,
             request=self._call.request_id,
             server=server.instance,
-            cause='another server answers there',
+            cause='another server responds at this address',
             breaker=target.breaker.state.value,
         )
 
-    def _suspect(
+    def _update_suspects(
         self,
         plan: Plan,
         server: BackendServer,
         attempt: Attempt,
     ) -> None:
-        """Note what a server's crash may be the fault of, and what not."""
+        """Record whether the request may have crashed the server."""
         crashes, call = self._fleet.crashes, self._call
-        if attempt.done.result() is AttemptEnd.DELIVERED:
+        if attempt.done.result() is SendOutcome.DELIVERED:
             crashes.served(call, plan.workspace_name)
-        elif attempt.reason in _BREAKS:
-            strikes = crashes.broke(
+        elif attempt.reason in _CONNECTION_ENDS:
+            strikes = crashes.connection_ended(
                 self._loop.time(),
                 server.instance,
                 call,
                 plan.workspace_name,
             )
             if strikes:
-                self._fleet.sides.struck(strikes)
+                self._fleet.sides.report_strikes(strikes)
 
     def _release(
         self,
@@ -286,36 +290,36 @@
         connection: ServerConnection,
         attempt: Attempt,
     ) -> None:
-        if attempt.reply is not None:
-            connection.idle_limit_seconds = attempt.reply.idle_seconds
+        if attempt.response is not None:
+            connection.idle_limit_seconds = attempt.response.idle_seconds
         done = attempt.done
-        if not done.done() or done.result() is AttemptEnd.UNKNOWN:
+        if not done.done() or done.result() is SendOutcome.UNKNOWN:
             connection.abort()
         self._fleet.connections.give_back(
             server.address,
             connection,
-            self._fleet.connection_share(server),
+            self._fleet.connection_limit(server),
         )
 
-    def _note_unreached(
+    def _record_unreachable(
         self,
         target: _Target,
         error: NotConnectedError,
     ) -> None:
-        why, server = str(error), target.server
+        detail, server = str(error), target.server
         if isinstance(error.__cause__, ConnectionRefusedError):
-            self._fleet.sides.server_away(server.instance, why)
-        target.failed(self._loop.time())
+            self._fleet.sides.server_unreachable(server.instance, detail)
+        target.record_failure(self._loop.time())
         self._fleet.log.write(
             Event.SERVER_SUSPECT,
             request=self._call.request_id,
             server=server.instance,
-            cause=why or 'no connection in time',
+            cause=detail or 'no connection in time',
             breaker=target.breaker.state.value,
         )
 
 
-def _begun(turn: Turn, target: _Target) -> None:
-    """Note the first event: the server works, long before the answer ends."""
-    turn.begun()
-    target.succeeded()
+def _first_event(permit: Permit, target: _Target) -> None:
+    """Record the first event, which already shows that the server works."""
+    permit.first_event_received()
+    target.record_success()
--- a/src/sardinetrack/relay/server_connection.py
+++ b/src/sardinetrack/relay/server_connection.py
@@ -1,7 +1,7 @@
 """A connection to a backend server; one request at a time.
 
-It stands on the event loop's transports and a parser in C: the way through
-httpcore costs about 3 ms of processor time a request and 0.3 ms an event.
+It uses the event loop's transports and a parser in C: httpcore takes about 3 ms
+of processor time per request and 0.3 ms per event.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 import httptools
 
 CONNECT_SECONDS: Final = 0.3
-"""A server in the same region answers in 3 ms; a lost packet costs 0.2 s."""
-SILENT_SECONDS: Final = 3.0
-"""Bytes that nobody acknowledges end the connection after so long."""
+"""A server in the same region responds in 3 ms; a lost packet costs 0.2 s."""
+UNACKNOWLEDGED_SECONDS: Final = 3.0
+"""Sent bytes that stay unacknowledged for this long end the connection."""
 PROBE_SECONDS: Final = 1
-"""Between probes of a connection on which nothing comes; the least there is."""
+"""Interval of the keep-alive probes on a silent connection; the minimum."""
 PROBES: Final = 2
-"""Unanswered probes that end it; one may be lost."""
+"""Unanswered probes that end the connection; one may be lost."""
 _MILLISECONDS: Final = 1000
 _NO_BODY: Final = frozenset((204, 304))
 
 
 class BreakReason(StrEnum):
-    """Why an answer did not come whole."""
+    """Why a response is incomplete."""
 
     CLOSED = 'closed'
     RESET = 'reset'
@@ -35,30 +35,29 @@
 
 
 class ReplySink(ABC):
-    """Takes the answer to one request, on the loop's thread."""
+    """Receives the response to one request, on the event loop's thread."""
 
     @abstractmethod
     def head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Take the head."""
+        """Handle the status and the headers."""
 
     @abstractmethod
     def piece(self, piece: bytes) -> None:
-        """Take bytes of the body."""
+        """Handle bytes of the body."""
 
     @abstractmethod
     def whole(self) -> None:
-        """Note that the answer is complete."""
+        """Handle the end of a complete response."""
 
     @abstractmethod
     def broken(self, reason: BreakReason) -> None:
-        """Note that the answer will not be complete."""
+        """Handle the failure of a response that stays incomplete."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """Parses answers; closes itself on any byte that nobody asked for."""
+    """Parses responses; closes itself on any byte that no request expects."""
 
     def __init__(self) -> None:
-        """Start without a transport."""
         self.transport: asyncio.Transport | None = None
         self.idle_since_seconds = float(0)
         self.idle_limit_seconds: float | None = None
@@ -67,14 +66,14 @@
         self._headers: list[tuple[bytes, bytes]] = []
         self._framed = False
         self._complete = False
-        self._keeps = False
-        self._reset = False
+        self._keep_alive = False
+        self._unusable = False
         self._status_seen = False
         self._bodiless = False
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request may be sent on this connection."""
         transport = self.transport
         return (
             transport is not None
@@ -89,9 +88,9 @@
         *,
         bodiless: bool = False,
     ) -> None:
-        """Send a request whose answer goes to the sink.
+        """Send a request whose response goes to the sink.
 
-        :param bodiless: its answer has no body, whatever length it tells.
+        :param bodiless: the response has no body, whatever length it states.
         """
         self._sink = sink
         self._bodiless = bodiless
@@ -103,48 +102,51 @@
         assert self.transport is not None  # noqa: S101
         self.transport.write(request)
 
-    def flow(self, goes: bool) -> None:
-        """Stop or go on reading, as fast as the caller reads."""
+    def flow(self, reading: bool) -> None:
+        """Pause or resume reading, as fast as the caller reads.
+
+        :param reading: whether to read.
+        """
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        if goes:
+        if reading:
             transport.resume_reading()
         else:
             transport.pause_reading()
 
     def abort(self) -> None:
-        """End it at once; the server drops what it runs."""
+        """Close it immediately; the server then cancels the request."""
         self._sink = None
         if self.transport is not None:
             self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info('socket')
         if sock is not None:
-            _end_when_silent(sock)
+            _enable_dead_peer_detection(sock)
 
     def data_received(self, data: bytes) -> None:
         """Parse."""
         parser = self._parser
         if parser is None or self._sink is None:
-            # A second answer, or bytes after the end of one, belong to no
-            # request; whatever came next on this connection could be taken
-            # for the answer to another caller's request.
+            # A second response, or bytes after the end of one, belong to no
+            # request. The next response on this connection could be
+            # mistaken for the response to another caller's request.
             self.abort()
             return
         try:
             parser.feed_data(data)
         except httptools.HttpParserError:
-            self._break(BreakReason.UNREADABLE)
+            self._fail(BreakReason.UNREADABLE)
             return
         if self._complete:
             self._finish()
 
     def eof_received(self) -> bool:
-        """Close; an answer without a length ends here."""
+        """Close; a response without a length ends here."""
         unframed = self._status_seen and not self._framed
         if self._sink is not None and unframed and not self._complete:
             self._complete = True
@@ -152,23 +154,23 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the sink."""
-        self._break(BreakReason.CLOSED if exc is None else BreakReason.RESET)
+        """Report the failure to the sink."""
+        self._fail(BreakReason.CLOSED if exc is None else BreakReason.RESET)
 
     def on_status(self, _status: bytes) -> None:
-        """Begin an answer; a second one spoils the connection."""
+        """Begin a response; after a complete one the connection is unusable."""
         if self._complete:
-            self._reset = True
+            self._unusable = True
 
     def on_header(self, name: bytes, content: bytes) -> None:
         """Collect a header."""
         self._headers.append((name.lower(), content))
 
     def on_headers_complete(self) -> None:
-        """Hand on the head."""
+        """Pass the head to the sink."""
         sink, parser = self._sink, self._parser
         if sink is None or parser is None or self._complete:
-            self._reset = True
+            self._unusable = True
             return
         status = parser.get_status_code()
         self._status_seen = True
@@ -178,30 +180,30 @@
         )
         sink.head(status, self._headers)
         if self._bodiless:
-            # The parser would wait for the body that the length speaks of.
+            # The parser would wait for the body that the length announces.
             self._complete = True
-            self._keeps = parser.should_keep_alive()
+            self._keep_alive = parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
-        """Hand on a piece."""
+        """Pass a piece of the body to the sink."""
         if self._sink is not None and not self._complete:
             self._sink.piece(body)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer."""
+        """Mark the response as complete."""
         if self._framed:
             self._complete = True
             parser = self._parser
-            self._keeps = parser is not None and parser.should_keep_alive()
+            self._keep_alive = parser is not None and parser.should_keep_alive()
 
     def _finish(self) -> None:
         self._parser = None
-        if not self._keeps or self._reset:
+        if not self._keep_alive or self._unusable:
             self._close()
         if self._sink is not None:
             self._take_sink().whole()
 
-    def _break(self, reason: BreakReason) -> None:
+    def _fail(self, reason: BreakReason) -> None:
         if self.transport is not None:
             self.transport.abort()
         if self._sink is not None:
@@ -218,13 +220,13 @@
             self.transport.close()
 
 
-def _end_when_silent(sock: socket.socket) -> None:
-    """Let the kernel end a connection whose other end says nothing.
+def _enable_dead_peer_detection(sock: socket.socket) -> None:
+    """Let the kernel end a connection whose peer has become unreachable.
 
-    Connections may go silent for good without a reset; one that waits for an
-    answer sends nothing, so only keep-alive probes show it.
+    Connections may go silent permanently without a reset. One that waits for a
+    response sends nothing, so only keep-alive probes detect it.
     """
-    limit = int(SILENT_SECONDS * _MILLISECONDS)
+    limit = int(UNACKNOWLEDGED_SECONDS * _MILLISECONDS)
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, limit)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/src/sardinetrack/relay/server_pool.py
+++ b/src/sardinetrack/relay/server_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to each backend server."""
+"""A pool of connections to each backend server."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 )
 
 IDLE_SECONDS: Final = 4.0
-"""Idle connections are closed after this, or half of what the server says."""
-_SAFE_PART: Final = 0.5
+"""Idle connections are closed after this, or half of the server's own
+time-out."""
+_IDLE_FRACTION: Final = 0.5
 
 Address = tuple[str, int]
 
 
 class NotConnectedError(Exception):
-    """No connection was made: nothing was sent, nothing has run."""
+    """No connection was established: nothing was sent, nothing has run."""
 
 
 class ServerPool:
-    """Owns all connections to backend servers; the newest idle one goes."""
+    """Owns all connections to backend servers; reuses the newest idle one."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self.opened = 0
         self._idle: dict[Address, deque[ServerConnection]] = {}
         self._open: dict[Address, int] = {}
@@ -40,57 +40,59 @@
         self,
         address: Address,
         *,
-        fresh_seconds: float = IDLE_SECONDS,
+        max_idle_seconds: float = IDLE_SECONDS,
     ) -> ServerConnection:
-        """Find an idle connection or open one.
+        """Reuse an idle connection or open one.
 
-        :param fresh_seconds: an idle one must have been used within this.
-        :raises NotConnectedError: the server takes no connection.
+        :param max_idle_seconds: an idle one must have been used within this.
+        :raises NotConnectedError: the server accepts no connection.
         """
         loop = asyncio.get_running_loop()
         idle = self._idle.get(address)
         while idle:
-            kept = idle.pop()
-            age_seconds = loop.time() - kept.idle_since_seconds
-            if kept.reusable and age_seconds < _limit(kept, fresh_seconds):
+            connection = idle.pop()
+            age_seconds = loop.time() - connection.idle_since_seconds
+            if connection.reusable and age_seconds < _limit(
+                connection, max_idle_seconds
+            ):
                 self._open[address] = self._open.get(address, 0) + 1
-                return kept
-            kept.abort()
+                return connection
+            connection.abort()
         return await self._connect(address)
 
     def give_back(
         self,
         address: Address,
-        kept: ServerConnection,
-        most_kept: float = math.inf,
+        connection: ServerConnection,
+        max_kept: float = math.inf,
     ) -> None:
-        """Take back a connection after its request.
+        """Return a connection to the pool after its request.
 
-        :param most_kept: connections to the server beyond which this one is
-            closed. The server resets whatever comes beyond its bound for all
-            entries together; idle ones of a busy entry would take the place
-            of another entry's requests.
+        :param max_kept: if there are as many connections to the server, this
+            one is closed. The server resets connections beyond the limit for
+            all entries together; idle ones of a busy entry would use up the
+            limit for another entry's requests.
         """
         self._open[address] = self._open.get(address, 1) - 1
-        if not kept.reusable or self.connections(address) >= most_kept:
-            kept.abort()
+        if not connection.reusable or self.connections(address) >= max_kept:
+            connection.abort()
             return
-        kept.idle_since_seconds = asyncio.get_running_loop().time()
-        self._idle.setdefault(address, deque()).append(kept)
+        connection.idle_since_seconds = asyncio.get_running_loop().time()
+        self._idle.setdefault(address, deque()).append(connection)
 
     def sweep(self) -> None:
-        """Close what was idle for too long, and forget servers without any."""
+        """Close connections that were idle for too long."""
         now = asyncio.get_running_loop().time()
         for address, idle in list(self._idle.items()):
-            while idle and _over(idle[0], now):
+            while idle and _is_expired(idle[0], now):
                 idle.popleft().abort()
             if not idle:
                 self._idle.pop(address)
 
     def forget(self, address: Address) -> None:
-        """Close the idle connections to a server that is gone."""
-        for kept in self._idle.pop(address, ()):
-            kept.abort()
+        """Close the idle connections to a removed server."""
+        for connection in self._idle.pop(address, ()):
+            connection.abort()
 
     async def _connect(self, address: Address) -> ServerConnection:
         loop = asyncio.get_running_loop()
@@ -110,12 +112,14 @@
         return connection
 
 
-def _limit(kept: ServerConnection, fresh_seconds: float) -> float:
-    if kept.idle_limit_seconds is None:
-        return fresh_seconds
-    return min(fresh_seconds, _SAFE_PART * kept.idle_limit_seconds)
+def _limit(connection: ServerConnection, max_idle_seconds: float) -> float:
+    if connection.idle_limit_seconds is None:
+        return max_idle_seconds
+    return min(max_idle_seconds, _IDLE_FRACTION * connection.idle_limit_seconds)
 
 
-def _over(kept: ServerConnection, now: float) -> bool:
-    age_seconds = now - kept.idle_since_seconds
-    return not kept.reusable or age_seconds > _limit(kept, IDLE_SECONDS)
+def _is_expired(connection: ServerConnection, now: float) -> bool:
+    age_seconds = now - connection.idle_since_seconds
+    return not connection.reusable or age_seconds > _limit(
+        connection, IDLE_SECONDS
+    )
--- a/src/sardinetrack/relay/beliefs.py
+++ b/src/sardinetrack/relay/server_states.py
@@ -1,12 +1,12 @@
-"""What an entry believes of each backend server, by instance."""
+"""The known state of each backend server, by instance."""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
 from sardinetrack.placement.load import ServerLoad
-from sardinetrack.relay.cold import EntryCold
-from sardinetrack.relay.lengths import AnswerLengths
+from sardinetrack.relay.cold_start import ColdStartTracker
+from sardinetrack.relay.lengths import OutputLengths
 from sardinetrack.relay.side_links import SideLinks
 from sardinetrack.routing.breaker import Breaker
 from sardinetrack.topology.configuration import Pool
@@ -14,26 +14,26 @@
 from sardinetrack.turns.desk import LocalDesk
 
 
-class ServerBeliefs:
-    """Loads, breakers and own desks; made when they are first asked for."""
+class ServerStates:
+    """Loads, breakers and local admissions, created on first use."""
 
     def __init__(self, sides: SideLinks) -> None:
-        """Start believing nothing.
+        """Track no servers yet.
 
-        :param sides: tell how many entries there are.
+        :param sides: report how many entries there are.
         """
-        self.cold = EntryCold(sides)
-        self.lengths = AnswerLengths()
+        self.cold_starts = ColdStartTracker(sides)
+        self.lengths = OutputLengths()
         self.loads: dict[str, ServerLoad] = {}
         self._breakers: dict[str, Breaker] = {}
-        self._desks: dict[str, LocalDesk] = {}
+        self._local_admissions: dict[str, LocalDesk] = {}
 
     def __len__(self) -> int:
-        """Count the servers of which something is believed."""
-        return len({*self.loads, *self._breakers, *self._desks})
+        """Count the servers for which any state is kept."""
+        return len({*self.loads, *self._breakers, *self._local_admissions})
 
     def load(self, server: BackendServer) -> ServerLoad:
-        """Find what is believed of a server's load."""
+        """Return the estimated load of a server."""
         load = self.loads.get(server.instance)
         if load is None:
             load = ServerLoad()
@@ -41,29 +41,31 @@
         return load
 
     def breaker(self, server: BackendServer) -> Breaker:
-        """Find the breaker of a server."""
+        """Return the breaker of a server."""
         breaker = self._breakers.get(server.instance)
         if breaker is None:
             breaker = Breaker()
             self._breakers[server.instance] = breaker
         return breaker
 
-    def desk(
+    def local_admission(
         self,
         server: BackendServer,
         pool: Pool,
-        share: float,
+        fraction: float,
     ) -> LocalDesk:
-        """Find the own desk for a server whose side is away.
+        """Return the local admission for a server whose side is unreachable.
 
-        :param share: the part of the server that is granted there.
+        :param fraction: the fraction of the server that this entry may grant.
         """
-        desk = self._desks.get(server.instance)
-        if desk is None:
-            desk = LocalDesk()
-            self._desks[server.instance] = desk
-        desk.admission.resize(pool.slots, pool.memory_tokens, share)
-        return desk
+        local_admission = self._local_admissions.get(server.instance)
+        if local_admission is None:
+            local_admission = LocalDesk()
+            self._local_admissions[server.instance] = local_admission
+        local_admission.admission.resize(
+            pool.slots, pool.memory_tokens, fraction
+        )
+        return local_admission
 
     def allows(self, now: float, server: BackendServer) -> bool:
         """Whether a server's breaker lets a request pass."""
@@ -71,16 +73,17 @@
         return breaker is None or breaker.allows(now)
 
     def forget(self, instance: str) -> None:
-        """Forget a server, or the former start of one."""
-        for kept in (self.loads, self._breakers, self._desks):
+        """Forget a server, or its former start."""
+        for kept in (self.loads, self._breakers, self._local_admissions):
             kept.pop(instance, None)
 
     def keep(self, instances: Collection[str]) -> None:
         """Forget all other servers.
 
-        A send that ends after its server is gone makes some of these anew.
+        An attempt that ends after its server was removed creates state for it
+        again.
         """
-        for kept in (self.loads, self._breakers, self._desks):
+        for kept in (self.loads, self._breakers, self._local_admissions):
             for stale in set(kept) - set(instances):
                 kept.pop(stale)
-        self.cold.keep(instances)
+        self.cold_starts.keep(instances)
--- a/src/sardinetrack/relay/settings.py
+++ b/src/sardinetrack/relay/settings.py
@@ -1,4 +1,4 @@
-"""What a process of the relay is told about itself."""
+"""The settings of one instance of the relay."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Addresses and bounds of one instance."""
+    """Addresses and limits of one instance."""
 
     instance: str
     ip: str
@@ -18,27 +18,27 @@
     callers: Listen | None
     ready: Listen | None
     turns_port: int
-    """Where the side of an engine listens, on every instance alike."""
+    """Where the side of an engine listens, the same on every instance."""
     metrics_port: int
     store: Listen
     grace_seconds: float
     """From the signal to stop until the process is killed."""
     revoke_seconds: float | None
     max_descriptors: int
-    """Files and sockets that the process may hold."""
+    """Files and sockets that the process may have open."""
     memory_bytes: int
-    """Beyond it the process is killed."""
+    """The process is killed if it uses more."""
     retry_ratio: float
-    """Second sends, as a part of the requests of the whole fleet."""
+    """Retries, as a fraction of the requests of the whole fleet."""
     retry_window_seconds: float
     retry_slack: float
-    """Second sends of the whole fleet in a window beyond the ratio."""
+    """Retries of the whole fleet in a window beyond the ratio."""
     evacuates: bool = False
     """Whether the operator evacuates failure domains by objects in the store;
-    where none does nobody watches for them."""
+    if not, they are not watched."""
 
     def changed_from(self, earlier: NodeSettings) -> list[str]:
-        """Name the fields that differ from earlier settings."""
+        """Return the names of the fields that differ from earlier settings."""
         before = asdict(earlier)
         return [
             name
--- a/src/sardinetrack/relay/side_links.py
+++ b/src/sardinetrack/relay/side_links.py
@@ -21,22 +21,22 @@
 from sardinetrack.turns.messages import Hello, Struck
 from sardinetrack.views.api import Inbox, NoInbox
 
-FIRST_ENTRIES: Final = 6
-"""Entries taken to exist until a side has told how many it sees."""
-_EVERYBODY: Final = '*'
+INITIAL_ENTRIES: Final = 6
+"""Assumed number of entries until a side has reported how many it sees."""
+_BROADCAST_KEY: Final = '*'
 
 
-def messengers(links: Iterable[SideLink]) -> list[SideLink]:
-    """Choose the sides that pass news on to all entries.
+def broadcast_sides(links: Iterable[SideLink]) -> list[SideLink]:
+    """Choose the sides that pass strikes on to all entries.
 
-    One of each failure domain: a side that has just stalled or been cut off
-    would keep the news from everybody if it were the only one.
+    One of each failure domain: if a single side were used and it had just
+    stalled or been disconnected, no entry would receive them.
 
-    :param links: to the sides that may be asked.
+    :param links: to the sides that can be reached.
     """
     by_name = {link.name: link for link in links}
     chosen: dict[str, SideLink] = {}
-    for name in ranked(_EVERYBODY, by_name):
+    for name in ranked(_BROADCAST_KEY, by_name):
         link = by_name[name]
         chosen.setdefault(link.failure_domain, link)
     return list(chosen.values())
@@ -53,9 +53,10 @@
         restarts: Restarts,
         log: EventLog,
     ) -> None:
-        """Start without any.
+        """Start without links.
 
-        :param restarts: is told when a side knows a later start of its server.
+        :param restarts: is called when a side knows a later start of its
+            server.
         """
         self.views: Inbox = NoInbox()
         self._settings = settings
@@ -69,12 +70,12 @@
 
     @property
     def live(self) -> list[SideLink]:
-        """List the sides that may be asked."""
+        """List the links to reachable sides."""
         return [link for link in self._links.values() if link.live]
 
     @property
-    def entries_seen(self) -> int | None:
-        """Tell how many entries the sides see; ``None`` if none has told."""
+    def reported_entries(self) -> int | None:
+        """The number of entries by the sides; ``None`` without a report."""
         seen = [
             link.lines.entries
             for link in self._links.values()
@@ -83,7 +84,7 @@
         return max(seen, default=None)
 
     def find(self, ip: str) -> SideLink | None:
-        """Find a side that may be asked."""
+        """Return the link to a side if it can be reached."""
         link = self._links.get(ip)
         return link if link is not None and link.live else None
 
@@ -93,10 +94,10 @@
         pool: Pool,
         cold: ColdWord,
     ) -> ServerLoad:
-        """Find the load that a side tells; link it when it is new."""
+        """Return the load that a side reports; open a link to a new side."""
         link = self._links.get(server.ip)
         if link is not None and link.pool != pool.name:
-            # The address was taken over by an engine of another pool.
+            # An engine of another pool uses the address now.
             self._drop(server.ip)
             link = None
         if link is None:
@@ -105,26 +106,26 @@
         return link.load
 
     def keep(self, ips: Collection[str]) -> None:
-        """Note the addresses of all listed engines."""
+        """Set the addresses of all listed engines."""
         self._listed = frozenset(ips)
         self.sweep()
 
     def sweep(self) -> None:
-        """Drop the links to sides that do not answer and are not listed.
+        """Drop the links to sides that are unreachable and not listed.
 
-        An engine that crashes is listed no more until it is back; its side
-        lives on, and may be watching the store for this entry.
+        A crashed engine is missing from the list until it is back; its side
+        keeps running, and may be watching the store for this entry.
         """
         for ip, link in list(self._links.items()):
             if ip not in self._listed and not link.live:
                 self._drop(ip)
 
-    def server_away(self, instance: str, cause: str) -> None:
-        """Suspect what ran at a server that went down.
+    def server_unreachable(self, instance: str, cause: str) -> None:
+        """Suspect the requests that ran on a server when it crashed.
 
-        :param cause: how that showed.
+        :param cause: how the crash was detected.
         """
-        strikes = self._crashes.away(loop_now(), instance)
+        strikes = self._crashes.confirm_crash(loop_now(), instance)
         if strikes:
             self._log.write(
                 Event.SERVER_CRASHED,
@@ -132,16 +133,16 @@
                 cause=cause,
                 suspects=len(strikes),
             )
-            self.struck(strikes)
+            self.report_strikes(strikes)
 
-    def struck(self, strikes: Sequence[Strike]) -> None:
-        """Tell all entries, through sides that are connected to each."""
+    def report_strikes(self, strikes: Sequence[Strike]) -> None:
+        """Send strikes to all entries, through one side per failure domain."""
         message = Struck(tuple(strikes))
-        for link in messengers(self.live):
+        for link in broadcast_sides(self.live):
             link.tell(message)
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         for task in self._tasks.values():
             task.cancel()
 
--- a/src/sardinetrack/relay/trace.py
+++ b/src/sardinetrack/relay/trace.py
@@ -1,41 +1,41 @@
-"""What has happened to one request so far."""
+"""The progress of one request so far."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 from sardinetrack.placement.choice import Candidate
-from sardinetrack.relay.turn import Turn
+from sardinetrack.relay.permit import Permit
 
 
 @dataclass(slots=True)
 class Trace:
-    """Grows with each step; the last log line of the request tells it."""
+    """Collects what happens to a request; its last log line reports it."""
 
     servers: list[str] = field(default_factory=list)
     """Instances that the request was sent to, in order."""
-    unreached: set[str] = field(default_factory=set)
-    """Instances that took no connection: nothing was sent there."""
-    asks: int = 0
-    """Turns that were asked for; the last one's number is one less."""
+    unreachable: set[str] = field(default_factory=set)
+    """Instances that accepted no connection: nothing was sent there."""
+    permit_requests: int = 0
+    """Permits that were requested; the last one's number is one less."""
     waited_seconds: float = 0
-    """For a turn, at all servers together."""
+    """For permits, at all servers together."""
     proved_not_run: bool = True
-    end: str = 'served'
-    """The kind of error that the caller was told, if any."""
+    outcome: str = 'served'
+    """The kind of error sent to the caller, if any."""
     status: int = 0
-    """Of an answer of our own; 0 where a server's was delivered."""
+    """Of a response of the entry itself; 0 where a server's was delivered."""
     reason: str = ''
 
     @property
     def sent(self) -> int:
-        """Count the sends."""
+        """The number of attempts that were sent."""
         return len(self.servers)
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """Leave to send the request to one server."""
+class Placement:
+    """The chosen server and the permit to send the request to it."""
 
     candidate: Candidate
-    turn: Turn
+    permit: Permit
--- a/tests/relay/evacuations.feature
+++ b/tests/relay/evacuations.feature
@@ -1,84 +1,85 @@
-Feature: Failure domains that are evacuated, and servers that are cold
+Feature: Evacuated failure domains, and servers in their cold start
 
-  Scenario: Nothing new reaches an evacuated domain, what runs there goes on
-    A stream runs at a server when the operator evacuates its domain. Its
-    caller sees nothing of that; whoever comes later is served elsewhere.
+  Scenario: An evacuated domain gets no new requests, running ones continue
+    A stream runs on a server when the operator evacuates its domain. Its
+    caller does not notice; later callers are served elsewhere.
 
-    Given a relay before 2 model servers, the second one in kamchia
+    Given a relay in front of 2 model servers, the second one in kamchia
     When a stream runs at each server
     And kamchia is evacuated
-    And 6 callers ask for streams one after the other
+    And 6 callers request streams one after the other
     Then every caller gets status 200
     And the second server got 1 request
-    And the streams that ran before are whole
+    And the streams that started before are complete
 
-  Scenario: A request that got its turn before is not sent any more
-    Between a turn and its send lies the opening of a connection; the
-    evacuation may become known meanwhile.
+  Scenario: A request that got its permit before is no longer sent
+    Between the permit and the send a connection is opened; the evacuation may
+    become known in that time.
 
-    Given a relay before 2 model servers, the second one in kamchia
-    When the domain of a server is evacuated between its turn and its send
+    Given a relay in front of 2 model servers, the second one in kamchia
+    When the domain of a server is evacuated between its permit and the send
     Then the caller gets status 200
     And that server got no request
 
   Scenario: All domains are evacuated
-    The operator has asked for it: callers are told at once that nothing has
-    run, and to come back. The evacuation goes before the idle servers.
+    The operator wants it so: callers immediately get the response that nothing
+    has run, with the time to retry. The evacuation takes precedence over idle
+    servers.
 
-    Given a relay before 2 model servers, the second one in kamchia
+    Given a relay in front of 2 model servers, the second one in kamchia
     When kamchia is evacuated
     And kamchia and galata are evacuated
-    And a caller asks for a resumable stream
-    Then the caller gets status 503 and when to come back
+    And a caller requests a resumable stream
+    Then the caller gets status 503 and when to retry
     And the reason is that the servers are evacuated
 
-  Scenario: An outage, lost history and a view that changes hands end nothing
-    Given a relay before 2 model servers, the second one in kamchia
+  Scenario: An outage, lost history and another source of the view end nothing
+    Given a relay in front of 2 model servers, the second one in kamchia
     When kamchia is evacuated
-    And the store does not answer any more
-    Then kamchia is evacuated still
-    When all evacuations are listed anew
-    Then kamchia is evacuated still
-    When the evacuation of kamchia is taken back
+    And the store becomes unreachable
+    Then kamchia is still evacuated
+    When all evacuations are listed again
+    Then kamchia is still evacuated
+    When the evacuation of kamchia is lifted
     Then nothing is evacuated
 
   Scenario: After an evacuation the servers may be cold
-    They became cold shortly before, and their entries in the list tell that
-    seconds later. Met by the whole crowd at once they would crash.
+    They became cold shortly before, and their records in the list show that
+    seconds later. The full load at that moment would crash them.
 
-    Given a relay before 2 model servers, the second one in kamchia
-    And cold servers bear 10 requests a second for 3 seconds
+    Given a relay in front of 2 model servers, the second one in kamchia
+    And cold servers can handle 10 requests a second for 3 seconds
     When kamchia is evacuated
-    And the evacuation of kamchia is taken back
-    Then the second server is taken for cold for 3 seconds
-    And the first server is taken for warm
+    And the evacuation of kamchia is lifted
+    Then the second server is assumed to be cold for 3 seconds
+    And the first server is assumed to be warm
 
-  Scenario Outline: Entries without a side stay within what a cold server bears
-    Each knows nothing of what the others send there.
+  Scenario Outline: Entries without a side stay within a cold server's rate
+    No entry knows what the others send there.
 
-    Given a relay before 1 model server
-    And cold servers bear 10 requests a second for 3 seconds
+    Given a relay in front of 1 model server
+    And cold servers can handle 10 requests a second for 3 seconds
     And there are <entries> entries
     When every server is listed as cold for 3 seconds
-    Then this entry gives itself <turns> of 30 turns at the cold server
+    Then this entry grants itself <granted> of 30 permits for the cold server
 
     Examples:
-      | entries | turns |
-      | 21      | 0     |
-      | 5       | 2     |
+      | entries | granted |
+      | 21      | 0       |
+      | 5       | 2       |
 
-  Scenario: A cold server whose side is away is named as the reason
-    Given a relay before 1 model server
-    And cold servers bear 10 requests a second for 3 seconds
+  Scenario: The reason names a cold server whose side is unreachable
+    Given a relay in front of 1 model server
+    And cold servers can handle 10 requests a second for 3 seconds
     When every server is listed as cold for 3 seconds
-    And a caller asks for a resumable stream
-    Then the caller gets status 503 and when to come back
+    And a caller requests a resumable stream
+    Then the caller gets status 503 and when to retry
     And the reason is that the server is cold
 
-  Scenario: A cold plain server gets this entry's part of what it bears
-    Given a relay before 2 plain servers
-    And cold servers bear 12 requests a second for 3 seconds
+  Scenario: A cold plain server gets this entry's fraction of its rate
+    Given a relay in front of 2 plain servers
+    And cold servers can handle 12 requests a second for 3 seconds
     When the first server is listed as cold for 3 seconds
-    And 20 callers fetch at once
+    And 20 callers fetch concurrently
     Then every caller gets status 200
     And the first server got 2 requests
--- a/tests/relay/lengths.feature
+++ b/tests/relay/lengths.feature
@@ -1,25 +1,25 @@
-Feature: How long answers are whose callers do not say
+Feature: Expected output lengths of requests without an estimate
 
-  A quarter of the callers tell only the most that an answer may have, four
-  times what most answers do. Taken at that, an engine's memory looks full and
-  its pace too slow for nearly all of them.
+  A quarter of the callers state only the maximum output length, four times the
+  length of most outputs. If that were expected, an engine's KV cache would look
+  full and its prefill too slow for nearly all of them.
 
   Scenario: The estimates of other callers of the route count
-    Given a route whose answers have 1000 tokens at the most
+    Given a route whose outputs have at most 1000 tokens
     When 100 callers estimate 200 to 320 tokens
-    Then an answer without an estimate is taken for 230 to 280 tokens
+    Then an output without an estimate is expected to have 230 to 280 tokens
 
-  Scenario: A caller's own estimate is taken as it is
-    Given a route whose answers have 1000 tokens at the most
+  Scenario: A caller's own estimate is used as it is
+    Given a route whose outputs have at most 1000 tokens
     When 100 callers estimate 200 to 320 tokens
-    Then an answer whose caller estimates 700 is taken for 700 tokens
+    Then an output whose caller estimates 700 is expected to have 700 tokens
 
-  Scenario: Where nobody tells an estimate the most counts
-    Given a route whose answers have 1000 tokens at the most
-    Then an answer without an estimate is taken for 1000 to 1000 tokens
+  Scenario: Without any estimate the maximum counts
+    Given a route whose outputs have at most 1000 tokens
+    Then an output without an estimate is expected to have 1000 to 1000 tokens
 
-  Scenario: What was learned of a route goes with it
-    Given a route whose answers have 1000 tokens at the most
+  Scenario: The estimates of a removed route are forgotten
+    Given a route whose outputs have at most 1000 tokens
     When 100 callers estimate 200 to 320 tokens
-    And the route is configured no more
-    Then an answer without an estimate is taken for 1000 to 1000 tokens
+    And the route is removed from the configuration
+    Then an output without an estimate is expected to have 1000 to 1000 tokens
--- a/tests/relay/metrics.feature
+++ b/tests/relay/metrics.feature
@@ -1,9 +1,9 @@
-Feature: The numbers of an entry
+Feature: The metrics of an entry
 
-  Scenario: The page tells how requests ended, by names with units
-    Given a relay before 1 model server and 1 plain server
-    When 3 callers fetch at once
-    And a caller asks for a resumable stream
+  Scenario: The page reports how requests ended, by names with units
+    Given a relay in front of 1 model server and 1 plain server
+    When 3 callers fetch concurrently
+    And a caller requests a resumable stream
     Then the page counts 4 requests served
     And the page has the times to the first event in seconds
     And the page counts the unreadable objects of the store
--- a/tests/relay/offers.feature
+++ b/tests/relay/offers.feature
@@ -1,18 +1,18 @@
-Feature: The servers that one request may ask
+Feature: The order of servers that one request tries
 
-  Scenario: An order is not worked out anew for each asking
+  Scenario: The order is not computed again for each try
     A crowded entry with a third of a core refuses a hundred requests a second,
-    each after several askings. Working out the order of all servers for each
-    of them left its callers unread for seconds.
+    each after several tries. Computing the order of all servers for each of
+    them left its callers' connections unread for seconds.
 
-    Given 5 servers that tell of room
-    When a request asks 4 of them within 0.05 seconds
-    Then each was asked once, the best first
-    And their order was worked out 0 times more
+    Given 5 servers that report free capacity
+    When a request tries 4 of them within 0.05 seconds
+    Then each was tried once, the best first
+    And their order was computed 0 more times
 
-  Scenario: A stale order is worked out anew
-    Given 5 servers that tell of room
+  Scenario: A stale order is computed again
+    Given 5 servers that report free capacity
     When a request has waited for 0.2 seconds at the first
-    And the second has 3 seconds to read by now
+    And the second has a queue of 3 seconds now
     Then the third is the next best
-    And their order was worked out 1 time more
+    And their order was computed 1 more time
--- a/tests/relay/relay.feature
+++ b/tests/relay/relay.feature
@@ -1,309 +1,311 @@
 Feature: One request through the relay
 
-  Scenario: A stream goes on at another server without a missing piece
-    A caller reads a stream. Its server dies in the middle of an event. The
-    relay asks another server to go on after the last whole event. The caller
-    sees every event once, in order, and one end.
-
-    Given a relay before 2 model servers
-    When every server cuts its first stream but one
-    And a caller asks for a resumable stream
-    Then the caller has all events once and the end
-
-  Scenario: A stream that may not be resumed is cut, and never looks complete
-    A caller reads a stream that may run once. Its server dies half way. A
-    second run could answer differently, so the caller's connection ends
-    without the end of the stream.
-
-    Given a relay before 2 model servers
-    When every server cuts its next stream
-    And a caller asks for a stream that may run once
-    Then the caller's answer is cut
+  Scenario: A stream continues at another server without a missing piece
+    A caller reads a stream. Its server crashes in the middle of an event. The
+    relay requests the rest, after the last complete event, from another server.
+    The caller receives every event once, in order, and one end.
+
+    Given a relay in front of 2 model servers
+    When the first server that gets a stream interrupts it
+    And a caller requests a resumable stream
+    Then the caller receives all events once and the end
+
+  Scenario: A stream that may not be resumed is truncated, never complete
+    A caller reads a stream that may run once. Its server crashes half way. A
+    second run could generate a different response, so the caller's connection
+    is closed without the end of the stream.
+
+    Given a relay in front of 2 model servers
+    When every server interrupts its next stream
+    And a caller requests a stream that may run once
+    Then the caller's response is truncated
     And the servers got 1 request
 
-  Scenario: An answer to another request reaches nobody
-    A server sends a late answer where the next one is due. Passed on, a
-    caller would read what another one asked for.
+  Scenario: A response to another request reaches no caller
+    A server sends a late response where the next one is due. If it were
+    forwarded, a caller would receive what another one requested.
 
-    Given a relay before 2 plain servers
-    When every server answers its next request for another caller
+    Given a relay in front of 2 plain servers
+    When every server sends the response of another request next
     And a caller sends a report
     Then the caller gets status 502
     And the servers got 1 request
 
-  Scenario: A second answer spoils the connection
-    A server sends bytes after a whole answer. The connection is closed, so
-    that the next caller doesn't read them as its answer.
+  Scenario: A second response makes the connection unusable
+    A server sends bytes after a complete response. The connection is closed,
+    so that the next caller does not receive them as its response.
 
-    Given a relay before 1 plain server
-    When the server answers its next request twice
+    Given a relay in front of 1 plain server
+    When the server responds twice to its next request
     And 2 callers fetch one after the other
-    Then each caller got its own answer
+    Then each caller got its own response
 
-  Scenario: An answer without a signature is not passed on
-    Given a relay before 1 plain server
-    When the server answers its next request without a signature
+  Scenario: A response without the server's stamp is not forwarded
+    Given a relay in front of 1 plain server
+    When the server omits its stamp from its next response
     And a caller sends a report
     Then the caller gets status 502
 
-  Scenario: A request that a server did not run is refused truthfully
-    A server says that it was full and ran nothing. The request may not be
-    sent twice, so the caller is told "not run" and when to come back.
+  Scenario: A request that a server did not run is reported as not run
+    A server reports that it was full and ran nothing. The request may not be
+    sent twice, so the caller gets "not run" and when to retry.
 
-    Given a relay before 1 plain server
+    Given a relay in front of 1 plain server
     When the server sheds its next request
     And a caller sends a report
-    Then the caller gets status 503 and when to come back
+    Then the caller gets status 503 and when to retry
     And the servers got 1 request
 
   Scenario: A request that may have run is not called "not run"
-    Given a relay before 2 plain servers
-    When every server resets its next request
+    Given a relay in front of 2 plain servers
+    When every server resets the connection of its next request
     And a caller sends a report
     Then the caller gets status 502
     And the servers got 1 request
 
   Scenario: A fetch that failed at one server is served by another
-    Given a relay before 2 plain servers
-    When every server fails its first request but one
+    Given a relay in front of 2 plain servers
+    When the first server that gets a request fails it
     And a caller fetches
     Then the caller gets status 200
 
-  Scenario: Servers that take no connection cost no caller its answer
-    A server refuses connections three times, which opens its breaker. Sends
-    that were under way then end as failures too. Each caller still gets an
-    answer from the server that lives; a send that reports its end to a
-    breaker of a later generation once raised an error there, and its
-    caller's connection was closed without an answer.
+  Scenario: Servers that accept no connection cost no caller its response
+    A server refuses connections three times, which opens its breaker. Attempts
+    that were in progress then end as failures too. Each caller still gets a
+    response from the server that runs. Guards against an error raised where an
+    attempt reported its outcome to a breaker of a later generation; its
+    caller's connection was closed without a response.
 
-    Given a relay before 2 plain servers
-    When one server goes down
-    And 12 callers fetch at once
+    Given a relay in front of 2 plain servers
+    When one server stops
+    And 12 callers fetch concurrently
     Then every caller gets status 200
 
-  Scenario: No server at all is told at once
-    Given a relay before 1 plain server
-    When one server goes down
+  Scenario: Callers immediately get an error if there is no server
+    Given a relay in front of 1 plain server
+    When one server stops
     And a caller fetches
-    Then the caller gets status 503 and when to come back
+    Then the caller gets status 503 and when to retry
 
-  Scenario: Work stops when its caller leaves
-    A caller closes its connection while a server works. The server's
-    connection is closed at once, which makes it drop the request.
+  Scenario: A request is cancelled when its caller disconnects
+    A caller closes its connection while a server runs its request. The
+    connection to the server is closed immediately, so it cancels the request.
 
-    Given a relay before 1 model server
+    Given a relay in front of 1 model server
     When the server hangs on its next request
-    And a caller leaves after it has asked for a stream
-    Then the server is told within 0.5 seconds
+    And a caller disconnects after it has requested a stream
+    Then the server detects that within 0.5 seconds
 
-  Scenario: Nothing is sent for a caller whose end has not been read yet
-    A crowded entry's loop is late. A request and the end of its connection
-    wait in the kernel together. Served as soon as it was read, the request
-    reached a server, which worked for a caller that had left long before.
+  Scenario: Nothing is sent for a caller whose disconnect is unread
+    A crowded entry's event loop is late. A request and the end of its
+    connection wait in the kernel together. Served as soon as it was read, the
+    request reached a server, which ran it for a caller that had disconnected
+    long before.
 
-    Given a relay before 1 plain server
+    Given a relay in front of 1 plain server
     When 2 callers that have fetched stay connected
-    And the first of them fetches and leaves before the loop has its turn
+    And the first of them fetches and disconnects before the event loop runs
     Then the servers got 2 requests
 
-  Scenario: Nothing is sent for a caller whose end was read in the same turn
-    The loop of a crowded entry reads the end of a connection and closes it; the
-    request is cancelled in the loop's next turn, seconds later. In the rest of
-    this one it would be sent all the same.
+  Scenario: Nothing is sent for a disconnect read in the same iteration
+    The event loop of a crowded entry reads the end of a connection and closes
+    it; the request is cancelled in the next iteration, seconds later. In the
+    rest of this iteration it would be sent all the same.
 
-    Given a relay before 1 plain server
-    When a caller's end is read in the turn in which its request would be sent
+    Given a relay in front of 1 plain server
+    When a caller's disconnect is read in the iteration that would send its request
     Then the servers got 0 requests
 
-  Scenario: A request is answered at its time-out
-    Given a relay before 1 model server with a time-out of 0.3 seconds
+  Scenario: A caller gets a response at its time-out
+    Given a relay in front of 1 model server with a time-out of 0.3 seconds
     When the server hangs on its next request
-    And a caller asks for a stream that may run once
+    And a caller requests a stream that may run once
     Then the caller gets status 504 within 0.6 seconds
 
   Scenario: A revoked key runs nothing, also for a request that waits
-    Given a relay before 1 model server
-    When the key is taken away
-    And a caller asks for a stream that may run once
+    Given a relay in front of 1 model server
+    When the key is revoked
+    And a caller requests a stream that may run once
     Then the caller gets status 401
     And the servers got 0 requests
 
-  Scenario: A view that can't be confirmed runs no keyed work
-    The entry is cut from the store. A key may have been revoked meanwhile,
-    so past the bound keyed requests are refused; anonymous ones go on.
+  Scenario: With a view that can't be confirmed no keyed request runs
+    The entry is disconnected from the store. A key may have been revoked in
+    that time, so past the limit keyed requests are refused; anonymous ones are
+    still served.
 
-    Given a relay before 1 model server and 1 plain server
+    Given a relay in front of 1 model server and 1 plain server
     When the view is 4.5 seconds old
     Then a keyed request gets status 503 and an anonymous one 200
 
-  Scenario: Requests of one moment are spread over plain servers
-    Eight callers ask in the same moment, before any request is on its way.
-    Counted only when sent, each would see the servers idle and all would go
-    to the same one.
+  Scenario: Simultaneous requests are spread over plain servers
+    Eight callers send requests at the same time, before any is forwarded. If
+    they were counted only when sent, all servers would look idle to each, and
+    all would go to the same one.
 
-    Given a relay before 4 plain servers
-    When 8 callers fetch at once
+    Given a relay in front of 4 plain servers
+    When 8 callers fetch concurrently
     Then no server got more than 3 requests
 
-  Scenario: A leaving server gets nothing new
-    Given a relay before 2 plain servers
+  Scenario: A draining server gets nothing new
+    Given a relay in front of 2 plain servers
     When the first server is listed as leaving
-    And 6 callers fetch at once
+    And 6 callers fetch concurrently
     Then the first server got 0 requests
 
-  Scenario: A server kept over an outage is dropped in time, in a quiet store
-    The store is back after an outage; a server's entry is removed just then,
-    so it is kept for a moment. Nothing else changes, and no answer of the
-    store comes for seconds. The server must not be kept until one does.
+  Scenario: A server kept over an outage is dropped in time, without changes
+    The store is back after an outage; a server's record is removed just then,
+    so it is kept for a short time. Nothing else changes, and no response of the
+    store arrives for seconds. The server must not be kept until one does.
 
-    Given a relay before 2 plain servers
-    When the store was away and the first server vanishes
+    Given a relay in front of 2 plain servers
+    When the store was unreachable and the first server is removed
     And 1.8 seconds pass
-    Then 1 server takes work
+    Then 1 server may get requests
 
-  Scenario: What a caller may not set is not handed on
-    A caller sends the headers by which the system reserves memory, names a
-    workspace or goes on from another request's memory.
+  Scenario: Reserved headers of a caller are not forwarded
+    A caller sends the headers by which the system reserves KV cache, names a
+    workspace or continues from another request's KV cache.
 
-    Given a relay before 1 plain server
-    When a caller fetches with headers that are the system's to set
+    Given a relay in front of 1 plain server
+    When a caller fetches with reserved headers
     Then the server got none of them
 
-  Scenario: A request hidden in another one's body is not run
-    Given a relay before 1 plain server
-    When a caller hides a request behind two lengths
+  Scenario: A request smuggled in another one's body is not run
+    Given a relay in front of 1 plain server
+    When a caller smuggles a request behind two lengths
     Then the caller gets status 400
     And the servers got 0 requests
 
-  Scenario: Requests sent ahead are answered in their order
-    Given a relay before 1 plain server
-    When a caller sends 3 requests ahead on one connection
-    Then it gets 3 answers in order
+  Scenario: Pipelined requests get their responses in order
+    Given a relay in front of 1 plain server
+    When a caller pipelines 3 requests on one connection
+    Then it gets 3 responses in order
 
-  Scenario: More callers than descriptors push out idle ones, not requests
-    A zone comes back after a loss of power; every caller connects at once.
-    Connections that idle are closed, longest idle first, so that the new
-    ones are served and nothing runs out of descriptors.
+  Scenario: More callers than descriptors evict idle connections, not requests
+    A failure domain returns after a power loss; all callers connect at the same
+    time. Idle connections are closed, the longest idle first, so that the new
+    ones are served and the entry does not run out of descriptors.
 
-    Given a relay before 1 plain server that may hold 40 descriptors
+    Given a relay in front of 1 plain server that may hold 40 descriptors
     When 30 callers fetch one after the other and stay connected
-    And 1 callers fetch at once
+    And 1 callers fetch concurrently
     Then every caller gets status 200
-    And the entry holds at most 18 connections
+    And the entry has at most 18 connections
 
-  Scenario: More requests than memory holds are refused at once
-    One instance gets most of the callers. Taken on, their requests would
-    fill its memory, it would be killed, and all that it held be lost.
+  Scenario: More requests than fit in memory are refused immediately
+    One instance gets most of the callers. If it accepted all requests, they
+    would fill its memory, it would be killed, and all of them be lost.
 
-    Given a relay before 1 plain server with memory for 3 requests
+    Given a relay in front of 1 plain server with memory for 3 requests
     When every server hangs on its next 3 requests
-    And 5 callers send reports at once, and the first 3 leave
-    Then 2 of them get status 503 and when to come back
+    And 5 callers send reports concurrently, and the first 3 disconnect
+    Then 2 of them get status 503 and when to retry
 
-  Scenario: A loop that is late takes nothing new until it has caught up
-    Given a relay before 1 plain server
-    When the loop was 1 second late
+  Scenario: An entry with a late event loop accepts nothing until it recovers
+    Given a relay in front of 1 plain server
+    When the event loop was 1 second late
     And a caller fetches
-    Then the caller gets status 503 and when to come back
-    And the entry says that it is not ready
-    When the loop was on time for a while
+    Then the caller gets status 503 and when to retry
+    And the entry reports that it is not ready
+    When the event loop was on time for a while
     And a caller fetches
     Then the caller gets status 200
 
-  Scenario: A stopping entry cuts nothing
-    A signal to stop comes while a stream runs. The entry stops only when the
-    answer is out.
+  Scenario: A draining entry interrupts nothing
+    A signal to stop arrives while a stream runs. The entry stops only when the
+    response is delivered.
 
-    Given a relay before 1 model server
+    Given a relay in front of 1 model server
     When the entry is stopped while a caller reads a stream
-    Then the caller has all events once and the end
+    Then the caller receives all events once and the end
 
-  Scenario: A request long after the signal to stop is refused at once
-    The caller of a kept connection sends a request seconds after the signal,
-    which would outlast the grace. Taken, it would be cut in the middle; it is
-    told "not run", to come back at once, and that the connection ends.
+  Scenario: A request long after the signal to stop is refused immediately
+    The caller of a persistent connection sends a request seconds after the
+    signal, which would outlast the grace period and be interrupted. The caller
+    gets "not run", when to retry, and that the connection closes.
 
-    Given a relay before 1 model server
+    Given a relay in front of 1 model server
     When the server hangs on its next request
-    And the entry is stopped and 2.7 seconds later a caller asks
-    Then the caller gets status 503 and when to come back
+    And the entry is stopped and 2.7 seconds later a caller sends a request
+    Then the caller gets status 503 and when to retry
     And the servers got 1 request
 
-  Scenario: Callers that have connected as an entry ends are answered
+  Scenario: Callers that connect just before an entry stops get a response
     Guards against connections that are reset with their requests unread: the
-    callers came while the loop was late and the entry was about to end.
+    callers connected while the event loop was late and the entry about to stop.
 
-    Given a relay before 1 plain server
-    When 8 callers connect and ask while the loop is late and the entry ends
-    Then all of them get status 503 and when to come back
+    Given a relay in front of 1 plain server
+    When 8 callers connect and send requests while the loop is late and the entry stops
+    Then all of them get status 503 and when to retry
 
-  Scenario: An answer under way at a stop is not followed by a silent close
-    Guards against a next request that crosses the close: the answer began
-    before the signal and did not say that its connection ends.
+  Scenario: A response in progress at a stop is not followed by a silent close
+    Guards against a next request that crosses the close: the response began
+    before the signal and did not announce that its connection closes.
 
-    Given a relay before 1 model server
-    When the entry is stopped in a stream, and its caller asks for another one
-    Then the caller has both streams, and only the second one ends the connection
+    Given a relay in front of 1 model server
+    When the entry is stopped in a stream, and its caller requests another one
+    Then the caller receives both streams, and only the second closes the connection
 
-  Scenario: A request for the head alone is answered at once
-    A HEAD request's answer tells the length of a body that does not come.
-    Waiting for it would keep the caller until the time-out.
+  Scenario: A HEAD request gets an immediate response
+    The response to a HEAD request states the length of a body that does not
+    follow. Waiting for it would delay the caller until the time-out.
 
-    Given a relay before 1 plain server
-    When a caller asks for the head alone
+    Given a relay in front of 1 plain server
+    When a caller sends a HEAD request
     Then the caller gets status 200
     And it took less than 1 second
 
   Scenario: Idle connections beyond what an entry may keep are closed
-    A server takes 12 connections from all entries together, and resets what
-    comes beyond. An entry that was busy keeps no more than half of them.
+    A server accepts 12 connections from all entries together, and resets those
+    beyond. An entry that was busy keeps no more than half of them.
 
-    Given a relay before 1 plain server that takes 12 connections
-    When 8 callers fetch at the same moment
+    Given a relay in front of 1 plain server that accepts 12 connections
+    When 8 callers fetch simultaneously and succeed
     Then the entry keeps at most 6 connections to the server
 
-  Scenario: A server that is gone leaves nothing behind
-    A request ends after its server was taken from the list. What is believed
-    of the server would stay for as long as the process runs, for each of the
-    500 that are replaced on a day.
+  Scenario: No state of a removed server is kept
+    A request ends after its server was removed from the list. The state of the
+    server would be kept for as long as the process runs, for each of the 500
+    that are replaced on a day.
 
-    Given a relay before 1 plain server
+    Given a relay in front of 1 plain server
     When a caller fetches
-    And no server is listed any more, and what is believed of it comes late
+    And no server is listed any more, and state of it is created late
     And the list changes again
-    Then the entry believes nothing of any server
+    Then the entry has no state of any server
 
   Scenario: A connection whose request waits unread is not closed as idle
-    A late loop has more connections than it may hold and closes those that
-    were idle longest. The caller of one has just sent a request, which nobody
-    has read yet. Closed with unread bytes the connection is reset, and the
-    caller has no answer.
+    An entry with a late event loop has more connections than it may have and
+    closes those that were idle longest. The caller of one has just sent a
+    request, which is still unread. A connection closed with unread bytes is
+    reset, and the caller gets no response.
 
-    Given a relay before 1 plain server
+    Given a relay in front of 1 plain server
     When 2 callers that have fetched stay connected
-    And the first of them fetches while the entry makes room
-    Then the first has its answer, and the second's connection is closed
+    And the first of them fetches while the entry closes idle connections
+    Then the first gets its response, and the second's connection is closed
 
-  Scenario: Breakers are not heeded when most of them are open
-    All servers fail part of their requests. Those whose breakers happen to be
-    closed would get the work of all and refuse it beside idle ones.
+  Scenario: Breakers are ignored when most of them are open
+    All servers fail some of their requests. Those whose breakers happen to be
+    closed would get the requests of all and refuse them beside idle servers.
 
-    Given a relay before 4 plain servers
+    Given a relay in front of 4 plain servers
     When the breakers of 3 servers are open
     Then 4 servers may be sent a request
     When the breaker of 1 of them has closed again
     Then 2 servers may be sent a request
 
-  Scenario: A server at whose address another answers gets nothing more
-    Given a relay before 2 plain servers
-    When the first server answers that it is another one
+  Scenario: A server at whose address another one responds gets nothing more
+    Given a relay in front of 2 plain servers
+    When the first server responds that it is another one
     And 6 callers fetch one after the other
     Then the first server got 1 requests
 
-  Scenario: An idle connection does not hold its last prompt
+  Scenario: An idle connection does not keep its last prompt
     A thousand callers stay connected between their requests. With the last
     prompt of each an instance of 150 MB ran out of memory.
 
-    Given a relay before 1 plain server
+    Given a relay in front of 1 plain server
     When 2 callers that have fetched stay connected
-    Then no connection holds a call
+    Then no connection keeps a request
--- a/tests/relay/steps/capacity_steps.py
+++ b/tests/relay/steps/capacity_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what one entry takes on, without a network."""
+"""Steps for how many requests one entry accepts, without a network."""
 
 from __future__ import annotations
 
@@ -7,7 +7,11 @@
 from behave import given, step, then, when
 from tests.support.example_settings import node_settings
 
-from sardinetrack.relay.capacity import LATE_SECONDS, Capacity, Crowd
+from sardinetrack.relay.capacity import (
+    OVERLOADED_LATE_SECONDS,
+    Capacity,
+    RequestCounts,
+)
 
 _MEGABYTE = 1_000_000
 _CONNECTIONS = 700
@@ -20,21 +24,21 @@
         self.used_bytes = 50 * _MEGABYTE
         settings = node_settings(memory_bytes=memory_bytes)
         self.capacity = Capacity(settings, lambda: self.used_bytes)
-        self.under_way = Counter()
-
-    def takes(self, workspace):
-        own = self.under_way[workspace]
-        active = {name for name, count in self.under_way.items() if count}
-        crowd = Crowd(
-            self.under_way.total(),
-            own,
+        self.in_progress = Counter()
+
+    def accepts(self, workspace):
+        of_workspace = self.in_progress[workspace]
+        active = {name for name, count in self.in_progress.items() if count}
+        counts = RequestCounts(
+            self.in_progress.total(),
+            of_workspace,
             len(active | {workspace}),
         )
-        return self.capacity.takes(crowd)
+        return self.capacity.accepts(counts)
 
-    def ask(self, workspace):
-        if self.takes(workspace):
-            self.under_way[workspace] += 1
+    def send(self, workspace):
+        if self.accepts(workspace):
+            self.in_progress[workspace] += 1
 
 
 @given('an entry of {megabytes:d} MB')
@@ -42,51 +46,51 @@
     context.entry = _Entry(megabytes * _MEGABYTE)
 
 
-@step('{workspace} asks {count:d} times, and nothing ends')
-def ask_often(context, workspace, count):
+@step('{workspace} sends {count:d} requests, and none ends')
+def send_requests(context, workspace, count):
     for _ in range(count):
-        context.entry.ask(workspace)
+        context.entry.send(workspace)
 
 
-@when('{workspaces:d} workspaces ask {count:d} times each, and nothing ends')
-def ask_in_turn(context, workspaces, count):
+@when('{workspaces:d} workspaces send {count:d} requests each, and none ends')
+def send_alternately(context, workspaces, count):
     for _ in range(count):
         for workspace in range(workspaces):
-            context.entry.ask(f'w{workspace}')
+            context.entry.send(f'w{workspace}')
 
 
-@when('its loop is {seconds:d} second late')
+@when('its event loop is {seconds:d} second late')
 def be_late(context, seconds):
-    assert seconds > LATE_SECONDS
-    context.entry.capacity.note_late(seconds)
+    assert seconds > OVERLOADED_LATE_SECONDS
+    context.entry.capacity.update_lateness(seconds)
 
 
 @when('it uses {megabytes:d} MB')
 def use_memory(context, megabytes):
     entry = context.entry
     entry.used_bytes = megabytes * _MEGABYTE
-    requests = entry.under_way.total()
-    assert entry.capacity.note_memory(requests, _CONNECTIONS)
+    requests = entry.in_progress.total()
+    assert entry.capacity.update_memory(requests, _CONNECTIONS)
 
 
 @when('{count:d} of its requests end')
 def end_some(context, count):
-    context.entry.under_way['agency'] -= count
+    context.entry.in_progress['agency'] -= count
 
 
 @then('{workspace} is refused')
 def is_refused(context, workspace):
-    assert not context.entry.takes(workspace)
+    assert not context.entry.accepts(workspace)
 
 
-@then('{workspace} is taken in')
-def is_taken(context, workspace):
-    assert context.entry.takes(workspace)
+@then('{workspace} is accepted')
+def is_accepted(context, workspace):
+    assert context.entry.accepts(workspace)
 
 
 @then('none has more than a fifth more than another')
 def shared_evenly(context):
-    counts = context.entry.under_way.values()
+    counts = context.entry.in_progress.values()
     assert max(counts) <= 1.2 * min(counts), counts
 
 
