--- a/tests/relay/steps/connection_steps.py
+++ b/tests/relay/steps/connection_steps.py
@@ -1,4 +1,4 @@
-"""Steps for callers' connections and the end of an entry."""
+"""Steps for callers' connections and the draining of an entry."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.support.relay_world import RelayWorld, Reply, close_world
 
 from sardinetrack.relay.capacity import BASE_BYTES, REQUEST_BYTES
-from sardinetrack.relay.entry import LEAVE_SECONDS
+from sardinetrack.relay.entry import DRAIN_ACCEPT_SECONDS
 
 
 @when('{count:d} callers fetch one after the other and stay connected')
@@ -30,9 +30,9 @@
     context.world.run(fetch_all())
 
 
-@when('a caller leaves after it has asked for a stream')
-def leave(context):
-    async def ask_and_leave():
+@when('a caller disconnects after it has requested a stream')
+def disconnect(context):
+    async def request_and_disconnect():
         world = context.world
         _, writer = await asyncio.open_connection('127.0.0.1', world.port)
         writer.write(world.request('stream'))
@@ -42,11 +42,11 @@
         await asyncio.wait_for(world.servers[0].gone.wait(), 2)
         return world.loop.time() - began
 
-    context.took_seconds = context.world.run(ask_and_leave())
+    context.took_seconds = context.world.run(request_and_disconnect())
 
 
 @given(
-    'a relay before {plain:d} plain server'
+    'a relay in front of {plain:d} plain server'
     ' with memory for {requests:d} requests',
 )
 def open_little_memory(context, plain, requests):
@@ -64,8 +64,11 @@
         server.acts.extend('hang' for _ in range(count))
 
 
-@when('{count:d} callers send reports at once, and the first {gone:d} leave')
-def send_and_leave(context, count, gone):
+@when(
+    '{count:d} callers send reports concurrently,'
+    ' and the first {gone:d} disconnect',
+)
+def send_and_disconnect(context, count, gone):
     async def send():
         world = context.world
         calls = [
@@ -81,32 +84,32 @@
     context.replies = context.world.run(send())
 
 
-@when('the loop was {seconds:d} second late')
+@when('the event loop was {seconds:d} second late')
 def be_late(context, seconds):
-    context.world.entry.capacity.note_late(seconds)
+    context.world.entry.capacity.update_lateness(seconds)
 
 
-@when('the loop was on time for a while')
+@when('the event loop was on time for a while')
 def be_on_time(context):
     for _ in range(10):
-        context.world.entry.capacity.note_late(0)
+        context.world.entry.capacity.update_lateness(0)
 
 
-@then('{count:d} of them get status {status:d} and when to come back')
+@then('{count:d} of them get status {status:d} and when to retry')
 def some_refused(context, count, status):
     told = [one for one in context.replies if one.status == status]
     assert len(told) == count, context.replies
     assert all(one.retry_after is not None for one in told)
 
 
-@then('the entry says that it is not ready')
+@then('the entry reports that it is not ready')
 def not_ready(context):
     assert not context.world.entry.ready
 
 
-@when('a caller hides a request behind two lengths')
-def hide(context):
-    async def send_hidden():
+@when('a caller smuggles a request behind two lengths')
+def smuggle(context):
+    async def send_smuggled():
         world = context.world
         reader, writer = await asyncio.open_connection(
             '127.0.0.1',
@@ -123,11 +126,11 @@
         writer.close()
         return Reply(raw)
 
-    context.reply = context.world.run(send_hidden())
+    context.reply = context.world.run(send_smuggled())
 
 
-@when('a caller sends {count:d} requests ahead on one connection')
-def send_ahead(context, count):
+@when('a caller pipelines {count:d} requests on one connection')
+def pipeline(context, count):
     async def send_all():
         world = context.world
         reader, writer = await asyncio.open_connection(
@@ -159,8 +162,11 @@
     context.reply = context.world.run(stop())
 
 
-@when('the entry is stopped and {seconds:g} seconds later a caller asks')
-def stop_and_ask(context, seconds):
+@when(
+    'the entry is stopped and {seconds:g} seconds later'
+    ' a caller sends a request',
+)
+def stop_and_send(context, seconds):
     async def stop():
         world = context.world
         first = asyncio.ensure_future(world.call('stream', timeout_seconds=9))
@@ -176,7 +182,7 @@
     context.reply = context.world.run(stop())
 
 
-def _ask(port, request):
+def _send_request(port, request):
     with socket.create_connection(('127.0.0.1', port), timeout=5) as link:
         try:
             link.sendall(request)
@@ -185,35 +191,37 @@
             return error
 
 
-def _hold_up(seconds):
+def _block(seconds):
     time.sleep(seconds)
 
 
 @when(
-    '{count:d} callers connect and ask while the loop is late'
-    ' and the entry ends'
+    '{count:d} callers connect and send requests while the loop is late'
+    ' and the entry stops'
 )
-def ask_late_entry(context, count):
+def send_to_late_entry(context, count):
     world = context.world
     requests = [world.request('fetch') for _ in range(count)]
 
     async def stop():
         drain = asyncio.ensure_future(world.entry.drain())
-        await asyncio.sleep(LEAVE_SECONDS - 0.2)
-        asked = [threads.submit(_ask, world.port, one) for one in requests]
-        _hold_up(0.4)
+        await asyncio.sleep(DRAIN_ACCEPT_SECONDS - 0.2)
+        asked = [
+            threads.submit(_send_request, world.port, one) for one in requests
+        ]
+        _block(0.4)
         await drain
         return asked
 
     with ThreadPoolExecutor(count) as threads:
         asked = world.run(stop())
-        # The process would be gone now.
-        _hold_up(0.2)
+        # The process would have ended by now.
+        _block(0.2)
         context.replies = [one.result() for one in asked if one.done()]
     context.count = count
 
 
-@then('all of them get status {status:d} and when to come back')
+@then('all of them get status {status:d} and when to retry')
 def all_refused(context, status):
     assert len(context.replies) == context.count, context.replies
     for reply in context.replies:
@@ -222,7 +230,7 @@
         assert reply.retry_after is not None, reply.raw
 
 
-@when('the entry is stopped in a stream, and its caller asks for another one')
+@when('the entry is stopped in a stream, and its caller requests another one')
 def stop_in_stream(context):
     async def stop():
         world = context.world
@@ -242,7 +250,8 @@
 
 
 @then(
-    'the caller has both streams, and only the second one ends the connection'
+    'the caller receives both streams,'
+    ' and only the second closes the connection',
 )
 def both_streams(context):
     first, second = (one.lower() for one in context.streams)
@@ -252,18 +261,18 @@
     assert second.endswith(b'\r\n0\r\n\r\n'), second
 
 
-@then('the entry holds at most {most:d} connections')
-def holds_at_most(context, most):
-    assert context.world.entry.connections <= most
+@then('the entry has at most {maximum:d} connections')
+def has_at_most(context, maximum):
+    assert context.world.entry.connections <= maximum
 
 
-@then('the server is told within {seconds:g} seconds')
-def told_in_time(context, seconds):
+@then('the server detects that within {seconds:g} seconds')
+def detected_in_time(context, seconds):
     assert context.took_seconds < seconds, context.took_seconds
 
 
-@then('it gets {count:d} answers in order')
-def answers_in_order(context, count):
+@then('it gets {count:d} responses in order')
+def responses_in_order(context, count):
     ids = re.findall(rb'Request-Id: r(\d+)', context.raw, re.IGNORECASE)
     assert [int(number) for number in ids] == list(range(1, count + 1))
 
@@ -285,21 +294,21 @@
 async def _fetch(world, end):
     reader, writer = end
     writer.write(world.request('fetch', closes=False))
-    return await _answer(reader)
+    return await _read_body(reader)
 
 
-async def _answer(reader):
+async def _read_body(reader):
     head = (await reader.readuntil(b'\r\n\r\n')).decode().lower()
     length = int(head.split('content-length: ')[1].split()[0])
     return await reader.readexactly(length)
 
 
-@when('the first of them fetches and leaves before the loop has its turn')
-def fetch_and_leave(context):
+@when('the first of them fetches and disconnects before the event loop runs')
+def fetch_and_disconnect(context):
     world = context.world
 
     async def play():
-        # Straight into the kernel: the loop has had no turn to read it.
+        # Straight into the kernel: the event loop has no chance to read it yet.
         sock = context.ends[0][1].get_extra_info('socket')
         os.write(sock.fileno(), world.request('fetch', closes=False))
         sock.shutdown(socket.SHUT_WR)
@@ -308,38 +317,40 @@
     world.run(play())
 
 
-@when('the first of them fetches while the entry makes room')
-def fetch_beside_room(context):
+@when('the first of them fetches while the entry closes idle connections')
+def fetch_beside_eviction(context):
     world = context.world
 
     async def play():
         entry = world.entry
-        entry.capacity.most_connections = 1
+        entry.capacity.max_connections = 1
         writer = context.ends[0][1]
-        # Straight into the kernel: the loop has had no turn to read it.
+        # Straight into the kernel: the event loop has no chance to read it yet.
         sock = writer.get_extra_info('socket')
         os.write(sock.fileno(), world.request('fetch', closes=False))
         newest = next(
             one
             for one in entry._connections
-            if not one.unread  # noqa: SLF001
+            if not one.unread_input  # noqa: SLF001
         )
         for _ in range(2):
-            entry._make_room(newest)  # noqa: SLF001
-        context.first = await asyncio.wait_for(_answer(context.ends[0][0]), 1)
+            entry._evict_idle(newest)  # noqa: SLF001
+        context.first = await asyncio.wait_for(
+            _read_body(context.ends[0][0]), 1
+        )
         context.second = await asyncio.wait_for(context.ends[1][0].read(), 1)
 
     world.run(play())
 
 
-@then("the first has its answer, and the second's connection is closed")
-def first_answered(context):
+@then("the first gets its response, and the second's connection is closed")
+def first_served(context):
     assert context.first.startswith(b'done by'), context.first
     assert not context.second
 
 
-@then('no connection holds a call')
-def holds_no_call(context):
+@then('no connection keeps a request')
+def keeps_no_request(context):
     connections = context.world.entry._connections  # noqa: SLF001
     assert len(connections) == 2
     for connection in connections:
--- a/tests/relay/steps/crash_steps.py
+++ b/tests/relay/steps/crash_steps.py
@@ -10,7 +10,7 @@
 from sardinetrack.placement.prompt import Prompt
 from sardinetrack.relay.api import Call
 from sardinetrack.relay.crashes import CrashWatch, fingerprint
-from sardinetrack.relay.side_links import messengers
+from sardinetrack.relay.side_links import broadcast_sides
 
 _BODY = b'the report that crashes'
 
@@ -27,13 +27,13 @@
     )
 
 
-@when('every server goes down under a report')
-def crash_under(context):
+@when('a report crashes every server that runs it')
+def crash_every(context):
     for server in context.world.servers:
         server.deadly = _BODY
 
 
-@when('every server resets its next {count:d} requests')
+@when('every server resets the connections of its next {count:d} requests')
 def reset_many(context, count):
     for server in context.world.servers:
         server.acts.extend('reset' for _ in range(count))
@@ -60,36 +60,36 @@
     context.reply = world.run(world.call('report', body=b'another'))
 
 
-@then('{count:d} servers went down')
-def went_down(context, count):
+@then('{count:d} servers crashed')
+def crashed(context, count):
     down = [one for one in context.world.servers if one.down]
     assert len(down) == count, len(down)
 
 
-@then('the last answer is 503 with when to come back')
+@then('the last response is 503 and says when to retry')
 def refused(context):
     assert context.reply.status == 503, context.reply.raw
     assert context.reply.retry_after > 0
 
 
 @then('no request is suspected')
-def nobody_suspected(context):
+def none_suspected(context):
     assert not context.world.fleet.crashes.book
 
 
-@given('a watch for crashes')
+@given('a crash watch')
 def open_watch(context):
     context.watch = CrashWatch()
 
 
 @when('the connection of a request to {server} ends')
 def connection_ends(context, server):
-    context.watch.broke(100.0, server, _call(), 'pilots')
+    context.watch.connection_ended(100.0, server, _call(), 'pilots')
 
 
-@when('{server} is away {seconds:f} seconds later')
-def is_away(context, server, seconds):
-    context.watch.away(100.0 + seconds, server)
+@when('{server} is unreachable {seconds:f} seconds later')
+def is_unreachable(context, server, seconds):
+    context.watch.confirm_crash(100.0 + seconds, server)
 
 
 @then('the request has {count:d} strike')
@@ -108,18 +108,20 @@
     ]
 
 
-@then('news of a crash goes through {count:d} side of each')
+@then('strikes are sent through {count:d} side of each')
 def through_each(context, count):
-    chosen = Counter(link.failure_domain for link in messengers(context.links))
+    chosen = Counter(
+        link.failure_domain for link in broadcast_sides(context.links)
+    )
     assert set(chosen.values()) == {count}, chosen
     assert len(chosen) == len({one.failure_domain for one in context.links})
 
 
 @then(
-    'while the sides of one failure domain are cut off, '
+    'while the sides of one failure domain are unreachable, '
     'through the {count:d} others'
 )
 def through_others(context, count):
     lost = context.links[0].failure_domain
     left = [link for link in context.links if link.failure_domain != lost]
-    assert len(messengers(left)) == count, messengers(left)
+    assert len(broadcast_sides(left)) == count, broadcast_sides(left)
--- a/tests/relay/steps/evacuation_steps.py
+++ b/tests/relay/steps/evacuation_steps.py
@@ -16,7 +16,9 @@
 _KEY = 'evacuations/{0}'
 
 
-@given('a relay before {models:d} model servers, the second one in kamchia')
+@given(
+    'a relay in front of {models:d} model servers, the second one in kamchia'
+)
 def open_domains(context, models):
     context.world = RelayWorld()
     context.add_cleanup(close_world, context.world)
@@ -54,8 +56,8 @@
     context.world.run(act())
 
 
-@then('the streams that ran before are whole')
-def whole_streams(context):
+@then('the streams that started before are complete')
+def complete_streams(context):
     replies = context.world.run(asyncio.wait_for(_all(context.early), 5))
     assert all(reply.complete for reply in replies)
 
@@ -75,12 +77,12 @@
     _change(context, other)
 
 
-@when('the evacuation of {domain:w} is taken back')
-def take_back(context, domain):
+@when('the evacuation of {domain:w} is lifted')
+def lift(context, domain):
     _change(context, domain, deleted=True)
 
 
-@when('the domain of a server is evacuated between its turn and its send')
+@when('the domain of a server is evacuated between its permit and the send')
 def evacuate_late(context):
     fleet = context.world.fleet
     take = fleet.connections.take
@@ -105,19 +107,19 @@
     assert not context.chosen.requests
 
 
-@when('{count:d} callers ask for streams one after the other')
-def ask_streams(context, count):
+@when('{count:d} callers request streams one after the other')
+def request_streams(context, count):
     world = context.world
     context.replies = [world.run(world.call('stream')) for _ in range(count)]
 
 
-@when('the store does not answer any more')
+@when('the store becomes unreachable')
 def lose_store(context):
     context.follower.lost()
 
 
-@when('all evacuations are listed anew')
-def list_anew(context):
+@when('all evacuations are listed again')
+def list_again(context):
     async def act():
         stored = StoredObject(_KEY.format('kamchia'), 5, b'not read')
         context.follower.listed(Listing(9, (stored,)))
@@ -125,8 +127,8 @@
     context.world.run(act())
 
 
-@then('{domain:w} is evacuated still')
-def evacuated_still(context, domain):
+@then('{domain:w} is still evacuated')
+def still_evacuated(context, domain):
     assert context.world.fleet.servers.evacuated == {domain}
 
 
@@ -153,8 +155,11 @@
     assert word in ended[-1]['reason'], ended
 
 
-@given('cold servers bear {rate:g} requests a second for {seconds:g} seconds')
-def bear(context, rate, seconds):
+@given(
+    'cold servers can handle {rate:g} requests a second'
+    ' for {seconds:g} seconds',
+)
+def limit_cold(context, rate, seconds):
     fleet = context.world.fleet
     held = fleet.configuration
     pools = {
@@ -171,15 +176,15 @@
 
 @given('there are {count:d} entries')
 def count_entries(context, count):
-    cold = context.world.fleet.beliefs.cold
-    cold._sides = _Sides(count)  # noqa: SLF001
+    cold_starts = context.world.fleet.server_states.cold_starts
+    cold_starts._sides = _Sides(count)  # noqa: SLF001
 
 
 class _Sides:
-    """What sides tell of the number of entries."""
+    """Reports the number of entries, as sides do."""
 
     def __init__(self, count):
-        self.entries_seen = count
+        self.reported_entries = count
 
 
 @when('every server is listed as cold for {seconds:g} seconds')
@@ -206,36 +211,44 @@
     fleet = context.world.fleet
     name = context.world.servers[number].instance
     server = fleet.servers.instances[name]
-    word = fleet.beliefs.cold.word(server, fleet.configuration.pools['models'])
-    return word.cold.left_seconds(boot_clock())
+    estimate = fleet.server_states.cold_starts.estimate(
+        server, fleet.configuration.pools['models']
+    )
+    return estimate.cold.left_seconds(boot_clock())
 
 
-@then('the second server is taken for cold for {seconds:g} seconds')
+@then('the second server is assumed to be cold for {seconds:g} seconds')
 def second_cold(context, seconds):
     left = _cold_seconds(context, 1)
     assert seconds - 0.5 < left <= seconds, left
 
 
-@then('the first server is taken for warm')
+@then('the first server is assumed to be warm')
 def first_warm(context):
     assert not _cold_seconds(context, 0)
 
 
-@then('this entry gives itself {turns:d} of {asked:d} turns at the cold server')
-def gives_itself(context, turns, asked):
+@then(
+    'this entry grants itself {granted:d} of {requested:d} permits'
+    ' for the cold server',
+)
+def grants_itself(context, granted, requested):
     fleet = context.world.fleet
     server = next(iter(fleet.servers.instances.values()))
     pool = fleet.configuration.pools['models']
 
     async def act():
-        if fleet.beliefs.cold.shut_out_seconds(server, pool) > 0:
+        if fleet.server_states.cold_starts.no_send_seconds(server, pool) > 0:
             return 0
-        desk = fleet.desk(server, pool)
-        asks = [
-            Ask(f'a{one}', 'pilots', 10, 20, 10, 0.1) for one in range(asked)
+        local_admission = fleet.local_admission(server, pool)
+        admission_requests = [
+            Ask(f'a{one}', 'pilots', 10, 20, 10, 0.1)
+            for one in range(requested)
         ]
-        verdicts = await asyncio.gather(*map(desk.turn, asks))
-        return sum(isinstance(one, Granted) for one in verdicts)
+        decisions = await asyncio.gather(
+            *map(local_admission.turn, admission_requests)
+        )
+        return sum(isinstance(one, Granted) for one in decisions)
 
-    granted = context.world.run(act())
-    assert granted == turns, granted
+    count = context.world.run(act())
+    assert count == granted, count
--- a/tests/relay/steps/offers_steps.py
+++ b/tests/relay/steps/offers_steps.py
@@ -1,14 +1,14 @@
-"""Steps for the servers that one request may ask."""
+"""Steps for the order of servers that one request tries."""
 
 from __future__ import annotations
 
 from behave import given, then, when
 
 from sardinetrack.placement.choice import Candidate
-from sardinetrack.relay.offers import Offers
+from sardinetrack.relay.candidate_order import CandidateOrder
 from sardinetrack.topology.servers import BackendServer
 
-_PATIENCE_SECONDS = 0.5
+_MAX_WAIT_SECONDS = 0.5
 
 
 def _candidate(number):
@@ -24,52 +24,52 @@
     return Candidate(server, 0, number, 1000)
 
 
-@given('{count:d} servers that tell of room')
-def open_offers(context, count):
+@given('{count:d} servers that report free capacity')
+def open_order(context, count):
     context.now = 100
     context.found = [_candidate(number) for number in range(count)]
-    context.renewed = 0
-    context.asked = []
+    context.recomputed = 0
+    context.tried = []
 
-    def find():
-        context.renewed += 1
+    def rank():
+        context.recomputed += 1
         return list(context.found)
 
-    context.offers = Offers(context.found, find, lambda: context.now)
+    context.order = CandidateOrder(context.found, rank, lambda: context.now)
 
 
-@when('a request asks {count:d} of them within {seconds:g} seconds')
-def ask_some(context, count, seconds):
+@when('a request tries {count:d} of them within {seconds:g} seconds')
+def try_some(context, count, seconds):
     for _ in range(count):
-        best = context.offers.best(_PATIENCE_SECONDS)
-        context.offers.ask(best)
-        context.asked.append(best.server.instance)
+        best = context.order.best(_MAX_WAIT_SECONDS)
+        context.order.mark_tried(best)
+        context.tried.append(best.server.instance)
         context.now += seconds / count
 
 
 @when('a request has waited for {seconds:g} seconds at the first')
 def wait_first(context, seconds):
-    context.offers.ask(context.found[0])
+    context.order.mark_tried(context.found[0])
     context.now += seconds
 
 
-@when('the second has {seconds:g} seconds to read by now')
+@when('the second has a queue of {seconds:g} seconds now')
 def load_second(context, seconds):
     context.found[1].wait_seconds = seconds
 
 
-@then('each was asked once, the best first')
-def asked_once(context):
+@then('each was tried once, the best first')
+def tried_once(context):
     expected = [one.server.instance for one in context.found[:4]]
-    assert context.asked == expected, context.asked
+    assert context.tried == expected, context.tried
 
 
 @then('the third is the next best')
 def third_next(context):
-    assert context.offers.best(_PATIENCE_SECONDS) is context.found[2]
+    assert context.order.best(_MAX_WAIT_SECONDS) is context.found[2]
 
 
-@then('their order was worked out {count:d} time more')
-@then('their order was worked out {count:d} times more')
-def renewed(context, count):
-    assert context.renewed == count, context.renewed
+@then('their order was computed {count:d} more time')
+@then('their order was computed {count:d} more times')
+def recomputed(context, count):
+    assert context.recomputed == count, context.recomputed
--- a/tests/relay/steps/relay_steps.py
+++ b/tests/relay/steps/relay_steps.py
@@ -20,7 +20,7 @@
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.freshness import boot_clock
 
-_OURS = (
+_RESERVED = (
     'X-Sardinetrack-Hold: h1',
     'X-Sardinetrack-Pin-Ms: 4000',
     'X-Sardinetrack-Tenant: other',
@@ -29,25 +29,25 @@
 )
 
 
-@given('a relay before {models:d} model server')
-@given('a relay before {models:d} model servers')
+@given('a relay in front of {models:d} model server')
+@given('a relay in front of {models:d} model servers')
 def open_models(context, models):
     _open(context, models=models)
 
 
-@given('a relay before {plain:d} plain server')
-@given('a relay before {plain:d} plain servers')
+@given('a relay in front of {plain:d} plain server')
+@given('a relay in front of {plain:d} plain servers')
 def open_plain(context, plain):
     _open(context, plain=plain)
 
 
-@given('a relay before {models:d} model server and {plain:d} plain server')
+@given('a relay in front of {models:d} model server and {plain:d} plain server')
 def open_both(context, models, plain):
     _open(context, models=models, plain=plain)
 
 
 @given(
-    'a relay before {models:d} model server'
+    'a relay in front of {models:d} model server'
     ' with a time-out of {seconds:g} seconds',
 )
 def open_with_timeout(context, models, seconds):
@@ -56,7 +56,7 @@
 
 
 @given(
-    'a relay before {plain:d} plain server that may hold'
+    'a relay in front of {plain:d} plain server that may hold'
     ' {descriptors:d} descriptors',
 )
 def open_small(context, plain, descriptors):
@@ -64,7 +64,7 @@
 
 
 @given(
-    'a relay before {plain:d} plain server that takes'
+    'a relay in front of {plain:d} plain server that accepts'
     ' {connections:d} connections',
 )
 def open_bounded(context, plain, connections):
@@ -74,7 +74,7 @@
     context.world.fleet.configuration = replace(held, pools=pools)
 
 
-@when('no server is listed any more, and what is believed of it comes late')
+@when('no server is listed any more, and state of it is created late')
 def unlist_servers(context):
     context.world.run(_list_none(context.world, late=True))
 
@@ -88,20 +88,20 @@
     fleet = world.fleet
     known = list(fleet.servers.instances.values())
     fleet.servers.replace(boot_clock(), [])
-    fleet.servers_changed()
+    fleet.apply_server_changes()
     for server in known if late else ():
-        fleet.beliefs.load(server)
-        fleet.beliefs.breaker(server)
+        fleet.server_states.load(server)
+        fleet.server_states.breaker(server)
 
 
-@then('the entry believes nothing of any server')
-def believes_nothing(context):
+@then('the entry has no state of any server')
+def has_no_state(context):
     fleet = context.world.fleet
-    assert not len(fleet.beliefs)
+    assert not len(fleet.server_states)
 
 
-@when('a caller asks for the head alone')
-def ask_head(context):
+@when('a caller sends a HEAD request')
+def send_head(context):
     world = context.world
 
     async def play():
@@ -123,8 +123,8 @@
     assert context.took_seconds < seconds, context.took_seconds
 
 
-@when('{count:d} callers fetch at the same moment')
-def fetch_together(context, count):
+@when('{count:d} callers fetch simultaneously and succeed')
+def fetch_simultaneously(context, count):
     world = context.world
 
     async def play():
@@ -148,23 +148,23 @@
     context.world.run(context.world.open(**sizes))
 
 
-@when('every server cuts its first stream but one')
-def cut_first(context):
-    # Which server is at home there is the hash's to say: the first that is
-    # asked cuts, whichever it is.
+@when('the first server that gets a stream interrupts it')
+def interrupt_first(context):
+    # The hash decides which server is the home server: the first that gets a
+    # request interrupts its response, whichever it is.
     shared = _Shared('cut')
     for server in context.world.servers:
         server.acts = shared
 
 
-@when('every server fails its first request but one')
+@when('the first server that gets a request fails it')
 def fail_first(context):
     shared = _Shared('fail')
     for server in context.world.servers:
         server.acts = shared
 
 
-@when('every server hangs on its first request but one')
+@when('the first server that gets a request hangs')
 def hang_first(context):
     shared = _Shared('hang')
     for server in context.world.servers:
@@ -172,7 +172,7 @@
 
 
 class _Shared:
-    """One act for the first request at any server."""
+    """One act for the first request at any of the servers."""
 
     def __init__(self, act):
         self._acts = [act]
@@ -184,23 +184,23 @@
         return self._acts.pop()
 
 
-@when('every server cuts its next stream')
-def cut_next(context):
+@when('every server interrupts its next stream')
+def interrupt_next(context):
     _act(context, 'cut')
 
 
-@when('every server answers its next request for another caller')
-def answer_other(context):
+@when('every server sends the response of another request next')
+def respond_to_other(context):
     _act(context, 'answer_other')
 
 
-@when('the server answers its next request twice')
-def answer_twice(context):
+@when('the server responds twice to its next request')
+def respond_twice(context):
     _act(context, 'answer_twice')
 
 
-@when('the server answers its next request without a signature')
-def answer_unsigned(context):
+@when('the server omits its stamp from its next response')
+def omit_stamp(context):
     _act(context, 'answer_unsigned')
 
 
@@ -209,7 +209,7 @@
     _act(context, 'shed')
 
 
-@when('every server resets its next request')
+@when('every server resets the connection of its next request')
 def reset_next(context):
     _act(context, 'reset')
 
@@ -224,8 +224,8 @@
         server.acts.append(act)
 
 
-@when('one server goes down')
-def go_down(context):
+@when('one server stops')
+def stop_server(context):
     context.world.run(context.world.servers[0].close())
 
 
@@ -234,13 +234,13 @@
     context.world.list_servers({context.world.servers[0].instance})
 
 
-@when('the store was away and the first server vanishes')
-def vanish_after_outage(context):
+@when('the store was unreachable and the first server is removed')
+def remove_after_outage(context):
     world = context.world
     now = boot_clock()
     world.fleet.servers.outage(now)
     world.fleet.servers.remove(now, world.servers[0].instance)
-    world.fleet.servers_changed()
+    world.fleet.apply_server_changes()
 
 
 @when('{seconds:g} seconds pass')
@@ -248,7 +248,7 @@
     context.world.run(asyncio.sleep(seconds))
 
 
-@when('the key is taken away')
+@when('the key is revoked')
 def revoke(context):
     context.world.fleet.configuration = configuration(2, keys=('other',))
 
@@ -259,13 +259,13 @@
     freshness._confirmed_seconds = boot_clock() - seconds  # noqa: SLF001
 
 
-@when('a caller asks for a resumable stream')
-def ask_resumable(context):
+@when('a caller requests a resumable stream')
+def request_resumable(context):
     context.reply = context.world.run(context.world.call('stream'))
 
 
-@when('a caller asks for a stream that may run once')
-def ask_once(context):
+@when('a caller requests a stream that may run once')
+def request_once(context):
     world = context.world
     began = world.loop.time()
     context.reply = world.run(world.call('once-stream'))
@@ -284,9 +284,9 @@
     context.reply = context.world.run(context.world.call('fetch'))
 
 
-@when("a caller fetches with headers that are the system's to set")
-def fetch_with_ours(context):
-    context.reply = context.world.run(context.world.call('fetch', _OURS))
+@when('a caller fetches with reserved headers')
+def fetch_with_reserved(context):
+    context.reply = context.world.run(context.world.call('fetch', _RESERVED))
 
 
 @when('{count:d} callers fetch one after the other')
@@ -295,8 +295,8 @@
     context.replies = [world.run(world.call('fetch')) for _ in range(count)]
 
 
-@when('{count:d} callers fetch at once')
-def fetch_at_once(context, count):
+@when('{count:d} callers fetch concurrently')
+def fetch_concurrently(context, count):
     async def fetch_all():
         calls = [context.world.call('fetch') for _ in range(count)]
         return await asyncio.gather(*calls)
@@ -304,15 +304,15 @@
     context.replies = context.world.run(fetch_all())
 
 
-@then('the caller has all events once and the end')
-def has_all(context):
+@then('the caller receives all events once and the end')
+def receives_all(context):
     numbers = re.findall(rb'data: token (\d+)\n\n', context.reply.body)
     assert [int(number) for number in numbers] == list(range(1, EVENTS + 1))
     assert context.reply.complete
 
 
-@then("the caller's answer is cut")
-def is_cut(context):
+@then("the caller's response is truncated")
+def is_truncated(context):
     assert context.reply.status == 200
     assert not context.reply.complete
 
@@ -324,15 +324,15 @@
     assert got == count, got
 
 
-@then('{count:d} server takes work')
-def take_work(context, count):
+@then('{count:d} server may get requests')
+def may_get_requests(context, count):
     assert len(context.world.fleet.servers.of_pool('plain')) == count
 
 
-@then('no server got more than {most:d} requests')
-def spread(context, most):
+@then('no server got more than {maximum:d} requests')
+def spread(context, maximum):
     counts = [len(server.requests) for server in context.world.servers]
-    assert max(counts) <= most, counts
+    assert max(counts) <= maximum, counts
 
 
 @then('the first server got {count:d} requests')
@@ -345,7 +345,7 @@
     assert context.reply.status == status, context.reply.raw
 
 
-@then('the caller gets status {status:d} and when to come back')
+@then('the caller gets status {status:d} and when to retry')
 def gets_status_and_time(context, status):
     gets_status(context, status)
     assert context.reply.retry_after is not None
@@ -363,8 +363,8 @@
     assert got == [status for _ in got], got
 
 
-@then('each caller got its own answer')
-def own_answers(context):
+@then('each caller got its own response')
+def own_responses(context):
     for reply in context.replies:
         assert reply.status == 200, reply.raw
         assert reply.body.startswith(b'done by'), reply.raw
@@ -378,9 +378,9 @@
 
 
 @then('the server got none of them')
-def none_handed_on(context):
+def none_forwarded(context):
     _, fields, _ = context.world.servers[0].requests[0]
-    for line in _OURS:
+    for line in _RESERVED:
         assert line.split(':')[0].lower() not in fields, line
 
 
@@ -388,7 +388,7 @@
 def open_breakers(context, count):
     fleet = context.world.fleet
     for server in fleet.servers.of_pool('plain')[:count]:
-        breaker = fleet.beliefs.breaker(server)
+        breaker = fleet.server_states.breaker(server)
         for _ in range(FAILURES_TO_OPEN):
             breaker.failed(context.world.loop.time(), breaker.generation)
 
@@ -397,35 +397,37 @@
 def close_breaker(context, count):
     fleet = context.world.fleet
     for server in fleet.servers.of_pool('plain')[:count]:
-        fleet.beliefs.forget(server.instance)
+        fleet.server_states.forget(server.instance)
 
 
 @then('{count:d} servers may be sent a request')
 def may_be_sent(context, count):
     now = context.world.loop.time()
-    assert len(context.world.fleet.usable(now, 'plain')) == count
+    assert len(context.world.fleet.usable_servers(now, 'plain')) == count
 
 
-@when('the first server answers that it is another one')
-def answer_misdirected(context):
+@when('the first server responds that it is another one')
+def respond_misdirected(context):
     server = context.world.servers[0]
     server.acts.extend('misdirect' for _ in range(9))
 
 
-@when("a caller's end is read in the turn in which its request would be sent")
-def end_in_turn(context):
+@when(
+    "a caller's disconnect is read in the iteration that would send its request"
+)
+def disconnect_in_iteration(context):
     world = context.world
     take = world.fleet.connections.take
     read = []
 
-    async def read_end_first(address, **more):
+    async def read_disconnect_first(address, **more):
         connection = await take(address, **more)
         caller = next(iter(world.entry._connections))  # noqa: SLF001
         caller._transport.close()  # noqa: SLF001
         read.append(caller)
         return connection
 
-    world.fleet.connections.take = read_end_first
+    world.fleet.connections.take = read_disconnect_first
 
     async def act():
         with suppress(ConnectionError):
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps for servers that start again under their id."""
+"""Steps for servers that restart under the same id."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sardinetrack.routing.breaker import FAILURES_TO_OPEN, BreakerState
 from sardinetrack.topology.starts import ServerStart
 
-_PART = 'p7'
+_PREFIX = 'p7'
 _RATE = 90_000
 
 
@@ -29,16 +29,16 @@
     return context.world.fleet.servers.instances['i-0']
 
 
-@given('the first server holds part p7, is loaded, and its breaker is open')
-def believe(context):
+@given('the first server caches prefix p7, is loaded, and its breaker is open')
+def set_state(context):
     async def act():
         fleet, server = context.world.fleet, _first(context)
         now = asyncio.get_running_loop().time()
-        fleet.holdings.note(now, server.ip, (_PART,))
-        fleet.beliefs.load(server).hear(3, _RATE)
+        fleet.holdings.note(now, server.ip, (_PREFIX,))
+        fleet.server_states.load(server).hear(3, _RATE)
         kept = await fleet.connections.take(server.address)
         fleet.connections.give_back(server.address, kept)
-        breaker = fleet.beliefs.breaker(server)
+        breaker = fleet.server_states.breaker(server)
         for _ in range(FAILURES_TO_OPEN):
             breaker.failed(now, breaker.generation)
 
@@ -46,10 +46,10 @@
 
 
 @when(
-    'a side tells the entry that the first server started at {started:d}, '
+    'a side reports to the entry that the first server started at {started:d}, '
     'revision {revision:d}',
 )
-def side_tells(context, started, revision):
+def side_reports(context, started, revision):
     async def act():
         start = ServerStart('i-0', started, revision)
         context.world.fleet.started(start)
@@ -57,35 +57,35 @@
     context.world.run(act())
 
 
-def _beliefs(context):
+def _states(context):
     fleet, server = context.world.fleet, _first(context)
-    load = fleet.beliefs.load(server)
+    load = fleet.server_states.load(server)
     return (
-        bool(fleet.holdings.of(context.world.loop.time(), _PART)),
-        fleet.beliefs.breaker(server).state is BreakerState.OPEN,
+        bool(fleet.holdings.of(context.world.loop.time(), _PREFIX)),
+        fleet.server_states.breaker(server).state is BreakerState.OPEN,
         load.rate_tokens == _RATE and load.told_wait_seconds == 3,
         fleet.connections.connections(server.address) == 1,
     )
 
 
-@then('the entry believes nothing of the former start')
-def believes_nothing(context):
-    assert not any(_beliefs(context)), _beliefs(context)
-    load = context.world.fleet.beliefs.load(_first(context))
+@then('the entry has no state of the former start')
+def has_no_state(context):
+    assert not any(_states(context)), _states(context)
+    load = context.world.fleet.server_states.load(_first(context))
     assert (load.rate_tokens, load.told_wait_seconds) == (FIRST_RATE, 0)
 
 
-@then('the entry believes what it did')
-def believes_all(context):
-    assert all(_beliefs(context)), _beliefs(context)
+@then('the entry has kept its state of the server')
+def has_kept_state(context):
+    assert all(_states(context)), _states(context)
 
 
-@then('the first server is known by its start at {started:d}')
+@then('the known start of the first server is {started:d}')
 def known_start(context, started):
     assert _first(context).started_milliseconds == started
 
 
-@when('a caller asks for a resumable stream, and its server starts anew')
+@when('a caller requests a resumable stream, and its server restarts')
 def stream_restart(context):
     world = context.world
 
@@ -100,7 +100,7 @@
     world.run(play())
 
 
-@when('a caller sends a report, and its server goes down and starts anew')
+@when('a caller sends a report, and its server crashes and restarts')
 def report_restart(context):
     world = context.world
 
@@ -108,20 +108,20 @@
         call = asyncio.ensure_future(world.call('report'))
         await world.servers[0].asked.wait()
         world.list_servers(started=950, revision=30)
-        _cut_all(world.servers[0])
+        _abort_all(world.servers[0])
         context.reply = await call
 
     world.run(play())
 
 
-def _cut_all(server):
+def _abort_all(server):
     for writer in list(server.writers):
         writer.transport.abort()
 
 
 @when(
-    '{count:d} callers send reports whose server goes down '
-    'after it is listed anew',
+    '{count:d} callers send reports whose server crashes '
+    'after its restart is listed',
 )
 def reports_restart(context, count):
     world = context.world
@@ -133,7 +133,7 @@
         await asyncio.sleep(0.2)
         assert len(world.servers[0].requests) == count
         world.list_servers(started=950, revision=30)
-        _cut_all(world.servers[0])
+        _abort_all(world.servers[0])
         await asyncio.gather(*calls)
 
     world.run(play())
@@ -141,7 +141,7 @@
 
 @then('the breaker of the first server is closed')
 def breaker_closed(context):
-    breaker = context.world.fleet.beliefs.breaker(_first(context))
+    breaker = context.world.fleet.server_states.breaker(_first(context))
     assert breaker.state is BreakerState.CLOSED
 
 
@@ -150,7 +150,11 @@
     assert len(context.world.fleet.crashes.book) == 1
 
 
-@then('the caller has all events once and the end within {seconds:d} second')
-def has_all_soon(context, seconds):
-    context.execute_steps('Then the caller has all events once and the end')
+@then(
+    'the caller receives all events once and the end within {seconds:d} second'
+)
+def receives_all_soon(context, seconds):
+    context.execute_steps(
+        'Then the caller receives all events once and the end'
+    )
     assert context.took_seconds < seconds, context.took_seconds
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -174,7 +174,7 @@
                 for server in self.servers
             ],
         )
-        self.fleet.servers_changed()
+        self.fleet.apply_server_changes()
 
     async def call(
         self,
