--- a/src/sardinetrack/topology/cold.py
+++ b/src/sardinetrack/topology/cold.py
@@ -1,4 +1,4 @@
-"""Which servers are cold, by their own word and by what is presumed."""
+"""Which servers are in a cold start, as reported or as assumed."""
 
 from __future__ import annotations
 
@@ -11,86 +11,92 @@
 
 @dataclass(frozen=True, slots=True)
 class Cold:
-    """How long a server stays cold, and what it bears meanwhile."""
+    """How long a server is cold, and what it handles during that time."""
 
     until_seconds: float = -math.inf
+    """By the clock of the code that made it; ``-inf`` if never cold."""
     per_second: float = 0
-    """Requests a second from all callers; 0 where there is no bound."""
+    """Requests a second from all callers; 0 where there is no limit."""
 
     def left_seconds(self, now: float) -> float:
-        """Tell how long it stays cold."""
+        """Return how long it is still cold; 0 without a limit."""
         return max(0, self.until_seconds - now) if self.per_second else 0
 
 
 @dataclass(frozen=True, slots=True)
 class ColdWord:
-    """What one process knows of it."""
+    """What one process knows of a server's cold start."""
 
     reported_until_seconds: float = -math.inf
-    """By the server's own entry in the list."""
+    """By the server's own record in the instance list."""
     assumed_until_seconds: float = -math.inf
-    """By what has happened to it; no entry tells that it is warm after all."""
+    """As assumed from what has happened to it; no record revokes it."""
     per_second: float = 0
 
     @property
     def cold(self) -> Cold:
-        """Take the later one."""
+        """The later of both."""
         until = max(self.reported_until_seconds, self.assumed_until_seconds)
         return Cold(until, self.per_second)
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _Reported:
     revision: int
     cold_seconds: float
     until_seconds: float
 
 
 class ColdServers:
-    """Remembers since when each word holds; reads no clock.
+    """Records until when each server is cold; reads no clock.
 
-    A server's entry tells how long it was still cold when that was written.
+    A server's record contains how long it was still cold when it was written.
     Counted from the first reading this is never too short, however late the
-    entry came, and an entry that is read again begins nothing anew.
+    record arrived, and reading the same record again does not start the count
+    again.
     """
 
     def __init__(self) -> None:
         """Start with warm servers."""
-        self._told: dict[str, _Told] = {}
-        self._presumed: dict[str, float] = {}
+        self._reported: dict[str, _Reported] = {}
+        self._assumed: dict[str, float] = {}
 
     def hear(self, now: float, server: BackendServer) -> None:
-        """Take a server's entry, read now or before."""
-        held = self._told.get(server.instance)
-        word = (server.revision, server.cold_seconds)
-        if held is not None and word == (held.revision, held.cold_seconds):
+        """Apply a server's record, new or read before."""
+        known = self._reported.get(server.instance)
+        record = (server.revision, server.cold_seconds)
+        if known is not None and record == (
+            known.revision,
+            known.cold_seconds,
+        ):
             return
         until_seconds = now + server.cold_seconds
         if not server.cold_seconds:
-            # It became warm some time ago, or never was cold.
-            before = -math.inf if held is None else held.until_seconds
+            # It became warm some time ago, or was never cold.
+            before = -math.inf if known is None else known.until_seconds
             until_seconds = min(now, before)
-        self._told[server.instance] = _Told(*word, until_seconds)
+        self._reported[server.instance] = _Reported(*record, until_seconds)
 
     def presume(self, now: float, instance: str, seconds: float) -> None:
-        """Take a server for cold, whatever it tells."""
-        held = self._presumed.get(instance, -math.inf)
-        self._presumed[instance] = max(held, now + seconds)
+        """Assume that a server is cold, whatever it reports."""
+        known = self._assumed.get(instance, -math.inf)
+        self._assumed[instance] = max(known, now + seconds)
 
     def word(self, instance: str, per_second: float) -> ColdWord:
-        """Tell what is known of a server.
+        """Return what is known of a server's cold start.
 
-        :param per_second: what the servers of its pool bear while cold.
+        :param per_second: requests a second that a cold server of its pool
+            handles.
         """
-        told = self._told.get(instance)
+        reported = self._reported.get(instance)
         return ColdWord(
-            -math.inf if told is None else told.until_seconds,
-            self._presumed.get(instance, -math.inf),
+            -math.inf if reported is None else reported.until_seconds,
+            self._assumed.get(instance, -math.inf),
             per_second,
         )
 
     def keep(self, instances: Collection[str]) -> None:
-        """Forget all other servers."""
-        for kept in (self._told, self._presumed):
+        """Remove all other servers."""
+        for kept in (self._reported, self._assumed):
             for stale in set(kept) - set(instances):
                 kept.pop(stale)
--- a/src/sardinetrack/topology/configuration.py
+++ b/src/sardinetrack/topology/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the relay uses it."""
+"""The operator's configuration in the form that the relay uses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route."""
+    """Kind of the requests on a route; it decides whether they are retried."""
 
     STREAMING = auto()
     IDEMPOTENT = auto()
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedPool:
-    """A pool and its part of a route's requests."""
+    """A pool and its weight among the pools of a route."""
 
     pool: str
     weight: float
@@ -36,20 +36,20 @@
     """Backend servers that one request may be sent to."""
     timeout_seconds: float
     first_answer_seconds: float
-    """Objective: to the whole answer, or to the first event of a stream."""
+    """Objective: to the complete response, or a stream's first event."""
     event_gap_seconds: float
-    """Longest pause between events that is still on time; 0 if none is set."""
+    """Objective: longest time between two events; 0 if none is set."""
     priority: int
     """0 is the highest."""
     anonymous: bool
     resumable: bool
-    """A stream may go on at another backend server after a given event."""
+    """Whether a stream may resume at another server after a given event."""
     by_prompt: bool
-    """Requests tell the parts of their prompt."""
+    """Whether requests list the blocks of their prompts."""
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run a second time after an unknown end."""
+        """Whether a request may run again if its outcome is unknown."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -61,12 +61,13 @@
 
     name: str
     max_connections: int
-    """Connections that one server takes from all callers together."""
+    """Connections that one server accepts from all entries together."""
     slots: int = 0
-    """Requests that a model engine runs at once; 0 for a plain service."""
+    """Requests a model engine runs concurrently; 0 for a plain service."""
     memory_tokens: int = 0
+    """Size of an engine's KV cache."""
     cold_per_second: float = 0
-    """Requests a second that a cold server bears; 0 for no bound."""
+    """Requests a second that a cold server handles; 0 for no limit."""
     cold_seconds: float = 0
     """How long a server is cold after its start."""
 
@@ -78,16 +79,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """Who calls."""
+    """Customer whose share a request is charged to."""
 
     name: str
     priority: int | None = None
-    """Goes before the priority of the route when set."""
+    """Overrides the priority of the route if set."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of a caller's requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -98,18 +99,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One accepted version, whole."""
+    """One accepted version, complete."""
 
     version: int
     routes: Mapping[str, tuple[Route, ...]]
-    """By host; of one host the longest prefix first."""
+    """By host; the longest prefix of a host first."""
     pools: Mapping[str, Pool]
     workspaces: Mapping[str, Workspace]
     """By API key."""
     limits: CallerLimits
 
     def route(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix that begins the path."""
+        """Return the route whose prefix is the longest that matches."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
--- a/src/sardinetrack/topology/feed.py
+++ b/src/sardinetrack/topology/feed.py
@@ -1,4 +1,4 @@
-"""Follow one kind of objects in the store for as long as it runs."""
+"""Reads one kind of objects from the store and watches them."""
 
 from __future__ import annotations
 
@@ -16,122 +16,128 @@
 from sardinetrack.topology.outage import StoreWay
 
 CONFIRM_SECONDS: Final = 1.6
-"""How long a watch waits whose answers confirm the view.
+"""How long a watch call waits whose responses confirm the view.
 
-The view is two waits old at most, 3.2 s of the 4.3 s in which keyed work is
-served; changes come at once all the same.
+The view is two waits old at most: 3.2 s, and requests with an API key are
+served up to an age of 4.3 s. Changes arrive immediately in any case.
 """
 CALM_SECONDS: Final = 8.0
-"""How long a watch waits that only brings changes.
+"""How long a watch call waits that only delivers changes.
 
-A silent connection is found by its keep-alive probes, not by the wait.
-Together with the above 0.75 calls a second and entry in place of 2.
+A silent connection is detected by its keep-alive probes, not by the wait.
+Both waits together cost an entry 0.75 calls a second in place of 2.
 """
-SETTLE_SECONDS: Final = 0.2
-"""Pause after a change, so that changes in a row come in one answer.
+CHANGE_BATCH_SECONDS: Final = 0.2
+"""Delay after a change, so that one response delivers several changes.
 
-When all servers register at once each would cost every entry a call; a tenth
-of the time in which a change has to be in force.
+When all servers register at the same time, each would otherwise cost every
+entry a call. A tenth of the time after which a change has to be in effect.
 """
-FIRST_PAUSE_SECONDS: Final = 0.1
-_GROWTH: Final = 2.0
+INITIAL_BACKOFF_SECONDS: Final = 0.1
+_BACKOFF_FACTOR: Final = 2.0
 
 
 class Follower(ABC):
-    """Takes what a feed reads."""
+    """Receives what a feed reads."""
 
     @abstractmethod
     def listed(self, listing: Listing) -> None:
-        """Take over all objects."""
+        """Replace all objects."""
 
     @abstractmethod
     def changed(self, stored: StoredObject) -> None:
-        """Take one new, changed or deleted object."""
+        """Apply one new, changed or deleted object."""
 
     @abstractmethod
     def confirmed(self, asked_seconds: float) -> None:
-        """Note that the view was whole at that time of the boot clock."""
+        """Record that the view was complete at a time of the boot clock."""
 
     @abstractmethod
     def lost(self) -> None:
-        """Note that the store does not answer."""
+        """Handle that the store does not respond."""
 
 
 class Feed:
-    """Lists, then watches; lists again when the history is gone."""
+    """Lists, then watches; lists again when the store dropped its history."""
 
     def __init__(
         self,
-        way: StoreWay,
+        access: StoreWay,
         prefix: str,
         follower: Follower,
         log: EventLog,
         wait_seconds: float,
     ) -> None:
-        """Remember what to follow."""
-        self._way = way
+        """Start without having read anything.
+
+        :param access: to the store.
+        :param prefix: of the keys of the objects.
+        :param follower: receives the objects and their changes.
+        :param wait_seconds: how long a watch call waits for a change.
+        """
+        self._access = access
         self._prefix = prefix
         self._follower = follower
         self._log = log
         self._wait_seconds = wait_seconds
-        self._pause_seconds = FIRST_PAUSE_SECONDS
-        self._away = False
+        self._backoff_seconds = INITIAL_BACKOFF_SECONDS
+        self._unreachable = False
 
     @property
-    def away(self) -> bool:
-        """Whether the store did not answer the last call."""
-        return self._away
+    def unreachable(self) -> bool:
+        """Whether the store did not respond to the last call."""
+        return self._unreachable
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read and watch until cancelled."""
         while True:
             try:
                 await self._follow()
             except WatchLostError:
                 self._log.write(Event.HISTORY_LOST, what=self._prefix)
             except PlatformError as error:
-                await self._wait_out(error)
+                await self._back_off(error)
 
     async def _follow(self) -> None:
-        asked_seconds = self._way.clock()
-        listing = await self._way.store.list(self._prefix)
-        self._answered()
+        asked_seconds = self._access.clock()
+        listing = await self._access.store.list(self._prefix)
+        self._handle_response()
         self._follower.listed(listing)
         self._follower.confirmed(asked_seconds)
         revision = listing.revision
         while True:
-            asked_seconds = self._way.clock()
-            changes = await self._way.store.watch(
+            asked_seconds = self._access.clock()
+            changes = await self._access.store.watch(
                 self._prefix,
                 after_revision=revision,
                 wait_seconds=self._wait_seconds,
             )
             for stored in changes.objects:
                 self._follower.changed(stored)
-            self._answered()
+            self._handle_response()
             self._follower.confirmed(asked_seconds)
             revision = max(revision, changes.revision)
             if changes.objects:
-                await asyncio.sleep(SETTLE_SECONDS)
+                await asyncio.sleep(CHANGE_BATCH_SECONDS)
 
-    def _answered(self) -> None:
-        if self._away:
+    def _handle_response(self) -> None:
+        if self._unreachable:
             self._log.write(Event.STORE_BACK, what=self._prefix)
-            self._away = False
+            self._unreachable = False
             self._follower.lost()
-        self._pause_seconds = FIRST_PAUSE_SECONDS
-        self._way.outage.answered()
+        self._backoff_seconds = INITIAL_BACKOFF_SECONDS
+        self._access.backoff.record_response()
 
-    async def _wait_out(self, error: PlatformError) -> None:
-        if not self._away:
+    async def _back_off(self, error: PlatformError) -> None:
+        if not self._unreachable:
             self._log.write(
                 Event.STORE_LOST,
                 what=self._prefix,
                 cause=str(error),
             )
-        self._away = True
+        self._unreachable = True
         self._follower.lost()
-        outage = self._way.outage
-        await outage.pause(self._pause_seconds)
-        grown = self._pause_seconds * _GROWTH
-        self._pause_seconds = min(grown, outage.most_pause_seconds)
+        backoff = self._access.backoff
+        await backoff.wait(self._backoff_seconds)
+        grown = self._backoff_seconds * _BACKOFF_FACTOR
+        self._backoff_seconds = min(grown, backoff.maximum_seconds)
--- a/src/sardinetrack/topology/freshness.py
+++ b/src/sardinetrack/topology/freshness.py
@@ -1,4 +1,4 @@
-"""How old the newest confirmed view of the configuration is."""
+"""Age of the newest confirmed view of the configuration."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 import time
 from typing import Final
 
-KEPT_PART: Final = 0.86
-"""Part of the revocation bound after which keyed work is refused.
+MAX_AGE_FRACTION: Final = 0.86
+"""Fraction of the revocation bound after which API keys are not accepted.
 
-What is sent in the last moment reaches its server a connection's time later,
-at most 0.25 s; 0.14 of the usual 5 s is 0.7 s.
+A request sent at the last moment reaches its server only after the time to
+connect, at most 0.25 s; 0.14 of the usual 5 s is 0.7 s.
 """
 
 
 def boot_clock() -> float:
-    """Read a steady clock that also counts time in suspension.
+    """Return the time of a monotonic clock that also runs in suspension.
 
-    The usual monotonic clock stops while an instance is suspended; by it a
-    view that slept for a minute would look a moment old, and a key that was
-    revoked meanwhile would still run work.
+    In seconds. The usual monotonic clock stops while an instance is suspended:
+    after a minute of suspension a view would look as fresh as before, and
+    requests with a key revoked during that minute would still run.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -28,7 +28,7 @@
     """Age of the last confirmed view, and the bound on it."""
 
     def __init__(self, revoke_seconds: float | None) -> None:
-        """Start with nothing confirmed.
+        """Start without a confirmed view.
 
         :param revoke_seconds: from the acknowledgement of a revocation to
             the last request that may run with the key; ``None`` for no bound.
@@ -37,19 +37,22 @@
         self.bound(revoke_seconds)
 
     def bound(self, revoke_seconds: float | None) -> None:
-        """Take over a changed bound; the view keeps its age."""
+        """Change the bound; the view keeps its age."""
         self._bound_seconds = math.inf
         if revoke_seconds is not None:
-            self._bound_seconds = KEPT_PART * revoke_seconds
+            self._bound_seconds = MAX_AGE_FRACTION * revoke_seconds
 
     def confirm(self, asked_seconds: float) -> None:
-        """Note an answer of the store to a question asked then."""
+        """Record that the store responded to a request.
+
+        :param asked_seconds: when it was sent, by the boot clock.
+        """
         self._confirmed_seconds = max(self._confirmed_seconds, asked_seconds)
 
     def age_seconds(self) -> float:
-        """Tell how old the confirmed view is."""
+        """Return the age of the confirmed view."""
         return boot_clock() - self._confirmed_seconds
 
     def holds(self) -> bool:
-        """Whether keys may still be taken as valid."""
+        """Whether the view is fresh enough to accept API keys by it."""
         return self.age_seconds() < self._bound_seconds
--- a/src/sardinetrack/topology/outage.py
+++ b/src/sardinetrack/topology/outage.py
@@ -1,4 +1,4 @@
-"""What the feeds of one process share while the store does not answer."""
+"""Retries of the feeds of one process while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -11,64 +11,69 @@
 from sardinetrack.store.api import ObjectApi
 from sardinetrack.topology.freshness import boot_clock
 
-MOST_PAUSE_SECONDS: Final = 0.5
-"""Longest pause between two questions whether the store is back."""
-RELIEVED_PAUSE_SECONDS: Final = 2.0
-"""The same while a neighbour asks too, and tells at once when it is."""
-_TRUST_SECONDS: Final = 3.0
-"""How long a feed waits for another one's answer before it asks itself."""
+MAX_BACKOFF_SECONDS: Final = 0.5
+"""Longest delay between two calls while the store is unreachable."""
+MAX_BACKOFF_WITH_NEIGHBOUR_SECONDS: Final = 2.0
+"""The same while a neighbour retries too; it reports the return of the store
+immediately."""
+_MAX_WAIT_SECONDS: Final = 3.0
+"""How long a feed waits for a response to another feed before it retries."""
 
 
-class Outage:
-    """Lets one feed ask whether the store is back, and the others wait.
+class OutageBackoff:
+    """Lets one feed of a process retry while the others wait.
 
-    Every call is paid for, also one that fails. In an outage of 11 s each of
-    27 entries asked four times a second, for its two feeds: four fifths of
-    the calls of that day.
+    Failed calls to the store are charged too. Without this, in an outage of
+    11 s each of 27 entries made four calls a second for its two feeds: four
+    fifths of the calls of that day.
     """
 
     def __init__(self) -> None:
-        """Start with a store that answers."""
-        self.relieved = False
-        """Whether a neighbour asks too."""
-        self._asks = False
-        self._back = asyncio.Event()
+        """Start with a reachable store."""
+        self.neighbour_retries = False
+        """Whether a neighbour retries too."""
+        self._retrying = False
+        self._reachable = asyncio.Event()
 
     @property
-    def most_pause_seconds(self) -> float:
-        """Tell how long to pause at most."""
-        return RELIEVED_PAUSE_SECONDS if self.relieved else MOST_PAUSE_SECONDS
-
-    def answered(self) -> None:
-        """Note an answer; whoever waits for the store asks now."""
-        self._back.set()
-        self._back = asyncio.Event()
-
-    async def pause(self, seconds: float) -> None:
-        """Wait until it is this feed's turn to ask, or another had an answer.
-
-        :param seconds: its own pause.
+    def maximum_seconds(self) -> float:
+        """Longest delay between two calls."""
+        return (
+            MAX_BACKOFF_WITH_NEIGHBOUR_SECONDS
+            if self.neighbour_retries
+            else MAX_BACKOFF_SECONDS
+        )
+
+    def record_response(self) -> None:
+        """Record a response of the store; all waiting feeds retry now."""
+        self._reachable.set()
+        self._reachable = asyncio.Event()
+
+    async def wait(self, seconds: float) -> None:
+        """Wait until the feed may retry, or another one got a response.
+
+        :param seconds: the feed's own delay.
         """
-        if self._asks:
-            await self._wait_back(_TRUST_SECONDS)
+        if self._retrying:
+            await self._wait_reachable(_MAX_WAIT_SECONDS)
             return
-        self._asks = True
+        self._retrying = True
         try:
-            await self._wait_back(min(seconds, self.most_pause_seconds))
+            await self._wait_reachable(min(seconds, self.maximum_seconds))
         finally:
-            self._asks = False
+            self._retrying = False
 
-    async def _wait_back(self, seconds: float) -> None:
+    async def _wait_reachable(self, seconds: float) -> None:
         with suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._back.wait()
+                await self._reachable.wait()
 
 
 @dataclass(frozen=True, slots=True)
 class StoreWay:
-    """How the feeds of one process reach the store."""
+    """Access of the feeds of one process to the store."""
 
     store: ObjectApi
-    outage: Outage = field(default_factory=Outage)
+    backoff: OutageBackoff = field(default_factory=OutageBackoff)
     clock: Callable[[], float] = boot_clock
     """The boot clock, in seconds."""
--- a/src/sardinetrack/topology/servers.py
+++ b/src/sardinetrack/topology/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers as the platform lists them."""
+"""Backend servers in the platform's instance list."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 
 from sardinetrack.topology.starts import ServerStart, written_before
 
-RETURN_SECONDS: Final = 1.6
-"""How long after an outage a server that vanished from the list is kept.
+RELIST_GRACE_SECONDS: Final = 1.6
+"""How long after an outage a server missing from the list still gets work.
 
-Source: the platform's pages say that servers whose entries lapsed while the
-store was away are listed again within about two seconds of its return, and
-that one still missing then is gone; one that left must get nothing 2 s after
-this instance has read of it, so the grace ends before that.
+Source: the platform's pages say that servers whose records expired while the
+store was unreachable are listed again within about two seconds of its return,
+and that one still missing then is removed. A removed server must get no
+requests 2 s after this instance has read of the removal, so the grace period
+ends before that.
 """
-DISOWNED_SECONDS: Final = 4.0
-"""How long a server gets no work after another answered at its address.
+ADDRESS_CONFLICT_SECONDS: Final = 4.0
+"""How long a server gets no work after another responded at its address.
 
-Source: the platform removes the entry of a server that has gone down after
-three intervals of silence, 3.6 s.
+Source: the platform removes the record of a crashed server after three missed
+intervals, 3.6 s.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class BackendServer:
-    """One start of a backend server, as it is listed."""
+    """One start of a backend server, as listed."""
 
     instance: str
     pool: str
@@ -36,11 +37,11 @@
     slots: int
     leaving: bool
     started_milliseconds: int | None = None
-    """Unix time of its start by its own clock, if it tells it."""
+    """Unix time of its start by its own clock, if its record has it."""
     revision: int = 0
-    """Of the store when this was written; 0 if that is unknown."""
+    """Of the store when the record was written; 0 if unknown."""
     cold_seconds: float = 0
-    """How long it was still cold when this was written."""
+    """How long it was still cold when the record was written."""
 
     @property
     def address(self) -> tuple[str, int]:
@@ -49,7 +50,7 @@
 
     @property
     def start(self) -> ServerStart:
-        """Which start of the server this is."""
+        """The start of the server that the record is about."""
         return ServerStart(
             self.instance,
             self.started_milliseconds,
@@ -58,15 +59,15 @@
 
 
 class ServerList:
-    """The servers that may get work, by instance; reads no clock."""
+    """The servers that may get requests, by instance; reads no clock."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._listed: dict[str, BackendServer] = {}
         self._missing: dict[str, float] = {}
-        self._disowned: dict[str, float] = {}
-        self._working: dict[str, BackendServer] = {}
-        self._shaky_until_seconds = float(0)
+        self._misaddressed: dict[str, float] = {}
+        self._available: dict[str, BackendServer] = {}
+        self._grace_until_seconds = float(0)
         self._by_pool: dict[str, tuple[BackendServer, ...]] = {}
         self._evacuated: frozenset[str] = frozenset()
 
@@ -76,15 +77,15 @@
         return self._evacuated
 
     def evacuate(self, failure_domains: frozenset[str]) -> None:
-        """Keep new work from the servers of some failure domains.
+        """Send no new work to the servers of some failure domains.
 
-        They stay listed, and what runs there runs to its end.
+        They stay listed, and their running requests continue.
         """
         self._evacuated = failure_domains
-        self._regroup()
+        self._rebuild_pools()
 
     def only_evacuated(self, pool: str) -> bool:
-        """Whether servers of a pool would work if none were evacuated."""
+        """Whether a pool has no available server only due to evacuation."""
         return not self.of_pool(pool) and any(
             server.pool == pool
             and not server.leaving
@@ -93,121 +94,123 @@
         )
 
     def replace(self, now: float, servers: Iterable[BackendServer]) -> None:
-        """Take over a whole listing."""
+        """Replace all servers by a complete listing."""
         listed = {server.instance: self._newest(server) for server in servers}
         for instance in listed:
             self._missing.pop(instance, None)
-        for gone in set(self._listed) - set(listed):
-            self._vanish(now, gone, listed)
+        for missing in set(self._listed) - set(listed):
+            self._unlist(now, missing, listed)
         self._listed = listed
-        self._regroup()
+        self._rebuild_pools()
 
     def put(self, server: BackendServer) -> None:
-        """Note a new or changed server."""
+        """Add or update a server."""
         self._listed[server.instance] = self._newest(server)
         self._missing.pop(server.instance, None)
-        self._regroup()
+        self._rebuild_pools()
 
     def started(self, start: ServerStart) -> bool:
-        """Take another process's word that a listed server started anew.
+        """Apply another process's report that a listed server restarted.
 
-        :return: whether that is news.
+        :return: whether that start was unknown.
         """
-        held = self._listed.get(start.instance)
-        if held is None or not start.supersedes(held.start):
+        known = self._listed.get(start.instance)
+        if known is None or not start.supersedes(known.start):
             return False
         self._listed[start.instance] = replace(
-            held,
+            known,
             started_milliseconds=start.started_milliseconds,
             revision=start.revision,
         )
-        self._regroup()
+        self._rebuild_pools()
         return True
 
     def refuse(self, instance: str, revision: int) -> None:
-        """Drop a server whose entry can't be understood any more.
+        """Remove a server whose new record is invalid.
 
-        It is not kept as one whose entry has lapsed in an outage: something
-        has been written in its place, and nobody knows what runs there.
+        It gets no grace period, unlike a server whose record expired in an
+        outage: the record was replaced, and what runs there is unknown.
 
-        :param revision: of the store when that was written.
+        :param revision: of the store when the invalid record was written.
         """
-        held = self._listed.get(instance)
-        if held is None or written_before(revision, held.revision):
+        known = self._listed.get(instance)
+        if known is None or written_before(revision, known.revision):
             return
         self._listed.pop(instance)
         self._missing.pop(instance, None)
-        self._regroup()
+        self._rebuild_pools()
 
     def remove(self, now: float, instance: str) -> None:
-        """Note that a server is no longer listed."""
+        """Remove a server that is no longer listed."""
         if instance in self._listed:
             listed = dict(self._listed)
             listed.pop(instance)
-            self._vanish(now, instance, listed)
+            self._unlist(now, instance, listed)
             self._listed = listed
-            self._regroup()
+            self._rebuild_pools()
 
     def outage(self, now: float) -> None:
-        """Note that the list can't be read, or could not until now.
+        """Extend the grace period: the list is or was unreadable until now.
 
-        Entries lapse while the store is away, though the servers live. Were
-        they dropped at once, every request would be refused for two seconds
-        after each outage with all servers idle.
+        Records expire while the store is unreachable, though the servers run.
+        If they were removed immediately, every request would be refused for
+        two seconds after each outage, while all servers are idle.
         """
-        self._shaky_until_seconds = now + RETURN_SECONDS
+        self._grace_until_seconds = now + RELIST_GRACE_SECONDS
 
     def disown(self, now: float, instance: str) -> None:
-        """Note that another server has answered at a server's address.
+        """Send a server no work: another one responded at its address.
 
-        When all servers lose power and start again under other ids, the
-        entries of the former ones stay listed for seconds.
+        When all servers lose power and start again with other ids, the
+        records of the former ones stay listed for seconds.
         """
         if instance in self._listed:
-            self._disowned[instance] = now + DISOWNED_SECONDS
-            self._regroup()
+            self._misaddressed[instance] = now + ADDRESS_CONFLICT_SECONDS
+            self._rebuild_pools()
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Drop the servers that did not come back in time.
+        """Remove the servers that were not listed again in time.
 
         :return: their instances.
         """
-        late = tuple(
+        expired = tuple(
             instance
             for instance, until in self._missing.items()
             if until <= now
         )
-        for instance in late:
+        for instance in expired:
             self._missing.pop(instance)
             self._listed.pop(instance, None)
-        owned = [one for one, until in self._disowned.items() if until <= now]
-        for instance in owned:
-            self._disowned.pop(instance)
-        if late or owned:
-            self._regroup()
-        return late
+        resolved = [
+            one for one, until in self._misaddressed.items() if until <= now
+        ]
+        for instance in resolved:
+            self._misaddressed.pop(instance)
+        if expired or resolved:
+            self._rebuild_pools()
+        return expired
 
     def of_pool(self, pool: str) -> tuple[BackendServer, ...]:
-        """List the servers of a pool that take new work."""
+        """Return the servers of a pool that get new work."""
         return self._by_pool.get(pool, ())
 
     def get(self, instance: str) -> BackendServer | None:
-        """Find a server that takes new work."""
-        return self._working.get(instance)
+        """Return a server if it gets new work."""
+        return self._available.get(instance)
 
     @property
     def instances(self) -> Mapping[str, BackendServer]:
-        """All listed servers, leaving ones too."""
+        """All listed servers, also those that are draining."""
         return self._listed
 
-    def _newest(self, told: BackendServer) -> BackendServer:
-        """Keep the held word where the told one is a late word."""
-        held = self._listed.get(told.instance)
-        if held is not None and told.start.older_than(held.start):
-            return held
-        return told
+    def _newest(self, server: BackendServer) -> BackendServer:
+        """Return the known record if the given one is older."""
+        known = self._listed.get(server.instance)
+        if known is not None and server.start.older_than(known.start):
+            return known
+        return server
 
-    def _vanish(
+    def _unlist(
         self,
         now: float,
         instance: str,
@@ -217,31 +220,31 @@
         taken = any(
             other.address == server.address for other in listed.values()
         )
-        if server.leaving or taken or now >= self._shaky_until_seconds:
+        if server.leaving or taken or now >= self._grace_until_seconds:
             self._missing.pop(instance, None)
             return
         listed[instance] = server
-        self._missing.setdefault(instance, self._shaky_until_seconds)
+        self._missing.setdefault(instance, self._grace_until_seconds)
 
-    def _regroup(self) -> None:
-        """Work out which servers take work.
+    def _rebuild_pools(self) -> None:
+        """Compute which servers get work.
 
-        Of two at one address the one that was written last runs there; the
-        other one's entry is about to lapse.
+        Of two servers at one address the one whose record was written last
+        runs there; the record of the other one is about to expire.
         """
         at_address: dict[tuple[str, int], BackendServer] = {}
         for server in self._listed.values():
             other = at_address.get(server.address)
             later = other is None or server.revision >= other.revision
-            if later and server.instance not in self._disowned:
+            if later and server.instance not in self._misaddressed:
                 at_address[server.address] = server
-        self._working = {
+        self._available = {
             holder.instance: holder
             for holder in at_address.values()
             if not holder.leaving
             and holder.failure_domain not in self._evacuated
         }
         pools: dict[str, list[BackendServer]] = {}
-        for working in self._working.values():
+        for working in self._available.values():
             pools.setdefault(working.pool, []).append(working)
         self._by_pool = {name: tuple(pool) for name, pool in pools.items()}
--- a/src/sardinetrack/topology/starts.py
+++ b/src/sardinetrack/topology/starts.py
@@ -1,4 +1,4 @@
-"""Which start of a backend server is the newest one; reads no clock."""
+"""Starts of backend servers, and which one is newer; reads no clock."""
 
 from __future__ import annotations
 
@@ -12,54 +12,54 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """One start of a server, as somebody has told it.
+    """One start of a server, as its record or another process reports it.
 
-    A server may start again under its id. It then holds nothing of before:
-    no shared part, no request, no connection.
+    A server may restart with the same id. It then has no cached prefix,
+    request or connection of its former start.
     """
 
     instance: str
     started_milliseconds: int | None
-    """Unix time of the start by the server's own clock, which may jump; it
-    tells starts apart and does not order them. ``None``: it was not told."""
+    """Unix time of the start by the server's own clock, which may jump: it
+    distinguishes starts and does not order them. ``None`` if unknown."""
     revision: int
-    """Of the store when this was written there; it orders what is told. 0
-    for a word whose revision is unknown."""
+    """Of the store when the start was written there; it orders reports. 0 if
+    unknown."""
 
     @property
     def start_hash(self) -> int:
-        """Name the start in few bytes, the same at every process.
+        """Hash that identifies the start, the same in every process.
 
-        Two starts of one server have the same mark once in four thousand
-        million; their words would then be taken for one another's for as long
-        as it takes until the list tells of the later one.
+        Two starts of one server collide with a probability of one in four
+        thousand million; load reports of the former start would then be
+        applied to the later one until the list shows the later one.
         """
         name = f'{self.instance}/{self.started_milliseconds}'
         return xxhash.xxh32_intdigest(name.encode()) or 1
 
-    def supersedes(self, held: ServerStart) -> bool:
-        """Whether this is another start than the held one, and a later one.
+    def supersedes(self, known: ServerStart) -> bool:
+        """Whether this start is another and later one than the known start.
 
-        Words come over several ways: the own list, a neighbour's view, a
-        side. One that was under way for long tells of a start that is over;
-        by the server's clock it might look newer, by the store's revision it
-        never does.
+        Reports arrive by several paths: this instance's list, a neighbour's
+        view, a side. A delayed one is about a start that has ended; by the
+        server's clock it might look newer, by the store's revision it never
+        does.
         """
-        if self._same(held):
+        if self._same(known):
             return False
-        return not self.older_than(held)
+        return not self.older_than(known)
 
-    def older_than(self, held: ServerStart) -> bool:
-        """Whether this was written to the store before the held one."""
-        return written_before(self.revision, held.revision)
+    def older_than(self, known: ServerStart) -> bool:
+        """Whether this start was written to the store before the known one."""
+        return written_before(self.revision, known.revision)
 
-    def _same(self, held: ServerStart) -> bool:
-        if self.instance != held.instance:
+    def _same(self, known: ServerStart) -> bool:
+        if self.instance != known.instance:
             return False
-        told = (self.started_milliseconds, held.started_milliseconds)
-        return None in told or told[0] == told[1]
+        times = (self.started_milliseconds, known.started_milliseconds)
+        return None in times or times[0] == times[1]
 
 
-def written_before(revision: int, held_revision: int) -> bool:
-    """Whether a word is older than the held one; 0 is of no known age."""
-    return 0 < revision < held_revision
+def written_before(revision: int, known_revision: int) -> bool:
+    """Whether a revision is known and older than the known record's."""
+    return 0 < revision < known_revision
--- a/src/sardinetrack/views/source.py
+++ b/src/sardinetrack/views/source.py
@@ -76,7 +76,7 @@
     @property
     def away(self) -> bool:
         """Whether the store does not answer this instance."""
-        return any(feed.away for feed in self.feeds)
+        return any(feed.unreachable for feed in self.feeds)
 
 
 class ViewSource(Inbox):
@@ -159,7 +159,7 @@
             for view in self._views.values():
                 view.outage()
         elif self._own.away:
-            self._own.way.outage.relieved = True
+            self._own.way.backoff.neighbour_retries = True
         else:
             self._fail(message.cause)
 
@@ -191,7 +191,7 @@
     def _borrow(self) -> None:
         self._chart.fire(ViewEvent.CAUGHT_UP)
         self._borrowed_seconds = self._clock()
-        self._own.way.outage.relieved = False
+        self._own.way.backoff.neighbour_retries = False
         for view in self._views.values():
             view.borrow()
         self._changed.set()
@@ -264,7 +264,7 @@
             heard_seconds=round(self._clock() - self._heard_seconds, 3),
         )
         self._chart.fire(ViewEvent.FAILED)
-        self._own.way.outage.relieved = False
+        self._own.way.backoff.neighbour_retries = False
         for view in self._views.values():
             view.drop()
         if neighbour.live:
--- a/tests/topology/feed.feature
+++ b/tests/topology/feed.feature
@@ -1,25 +1,26 @@
-Feature: Following one kind of objects
+Feature: Feed of one kind of objects
 
-  Scenario: A change comes through a watch
+  Scenario: A change arrives through a watch
     Given a feed on a store with object a
     When object b is written
-    Then the follower has a and b
+    Then the listener has a and b
 
-  Scenario: Forgotten history is listed again at once
-    A watch is told that its history is gone. Were the feed to go on from the
-    store's revision, a change made meanwhile would never be in force.
+  Scenario: Objects are listed again immediately when the history was dropped
+    A watch call fails because the store dropped its history. If the feed went
+    on from the store's revision, a change made during that time would never be
+    in effect.
 
     Given a feed on a store with object a
-    When object b is written and the history forgotten in the same moment
-    Then the follower has a and b
+    When object b is written and the history dropped at the same time
+    Then the listener has a and b
 
-  Scenario: An outage is told once, and its end
+  Scenario: An outage and its end are logged once each
     Given a feed on a store with object a
-    When the store answers nothing for 4 calls
-    Then the log tells one loss and one return
-    And the follower has a
+    When the store does not respond to 4 calls
+    Then the log has one loss and one return
+    And the listener has a
 
-  Scenario: Only answers confirm the view
+  Scenario: Only responses confirm the view
     Given a feed on a store with object a
-    When the store answers nothing for 4 calls
-    Then nothing was confirmed in the outage
+    When the store does not respond to 4 calls
+    Then nothing was confirmed during the outage
--- a/tests/topology/freshness.feature
+++ b/tests/topology/freshness.feature
@@ -1,20 +1,20 @@
-Feature: The age of a confirmed view
+Feature: Age of a confirmed view
 
-  Scenario: A view counts from when it was asked for
-    The answer to a question may be late; what it says holds for when it was
-    asked. Counted from its arrival a view could be older than its bound.
+  Scenario: A view counts from when it was requested
+    A response may be delayed; its content is from when it was requested. A
+    view whose age counted from the arrival could be older than its bound.
 
     Given a bound of 5 seconds
-    When an answer comes to a question of 4.5 seconds ago
-    Then keys are not taken as valid
+    When the response to a request sent 4.5 seconds ago arrives
+    Then keys are not accepted
 
-  Scenario: A fresh view holds
+  Scenario: A fresh view is accepted
     Given a bound of 5 seconds
-    When an answer comes to a question of 1 seconds ago
-    Then keys are taken as valid
+    When the response to a request sent 1 seconds ago arrives
+    Then keys are accepted
 
-  Scenario: An old answer does not set a newer view back
+  Scenario: A delayed response does not make a newer view older
     Given a bound of 5 seconds
-    When an answer comes to a question of 1 seconds ago
-    And an answer comes to a question of 9 seconds ago
-    Then keys are taken as valid
+    When the response to a request sent 1 seconds ago arrives
+    And the response to a request sent 9 seconds ago arrives
+    Then keys are accepted
--- a/tests/topology/servers.feature
+++ b/tests/topology/servers.feature
@@ -1,119 +1,120 @@
 Feature: Backend servers around outages of the store
 
-  Scenario: Entries that lapse in an outage are kept for a moment
-    The store is away; the servers live, but their entries lapse. When the
-    store is back the list is empty for two seconds. Requests go on.
+  Scenario: Servers whose records expire in an outage have a grace period
+    The store is unreachable; the servers run, but their records expire. When
+    the store returns, the list is empty for two seconds. The servers still get
+    requests.
 
     Given 3 listed servers
-    When the store is away and comes back with an empty list
-    Then 3 servers take work
+    When the store is unreachable and returns with an empty list
+    Then 3 servers get work
 
-  Scenario: Who does not come back in time is gone
+  Scenario: A server that is not listed again in time is removed
     Given 3 listed servers
-    When the store is away and comes back with an empty list
+    When the store is unreachable and returns with an empty list
     And 1.7 seconds pass
-    Then 0 servers take work
+    Then 0 servers get work
 
-  Scenario: Who comes back is kept
+  Scenario: A server that is listed again stays
     Given 3 listed servers
-    When the store is away and comes back with an empty list
+    When the store is unreachable and returns with an empty list
     And the first server is listed again
     And 1.7 seconds pass
-    Then 1 server takes work
+    Then 1 server gets work
 
-  Scenario: Entries that lapse late are not kept for longer
-    Sixty servers lost power with the store. Their entries lapse one after the
-    other, the last 1.5 s after the store's return. Kept for 1.6 s from its
-    own lapse each, the last would be sent requests for 3 s after the return,
-    each of them lost.
+  Scenario: Records that expire late do not prolong the grace period
+    Sixty servers lost power with the store. Their records expire one after the
+    other, the last 1.5 s after the store's return. If each had a grace period
+    of 1.6 s of its own, the last would be sent requests for 3 s after the
+    return, and each of these would fail.
 
     Given 60 listed servers
-    When the store is back, and the entries of all lapse over 1.5 seconds
+    When the store returns, and the records of all expire over 1.5 seconds
     And 0.4 seconds pass
-    Then 0 servers take work
+    Then 0 servers get work
 
-  Scenario: Sixty servers that come back one after the other take work
+  Scenario: Sixty servers that are listed again one after the other get work
     Given 60 listed servers
-    When the store is back, and the entries of all lapse over 0.5 seconds
+    When the store returns, and the records of all expire over 0.5 seconds
     And all are listed again over 1 second
-    Then 60 servers take work
+    Then 60 servers get work
     And none of them was ever left out
 
-  Scenario: In calm a server that vanishes is gone at once
+  Scenario: Without an outage a server that is no longer listed is removed
     Given 3 listed servers
-    When the first server vanishes
-    Then 2 servers take work
+    When the first server is no longer listed
+    Then 2 servers get work
 
-  Scenario: A leaving server is not kept over an outage
+  Scenario: A draining server has no grace period
     Given 3 listed servers
-    When the first server is leaving
-    And the store is away and comes back with an empty list
-    Then 2 servers take work
+    When the first server is draining
+    And the store is unreachable and returns with an empty list
+    Then 2 servers get work
 
-  Scenario: An address that another server has taken is not kept
+  Scenario: A server has no grace period if another is listed at its address
     Given 3 listed servers
-    When the store is away and comes back with a new server at the first address
-    Then the old one at that address takes no work
+    When the store is unreachable and returns with a new server at the first address
+    Then the old one at that address gets no work
 
-  Scenario: A later start of a listed server is taken from whoever tells it
-    A server starts again under its id. A side tells it before the list does.
+  Scenario: A later start of a listed server is accepted from any source
+    A server restarts with the same id. A side reports it before the list does.
 
     Given 3 listed servers
     When the first server is listed with start 800 and revision 10
-    And a side tells that the first server started at 900 with revision 20
-    Then that is news, and the first server's start is 900
+    And a side reports that the first server started at 900 with revision 20
+    Then that start is new, and the first server's start is 900
 
-  Scenario: A start by a clock that has jumped back is taken too
-    The server's machine has set its clock back by a minute. By that clock
-    the later start looks older; the store's revision tells that it is not.
+  Scenario: A start by a clock that has jumped back is accepted
+    The server's clock was set back by a minute. By that clock the later start
+    looks older; by the store's revision it is newer.
 
     Given 3 listed servers
     When the first server is listed with start 900 and revision 20
     And the first server is listed with start 400 and revision 21
     Then the first server's start is 400
 
-  Scenario: A late word about a former start changes nothing
-    A neighbour's view is behind: it tells of the start that is over, which
-    would bring back what was believed of it.
+  Scenario: A late report of a former start changes nothing
+    A neighbour's view is stale: it shows the start that has ended, which would
+    restore the state of that start.
 
     Given 3 listed servers
     When the first server is listed with start 900 and revision 20
     And the first server is listed with start 950 and revision 19
     Then the first server's start is 900
-    When a side tells that the first server started at 990 with revision 18
-    Then that is no news, and the first server's start is 900
+    When a side reports that the first server started at 990 with revision 18
+    Then that start is not new, and the first server's start is 900
 
-  Scenario: An entry that can't be understood any more is no server
+  Scenario: A server whose record becomes invalid is removed
     Given 3 listed servers
-    When the store is away, and something else is written for the first server
-    Then 2 servers take work
+    When the store is unreachable, and an invalid record is written for the first server
+    Then 2 servers get work
 
-  Scenario: A late entry that can't be understood changes nothing
+  Scenario: A late invalid record changes nothing
     Given 3 listed servers
     When the first server is listed with start 900 and revision 20
-    And something else was written for the first server at revision 12
-    Then 3 servers take work
+    And an invalid record was written for the first server at revision 12
+    Then 3 servers get work
 
   Scenario: Of two servers at one address the later one runs there
-    All servers lose power and start again under other ids. The entries of the
-    former ones stay listed until they lapse; what is sent to them is not run.
+    All servers lose power and start again with other ids. The records of the
+    former ones stay listed until they expire; requests to them are not run.
 
     Given 3 listed servers
     When a later server is listed at the first address
-    Then 3 servers take work, and the first does not
+    Then 3 servers get work, and the first does not
 
-  Scenario: A server at whose address another answers gets no work
+  Scenario: A server at whose address another one responds gets no work
     Given 3 listed servers
-    When another server answers at the first address
-    Then 2 servers take work
+    When another server responds at the first address
+    Then 2 servers get work
     When 4.1 seconds pass
-    Then 3 servers take work
+    Then 3 servers get work
 
-  Scenario: A server that only claims the address of another stands aside
-    Somebody has listed a server at the address of the first. When the first
-    answers there, the claim counts for nothing.
+  Scenario: A server with a false address does not displace the one there
+    A server is wrongly listed at the address of the first. When the first
+    responds there, the false record has no effect.
 
     Given 3 listed servers
     When a later server is listed at the first address
-    And another server answers for the later one
-    Then 3 servers take work, and the first does
+    And another server responds in place of the later one
+    Then 3 servers get work, and the first does
--- a/tests/topology/steps/cold_steps.py
+++ b/tests/topology/steps/cold_steps.py
@@ -1,4 +1,4 @@
-"""Steps for servers that are cold."""
+"""Steps for cold starts of servers."""
 
 from __future__ import annotations
 
@@ -31,34 +31,34 @@
 
 
 @given(
-    'a server that tells at {now:g} seconds that it is cold for '
+    'a server that reports at {now:g} seconds that it is cold for '
     '{seconds:g} seconds',
 )
-def given_told(context, now, seconds):
+def given_report(context, now, seconds):
     context.cold = ColdServers()
     context.revision = 0
-    tell(context, now, seconds)
+    report(context, now, seconds)
 
 
-@when('it tells at {now:g} seconds that it is cold for {seconds:g} seconds')
-def tell(context, now, seconds):
+@when('it reports at {now:g} seconds that it is cold for {seconds:g} seconds')
+def report(context, now, seconds):
     context.revision += 1
-    context.word = _server(context.revision, seconds)
-    context.cold.hear(now, context.word)
+    context.record = _server(context.revision, seconds)
+    context.cold.hear(now, context.record)
 
 
-@when('the same word is read again at {now:g} seconds')
+@when('the same record is read again at {now:g} seconds')
 def read_again(context, now):
-    context.cold.hear(now, context.word)
+    context.cold.hear(now, context.record)
 
 
-@when('it is presumed cold at {now:g} seconds for {seconds:g} seconds')
-def presume(context, now, seconds):
+@when('it is assumed cold at {now:g} seconds for {seconds:g} seconds')
+def assume_cold(context, now, seconds):
     context.cold.presume(now, 'i-1', seconds)
 
 
-@when('it is listed no more')
-def gone(context):
+@when('it is no longer listed')
+def unlist(context):
     context.cold.keep(())
 
 
--- a/tests/topology/steps/feed_steps.py
+++ b/tests/topology/steps/feed_steps.py
@@ -21,7 +21,7 @@
 _PREFIX = 'things/'
 
 
-class _Follower(Follower):
+class _Listener(Follower):
     def __init__(self, store):
         self.store = store
         self.names = set()
@@ -34,10 +34,10 @@
         self.names.add(stored.key)
 
     def confirmed(self, asked_seconds):
-        self.confirmed_in_outage += self.store.silent_calls > 0
+        self.confirmed_in_outage += self.store.failing_calls > 0
 
     def lost(self):
-        """Nothing is kept that could grow old."""
+        """Do nothing: the objects here have no age."""
 
 
 class _Store:
@@ -47,7 +47,7 @@
         self.revision = 0
         self.objects = {}
         self.oldest = 0
-        self.silent_calls = 0
+        self.failing_calls = 0
         self.changed = asyncio.Event()
 
     def write(self, name):
@@ -57,15 +57,15 @@
         self.changed.set()
 
     async def list(self, prefix):
-        self._answer()
+        self._respond()
         return Listing(self.revision, tuple(self.objects.values()))
 
     async def watch(self, prefix, *, after_revision, wait_seconds):
-        self._answer()
+        self._respond()
         if after_revision >= self.revision:
             self.changed.clear()
             await self.changed.wait()
-        self._answer()
+        self._respond()
         if after_revision < self.oldest:
             raise WatchLostError('gone')
         newer = [
@@ -75,9 +75,9 @@
         ]
         return Listing(self.revision, tuple(newer))
 
-    def _answer(self):
-        if self.silent_calls:
-            self.silent_calls -= 1
+    def _respond(self):
+        if self.failing_calls:
+            self.failing_calls -= 1
             raise NoAnswerError('silent')
 
 
@@ -90,7 +90,7 @@
     context.log = EventLog(pipe[1], 'entry-1')
     context.store = _Store()
     context.store.write(name)
-    context.follower = _Follower(context.store)
+    context.listener = _Listener(context.store)
 
 
 def _play(context, act, seconds):
@@ -98,7 +98,7 @@
         feed = Feed(
             StoreWay(context.store),
             _PREFIX,
-            context.follower,
+            context.listener,
             context.log,
             1,
         )
@@ -119,9 +119,9 @@
 
 
 @when(
-    'object {name} is written and the history forgotten in the same moment',
+    'object {name} is written and the history dropped at the same time',
 )
-def write_and_forget(context, name):
+def write_and_drop(context, name):
     def act():
         context.store.write(name)
         context.store.oldest = context.store.revision
@@ -129,33 +129,33 @@
     _play(context, act, 0.05)
 
 
-@when('the store answers nothing for {calls:d} calls')
-def be_silent(context, calls):
+@when('the store does not respond to {calls:d} calls')
+def fail_calls(context, calls):
     def act():
-        context.store.silent_calls = calls
+        context.store.failing_calls = calls
 
     _play(context, act, 1.5)
 
 
-@then('the follower has {first} and {second}')
+@then('the listener has {first} and {second}')
 def has_both(context, first, second):
     expected = {f'{_PREFIX}{first}', f'{_PREFIX}{second}'}
-    assert context.follower.names == expected, context.follower.names
+    assert context.listener.names == expected, context.listener.names
 
 
-@then('the follower has {name}')
+@then('the listener has {name}')
 def has_one(context, name):
-    assert context.follower.names == {f'{_PREFIX}{name}'}
+    assert context.listener.names == {f'{_PREFIX}{name}'}
 
 
-@then('the log tells one loss and one return')
-def told_once(context):
+@then('the log has one loss and one return')
+def logged_once(context):
     context.log.flush()
     lines = os.read(context.log_read, 100_000).splitlines()
     events = [json.loads(line)['event'] for line in lines]
     assert events == ['store_lost', 'store_back'], events
 
 
-@then('nothing was confirmed in the outage')
+@then('nothing was confirmed during the outage')
 def not_confirmed(context):
-    assert not context.follower.confirmed_in_outage
+    assert not context.listener.confirmed_in_outage
--- a/tests/topology/steps/topology_steps.py
+++ b/tests/topology/steps/topology_steps.py
@@ -32,18 +32,20 @@
 
 
 @when(
-    'a side tells that the first server started at {started:d} '
+    'a side reports that the first server started at {started:d} '
     'with revision {revision:d}',
 )
-def tell_start(context, started, revision):
+def report_start(context, started, revision):
     start = ServerStart('i-0', started, revision)
-    context.news = context.servers.started(start)
+    context.is_new = context.servers.started(start)
 
 
-@then("that is {some} news, and the first server's start is {started:d}")
-@then("that is news, and the first server's start is {started:d}")
-def is_news(context, started, some=''):
-    assert context.news is not bool(some)
+@then(
+    "that start is {negated} new, and the first server's start is {started:d}"
+)
+@then("that start is new, and the first server's start is {started:d}")
+def start_is_new(context, started, negated=''):
+    assert context.is_new is not bool(negated)
     has_start(context, started)
 
 
@@ -54,17 +56,19 @@
 
 
 @when(
-    'the store is away, and something else is written for the first server',
+    'the store is unreachable, and an invalid record is written for '
+    'the first server',
 )
-def refuse_first(context):
+def invalidate_first(context):
     context.servers.outage(context.now)
     context.servers.refuse('i-0', 30)
 
 
 @when(
-    'something else was written for the first server at revision {revision:d}',
+    'an invalid record was written for the first server '
+    'at revision {revision:d}',
 )
-def refuse_late(context, revision):
+def invalidate_late(context, revision):
     context.servers.refuse('i-0', revision)
 
 
@@ -75,8 +79,8 @@
     context.servers.replace(context.now, map(_server, range(count)))
 
 
-@step('the store is away and comes back with an empty list')
-def come_back_empty(context):
+@step('the store is unreachable and returns with an empty list')
+def return_empty(context):
     context.servers.outage(context.now)
     context.servers.replace(context.now, ())
 
@@ -84,24 +88,24 @@
 def _tick(context, seconds):
     context.now += seconds
     context.servers.expire(context.now)
-    working = len(context.servers.of_pool('models'))
-    context.least_working = min(working, context.least_working)
+    available = len(context.servers.of_pool('models'))
+    context.fewest_available = min(available, context.fewest_available)
 
 
 @when(
-    'the store is back, and the entries of all lapse over {seconds:g} seconds',
+    'the store returns, and the records of all expire over {seconds:g} seconds',
 )
-def lapse_in_turn(context, seconds):
+def expire_one_by_one(context, seconds):
     context.servers.outage(context.now)
     names = sorted(context.servers.instances)
-    context.least_working = len(names)
+    context.fewest_available = len(names)
     for name in names:
         _tick(context, seconds / len(names))
         context.servers.remove(context.now, name)
 
 
 @step('all are listed again over {seconds:g} second')
-def list_in_turn(context, seconds):
+def list_one_by_one(context, seconds):
     count = len(context.servers.instances)
     for number in range(count):
         _tick(context, seconds / count)
@@ -110,13 +114,14 @@
 
 @then('none of them was ever left out')
 def never_left_out(context):
-    assert context.least_working == len(context.servers.instances)
+    assert context.fewest_available == len(context.servers.instances)
 
 
 @step(
-    'the store is away and comes back with a new server at the first address',
+    'the store is unreachable and returns with a new server '
+    'at the first address',
 )
-def come_back_new(context):
+def return_new(context):
     context.servers.outage(context.now)
     context.servers.replace(context.now, [_server(9, ip='10.0.0.0')])
 
@@ -126,13 +131,13 @@
     context.servers.put(_server(0))
 
 
-@step('the first server vanishes')
-def vanish(context):
+@step('the first server is no longer listed')
+def unlist(context):
     context.servers.remove(context.now, 'i-0')
 
 
-@step('the first server is leaving')
-def leave(context):
+@step('the first server is draining')
+def drain(context):
     context.servers.put(_server(0, leaving=True))
 
 
@@ -142,14 +147,14 @@
     context.servers.expire(context.now)
 
 
-@then('{count:d} servers take work')
-@then('{count:d} server takes work')
-def take_work(context, count):
+@then('{count:d} servers get work')
+@then('{count:d} server gets work')
+def servers_get_work(context, count):
     assert len(context.servers.of_pool('models')) == count
 
 
-@then('the old one at that address takes no work')
-def old_is_gone(context):
+@then('the old one at that address gets no work')
+def old_gets_none(context):
     assert context.servers.get('i-0') is None
     assert context.servers.get('i-9') is not None
 
@@ -159,18 +164,18 @@
     context.freshness = Freshness(seconds)
 
 
-@when('an answer comes to a question of {seconds:g} seconds ago')
+@when('the response to a request sent {seconds:g} seconds ago arrives')
 def confirm(context, seconds):
     context.freshness.confirm(boot_clock() - seconds)
 
 
-@then('keys are taken as valid')
-def valid(context):
+@then('keys are accepted')
+def accepted(context):
     assert context.freshness.holds()
 
 
-@then('keys are not taken as valid')
-def not_valid(context):
+@then('keys are not accepted')
+def not_accepted(context):
     assert not context.freshness.holds()
 
 
@@ -179,19 +184,19 @@
     context.servers.put(_server(9, ip='10.0.0.0', revision=50))
 
 
-@when('another server answers at the first address')
-def answer_other(context):
+@when('another server responds at the first address')
+def respond_other(context):
     context.servers.disown(context.now, 'i-0')
 
 
-@when('another server answers for the later one')
-def answer_for_later(context):
+@when('another server responds in place of the later one')
+def respond_for_later(context):
     context.servers.disown(context.now, 'i-9')
 
 
-@then('{count:d} servers take work, and the first {does}')
-def first_works(context, count, does):
-    working = {one.instance for one in context.servers.of_pool('models')}
-    assert len(working) == count, working
-    assert ('i-0' in working) is (does == 'does'), working
+@then('{count:d} servers get work, and the first {does}')
+def first_gets_work(context, count, does):
+    available = {one.instance for one in context.servers.of_pool('models')}
+    assert len(available) == count, available
+    assert ('i-0' in available) is (does == 'does'), available
     assert (context.servers.get('i-0') is not None) is (does == 'does')
--- a/tests/views/steps/view_steps.py
+++ b/tests/views/steps/view_steps.py
@@ -10,7 +10,7 @@
 from tests.support.virtual_time import VirtualTimeLoop
 
 from sardinetrack.store.api import Listing, StoredObject
-from sardinetrack.topology.servers import RETURN_SECONDS
+from sardinetrack.topology.servers import RELIST_GRACE_SECONDS
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.messages import ToldObject, ViewConfirmed, ViewObjects
 
@@ -220,7 +220,7 @@
     _run(context, asyncio.sleep(1))
     for entry in context.world.entries:
         since = entry.takers[SERVERS].outage_seconds
-        assert since >= context.returned - RETURN_SECONDS, since
+        assert since >= context.returned - RELIST_GRACE_SECONDS, since
 
 
 @when('all entries stop')
