--- a/src/sardinetrack/views/api.py
+++ b/src/sardinetrack/views/api.py
@@ -1,4 +1,4 @@
-"""Abstract ends of a borrowed view: who lends it, and who takes it."""
+"""Abstract ends of a borrowed view: its sender and its receiver."""
 
 from __future__ import annotations
 
@@ -9,66 +9,66 @@
 
 
 class Neighbour(ABC):
-    """Another instance that may watch the store for this one."""
+    """Another instance, which may watch the store for this one."""
 
     @property
     @abstractmethod
     def name(self) -> str:
-        """Its name, the same for everybody."""
+        """Name of the neighbour, the same for every instance."""
 
     @property
     @abstractmethod
     def live(self) -> bool:
-        """Whether it can be told something."""
+        """Whether it can receive messages."""
 
     @abstractmethod
     def tell(self, message: FromFollower) -> None:
-        """Send it a message."""
+        """Send the neighbour a message."""
 
 
 class Neighbours(ABC):
-    """Those that may watch for this instance."""
+    """The neighbours that may watch the store for this instance."""
 
     @abstractmethod
     def ranked(self) -> Sequence[Neighbour]:
-        """List the live ones, the one to ask first in front."""
+        """Return the live neighbours, the preferred one first."""
 
 
 class Inbox(ABC):
-    """Takes what neighbours tell."""
+    """Receives the messages of neighbours."""
 
     @property
     @abstractmethod
     def borrowed(self) -> bool:
-        """Whether a neighbour's word is in force."""
+        """Whether a neighbour's view is in effect."""
 
     @abstractmethod
     def take(self, name: str, message: FromWatcher) -> None:
-        """Take a message of a neighbour."""
+        """Handle a message of a neighbour."""
 
     @abstractmethod
     def lost(self, name: str) -> None:
-        """Note that a neighbour is gone."""
+        """Handle the loss of the connection to a neighbour."""
 
 
 class NoInbox(Inbox):
-    """Before there is a view that neighbours may tell."""
+    """Placeholder until there is a view that neighbours may update."""
 
     @property
     def borrowed(self) -> bool:
-        """Whether a neighbour's word is in force: never."""
+        """Whether a neighbour's view is in effect: never."""
         return False
 
     def take(self, name: str, message: FromWatcher) -> None:
-        """Nothing was asked for."""
+        """Ignore the message: no view was subscribed to."""
 
     def lost(self, name: str) -> None:
-        """Nobody was followed."""
+        """Ignore the loss: no view was subscribed to."""
 
 
 class Follower(ABC):
-    """One connection of the watcher to who follows it."""
+    """Watcher's end of the connection to one of its subscribers."""
 
     @abstractmethod
     def tell(self, message: FromWatcher) -> None:
-        """Send it a message."""
+        """Send the subscriber a message."""
--- a/src/sardinetrack/views/borrowed.py
+++ b/src/sardinetrack/views/borrowed.py
@@ -1,4 +1,4 @@
-"""One kind of objects as a neighbour tells it; no I/O."""
+"""A view of one kind of objects, received from a neighbour; no I/O."""
 
 from __future__ import annotations
 
@@ -7,131 +7,140 @@
 
 from sardinetrack.store.api import Listing, StoredObject
 from sardinetrack.topology.feed import Follower
-from sardinetrack.views.messages import ViewConfirmed, ViewObjects, stored
+from sardinetrack.views.messages import (
+    ViewConfirmed,
+    ViewObjects,
+    decode_object,
+)
 
 
 class BorrowedView(Follower):
-    """Takes the own feed's word until a neighbour's is at least as new.
+    """Uses the direct feed until a neighbour's view is at least as new.
 
-    A neighbour may itself be cut from the store, and its view older than
-    what this instance has read. Were it taken, a server that is leaving would
-    get work again. So it is held aside until it is confirmed for a time after
-    the last change that came from the store directly: the store's answers are
-    linearizable, so it then holds that change too.
+    A neighbour may itself be disconnected from the store, and its view older
+    than what this instance has read. With such a view a draining server would
+    get work again. So the neighbour's view is not in effect until it is
+    confirmed for a time after the last change read directly from the store.
+    The store's responses are linearizable, so it then contains that change.
     """
 
     def __init__(
         self,
-        follower: Follower,
+        listener: Follower,
         clock: Callable[[], float],
     ) -> None:
-        """Start with nothing.
+        """Start without objects.
 
-        :param follower: takes whichever view is in force.
+        :param listener: receives the view that is in effect.
         :param clock: the boot clock, in seconds.
         """
         self.borrowed = False
-        self._follower = follower
-        self._own: dict[str, int] = {}
+        self._listener = listener
+        self._own_versions: dict[str, int] = {}
         self._own_change_seconds = -math.inf
         self._own_deletion_seconds = -math.inf
-        self._told_seconds = -math.inf
-        self._aside: dict[str, StoredObject] | None = None
+        self._confirmed_seconds = -math.inf
+        self._pending: dict[str, StoredObject] | None = None
         self._revision = 0
         self._clock = clock
 
     @property
     def ready(self) -> bool:
-        """Whether what was told may go in force."""
-        aside = self._aside
-        if aside is None or self._told_seconds < self._own_deletion_seconds:
+        """Whether the neighbour's view is new enough to take effect."""
+        pending = self._pending
+        if (
+            pending is None
+            or self._confirmed_seconds < self._own_deletion_seconds
+        ):
             return False
-        if self._told_seconds >= self._own_change_seconds:
+        if self._confirmed_seconds >= self._own_change_seconds:
             return True
         return all(
-            key in aside and aside[key].version >= version
-            for key, version in self._own.items()
+            key in pending and pending[key].version >= version
+            for key, version in self._own_versions.items()
         )
 
     def listed(self, listing: Listing) -> None:
-        """Take the own feed's listing."""
+        """Apply a listing of the direct feed."""
         if not self.borrowed:
-            self._own = {one.key: one.version for one in listing.objects}
+            self._own_versions = {
+                one.key: one.version for one in listing.objects
+            }
             self._own_change_seconds = self._clock()
             self._own_deletion_seconds = self._own_change_seconds
-            self._follower.listed(listing)
+            self._listener.listed(listing)
 
     def changed(self, stored_object: StoredObject) -> None:
-        """Take a change of the own feed."""
+        """Apply a change of the direct feed."""
         if not self.borrowed:
-            self._note_own(stored_object)
-            self._follower.changed(stored_object)
+            self._record_own(stored_object)
+            self._listener.changed(stored_object)
 
     def confirmed(self, asked_seconds: float) -> None:
-        """Take a confirmation of the own feed."""
+        """Apply a confirmation of the direct feed."""
         if not self.borrowed:
-            self._follower.confirmed(asked_seconds)
+            self._listener.confirmed(asked_seconds)
 
     def lost(self) -> None:
-        """Note that the store does not answer."""
+        """Handle that the store does not respond to the direct feed."""
         if not self.borrowed:
-            self._follower.lost()
+            self._listener.lost()
 
     def borrow(self) -> None:
-        """Put in force what was told; the own feed's word counts no more."""
-        assert self._aside is not None  # noqa: S101
+        """Put the neighbour's view in effect and ignore the direct feed."""
+        assert self._pending is not None  # noqa: S101
         self.borrowed = True
-        self._take(list(self._aside.values()), whole=True)
-        self._follower.confirmed(self._told_seconds)
+        self._apply(list(self._pending.values()), complete=True)
+        self._listener.confirmed(self._confirmed_seconds)
 
-    def outage(self) -> None:
-        """Note that the neighbour could not read the store for a moment."""
-        self._follower.lost()
+    def handle_outage(self) -> None:
+        """Handle that the neighbour could not read the store for a moment."""
+        self._listener.lost()
 
-    def drop(self) -> None:
-        """Forget what was told; the own feed lists anew."""
+    def reset(self) -> None:
+        """Discard the neighbour's view; the direct feed lists again."""
         self.borrowed = False
-        self._aside = None
-        self._told_seconds = -math.inf
+        self._pending = None
+        self._confirmed_seconds = -math.inf
 
-    def told(self, message: ViewObjects) -> None:
-        """Take objects of the neighbour."""
-        objects = [stored(one) for one in message.objects]
+    def receive_objects(self, message: ViewObjects) -> None:
+        """Apply objects of the neighbour."""
+        objects = [decode_object(one) for one in message.objects]
         self._revision = message.revision
         if self.borrowed:
-            self._take(objects, whole=message.whole)
-        elif message.whole:
-            self._aside = {one.key: one for one in objects}
-        elif self._aside is not None:
-            _change(self._aside, objects)
-
-    def sure(self, message: ViewConfirmed) -> None:
-        """Take a confirmation of the neighbour."""
-        self._told_seconds = message.confirmed_seconds
+            self._apply(objects, complete=message.complete)
+        elif message.complete:
+            self._pending = {one.key: one for one in objects}
+        elif self._pending is not None:
+            _update(self._pending, objects)
+
+    def receive_confirmation(self, message: ViewConfirmed) -> None:
+        """Apply a confirmation of the neighbour."""
+        self._confirmed_seconds = message.confirmed_seconds
         if self.borrowed:
-            self._follower.confirmed(message.confirmed_seconds)
+            self._listener.confirmed(message.confirmed_seconds)
 
-    def _note_own(self, stored_object: StoredObject) -> None:
+    def _record_own(self, stored_object: StoredObject) -> None:
         self._own_change_seconds = self._clock()
         if stored_object.deleted:
             self._own_deletion_seconds = self._own_change_seconds
-            self._own.pop(stored_object.key, None)
+            self._own_versions.pop(stored_object.key, None)
         else:
-            self._own[stored_object.key] = stored_object.version
+            self._own_versions[stored_object.key] = stored_object.version
 
-    def _take(self, objects: list[StoredObject], *, whole: bool) -> None:
-        if whole:
-            self._follower.listed(Listing(self._revision, tuple(objects)))
+    def _apply(self, objects: list[StoredObject], *, complete: bool) -> None:
+        if complete:
+            self._listener.listed(Listing(self._revision, tuple(objects)))
             return
         for one in objects:
-            self._follower.changed(one)
+            self._listener.changed(one)
 
 
-def _change(
-    aside: dict[str, StoredObject],
+def _update(
+    pending: dict[str, StoredObject],
     objects: list[StoredObject],
 ) -> None:
     for one in objects:
-        aside.pop(one.key, None)
+        pending.pop(one.key, None)
         if not one.deleted:
-            aside[one.key] = one
+            pending[one.key] = one
--- a/src/sardinetrack/views/choice.py
+++ b/src/sardinetrack/views/choice.py
@@ -1,4 +1,4 @@
-"""Which neighbour watches the store for an instance; no I/O."""
+"""Selects the neighbour that watches the store for an instance; no I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from sardinetrack.placement.home import ranked
 
-ENTRIES_A_WATCHER: Final = 8
-"""Followers from which a watcher of the own failure domain pays.
+MIN_ENTRIES_PER_WATCHER: Final = 8
+"""Subscribers from which a failure domain has a watcher of its own.
 
-It spares the bytes between domains of every change, some 20 KB for each
-follower, and costs 1.5 calls a second to the store.
+It saves the traffic of every change between the domains, some 20 KB for each
+subscriber, and costs 1.5 calls a second to the store.
 """
 _EVERYWHERE: Final = '*'
 
@@ -21,15 +21,15 @@
     entries: int,
     domains: Mapping[str, str],
 ) -> list[str]:
-    """Order neighbours so that all instances of a domain ask the same one.
+    """Order neighbours so that all instances of a domain prefer the same one.
 
-    :param failure_domain: of who asks.
-    :param entries: how many instances there are in all.
-    :param domains: of the neighbours, by name.
-    :return: names, the one to ask first in front.
+    :param failure_domain: of the subscribing instance.
+    :param entries: number of entries in the fleet.
+    :param domains: failure domains of the neighbours, by name.
+    :return: names, the preferred neighbour first.
     """
     near = [name for name, where in domains.items() if where == failure_domain]
     far = [name for name in domains if name not in near]
-    if entries >= ENTRIES_A_WATCHER * len(set(domains.values())):
+    if entries >= MIN_ENTRIES_PER_WATCHER * len(set(domains.values())):
         return ranked(failure_domain, near) + ranked(_EVERYWHERE, far)
     return ranked(_EVERYWHERE, domains)
--- a/src/sardinetrack/views/messages.py
+++ b/src/sardinetrack/views/messages.py
@@ -1,4 +1,4 @@
-"""Messages between an instance that watches the store and those it tells."""
+"""Messages between an instance that watches the store and its subscribers."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class FollowView(msgspec.Struct, tag='follow', array_like=True, frozen=True):
-    """Tell me of the store from now on; all objects come first."""
+    """Subscribes to a view of the store; all objects are sent first."""
 
     stamp_seconds: float
-    """The follower's boot clock when it sent this."""
+    """The subscriber's boot clock when it sent this."""
 
 
 class StampView(msgspec.Struct, tag='stamp', array_like=True, frozen=True):
-    """The follower's clock once more, for what is confirmed next."""
+    """Updates the subscriber's clock, for the next confirmations."""
 
     stamp_seconds: float
 
 
 class LeaveView(msgspec.Struct, tag='leave', array_like=True, frozen=True):
-    """Tell me no more."""
+    """Ends the subscription."""
 
 
-class ToldObject(msgspec.Struct, array_like=True, frozen=True):
-    """One object of the store, as the product's object API has it."""
+class ViewObject(msgspec.Struct, array_like=True, frozen=True):
+    """One object of the store, as in the product's object API."""
 
     key: str
     version: int
@@ -38,20 +38,20 @@
 
     prefix: str
     revision: int
-    whole: bool
-    objects: tuple[ToldObject, ...]
+    complete: bool
+    objects: tuple[ViewObject, ...]
 
 
 class ViewConfirmed(msgspec.Struct, tag='sure', array_like=True, frozen=True):
-    """What was told under a prefix was whole at a time."""
+    """The view of a prefix was complete at a time."""
 
     prefix: str
     confirmed_seconds: float
-    """On the boot clock of the follower, never later than the truth."""
+    """By the boot clock of the subscriber; never later than the true time."""
 
 
 class ViewLost(msgspec.Struct, tag='lost', array_like=True, frozen=True):
-    """The store does not answer here."""
+    """The store does not respond to the watching instance."""
 
     cause: str
 
@@ -60,9 +60,9 @@
 FromWatcher = ViewObjects | ViewConfirmed | ViewLost
 
 
-def told(stored: StoredObject) -> ToldObject:
-    """Write an object for the wire."""
-    return ToldObject(
+def encode_object(stored: StoredObject) -> ViewObject:
+    """Encode an object as a message."""
+    return ViewObject(
         stored.key,
         stored.version,
         stored.value,
@@ -70,8 +70,8 @@
     )
 
 
-def stored(message: ToldObject) -> StoredObject:
-    """Read an object from the wire."""
+def decode_object(message: ViewObject) -> StoredObject:
+    """Decode an object from its message."""
     return StoredObject(
         message.key,
         message.version,
--- a/src/sardinetrack/views/source.py
+++ b/src/sardinetrack/views/source.py
@@ -1,4 +1,4 @@
-"""Follow the store alone, or by the word of a neighbour that watches it."""
+"""Keeps views of the store up to date, directly or through a neighbour."""
 
 from __future__ import annotations
 
@@ -24,31 +24,33 @@
     ViewObjects,
 )
 
-LATE_SECONDS: Final = 1.5
-"""Longest pause between two confirmations of a neighbour that is trusted.
+CONFIRMATION_TIMEOUT_SECONDS: Final = 1.5
+"""Longest time between two confirmations of a neighbour that is in use.
 
-A watcher's calls wait 1 s. One that was cut from the store silently is left
-after this, and the store asked directly: what was changed meanwhile is in
-force 1.6 s later at the most, of the 2 s that the users allow.
+A watcher's calls wait 1 s. If it is silently disconnected from the store, its
+subscribers leave it after this time and read the store directly: a change
+made during that time is in effect at most 1.6 s later, of the 2 s that the
+users allow.
 """
-JOIN_SECONDS: Final = 6.0
-"""How long a neighbour may take until its view is as new as the own one."""
-FIRST_PAUSE_SECONDS: Final = 0.5
-"""How long an instance watches alone before it asks a neighbour."""
-MOST_PAUSE_SECONDS: Final = 4.0
-"""The same after failures in a row: each try makes one more side watch."""
-_GROWTH: Final = 2.0
+JOIN_TIMEOUT_SECONDS: Final = 6.0
+"""How long a neighbour may take until its view is as new as the direct one."""
+INITIAL_BACKOFF_SECONDS: Final = 0.5
+"""How long an instance watches alone before it subscribes to a neighbour."""
+MAX_BACKOFF_SECONDS: Final = 4.0
+"""The same after consecutive failures: each try makes another side watch."""
+_BACKOFF_FACTOR: Final = 2.0
 AVOID_SECONDS: Final = 10.0
-"""How long a neighbour that has failed is not asked again."""
-STAY_SECONDS: Final = 30.0
-"""How long one is followed though another is asked first by now.
+"""How long a neighbour that has failed is not tried again."""
+MIN_STAY_SECONDS: Final = 30.0
+"""How long a neighbour is kept though another one is preferred by now.
 
-After an outage the entries follow several; each one more that watches costs
-1.5 calls a second, and to change costs an entry four."""
+After an outage the entries subscribe to several neighbours. Each additional
+one that watches costs 1.5 calls a second, and a switch costs an entry four
+calls."""
 
 
 class ViewState(StrEnum):
-    """Where the view comes from."""
+    """Source of the view."""
 
     OWN = 'own'
     JOINING = 'joining'
@@ -56,7 +58,7 @@
 
 
 class ViewEvent(StrEnum):
-    """What moves it."""
+    """Event that changes the source."""
 
     ASKED = 'asked'
     CAUGHT_UP = 'caught_up'
@@ -68,23 +70,23 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnFeeds:
-    """The own ways to the store."""
+    """The feeds that read the store directly."""
 
     feeds: Sequence[Feed]
-    way: StoreWay
+    access: StoreWay
 
     @property
-    def away(self) -> bool:
-        """Whether the store does not answer this instance."""
+    def unreachable(self) -> bool:
+        """Whether the store does not respond to this instance."""
         return any(feed.unreachable for feed in self.feeds)
 
 
 class ViewSource(Inbox):
     """Keeps every view of this instance up to date.
 
-    An instance that watches for itself makes 0.75 calls a second to the
-    store, and one more for each change. With this only one in a failure
-    domain, or in a small fleet one in all, does so.
+    An instance that watches the store directly makes 0.75 calls a second to
+    it, and one more for each change. With borrowed views only one instance of
+    a failure domain does so, or a single one in a small fleet.
     """
 
     def __init__(
@@ -94,12 +96,13 @@
         neighbours: Neighbours,
         log: EventLog,
     ) -> None:
-        """Prepare.
+        """Start with the direct feeds as the source.
 
-        :param own: they feed the views.
+        :param own: the direct feeds, which update the views.
         :param views: by prefix.
+        :param neighbours: may watch the store for this instance.
         """
-        self._clock = own.way.clock
+        self._clock = own.access.clock
         self._own = own
         self._views = views
         self._neighbours = neighbours
@@ -107,17 +110,17 @@
         self._chart = _CHART.start()
         self._neighbour: Neighbour | None = None
         self._avoided: dict[str, float] = {}
-        self._heard_seconds = float(0)
+        self._received_seconds = float(0)
         self._borrowed_seconds = float(0)
         self._changed = asyncio.Event()
 
     @property
     def borrowed(self) -> bool:
-        """Whether a neighbour's word is in force."""
+        """Whether a neighbour's view is in effect."""
         return self._chart.state is ViewState.BORROWED
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Keep the views up to date until cancelled."""
         while True:
             async with asyncio.TaskGroup() as group:
                 own = [
@@ -129,82 +132,87 @@
             await self._stay()
 
     def take(self, name: str, message: FromWatcher) -> None:
-        """Take a message; those of a neighbour that was left are late ones."""
+        """Handle a message; ignore those of a neighbour that was left."""
         if self._neighbour is None or self._neighbour.name != name:
             return
         match message:
             case ViewObjects():
-                self._told(message)
+                self._receive_objects(message)
             case ViewConfirmed():
-                self._sure(self._neighbour, message)
+                self._receive_confirmation(self._neighbour, message)
             case ViewLost():
-                self._store_lost(message)
+                self._handle_store_lost(message)
 
     def lost(self, name: str) -> None:
-        """Note that a neighbour is gone."""
+        """Handle the loss of the connection to a neighbour."""
         if self._neighbour is not None and self._neighbour.name == name:
             self._fail('gone')
 
-    def _store_lost(self, message: ViewLost) -> None:
-        """Stay with a neighbour whose call has failed until it is late.
+    def _handle_store_lost(self, message: ViewLost) -> None:
+        """Stay with a neighbour whose call has failed until it times out.
 
-        It asks again within 0.1 s, and a single call fails often: when the
-        store drops its history, it cuts every watch. Were the neighbour left
-        at each, all its followers would list everything anew.
+        It retries within 0.1 s, and single calls fail often: when the store
+        drops its history, it ends every watch. If its subscribers left it each
+        time, all of them would list everything again.
 
-        One that is asked to tell while the store answers neither here nor
-        there is likely to be in the same outage, and asks for both.
+        A neighbour that fails during the subscription, while this instance
+        can't reach the store either, is probably in the same outage. It then
+        retries for both.
         """
         if self.borrowed:
             for view in self._views.values():
-                view.outage()
-        elif self._own.away:
-            self._own.way.backoff.neighbour_retries = True
+                view.handle_outage()
+        elif self._own.unreachable:
+            self._own.access.backoff.neighbour_retries = True
         else:
             self._fail(message.cause)
 
-    def _told(self, message: ViewObjects) -> None:
+    def _receive_objects(self, message: ViewObjects) -> None:
         view = self._views.get(message.prefix)
         if view is not None:
-            view.told(message)
+            view.receive_objects(message)
 
-    def _sure(self, neighbour: Neighbour, message: ViewConfirmed) -> None:
+    def _receive_confirmation(
+        self,
+        neighbour: Neighbour,
+        message: ViewConfirmed,
+    ) -> None:
         view = self._views.get(message.prefix)
         if view is None:
             return
-        view.sure(message)
-        self._heard_seconds = self._clock()
+        view.receive_confirmation(message)
+        self._received_seconds = self._clock()
         neighbour.tell(StampView(self._clock()))
         joining = self._chart.state is ViewState.JOINING
         if joining and all(one.ready for one in self._views.values()):
             self._borrow()
-        elif self._should_move(neighbour):
-            self._leave('another is asked first')
+        elif self._should_switch(neighbour):
+            self._leave('another neighbour is preferred')
 
-    def _should_move(self, neighbour: Neighbour) -> bool:
+    def _should_switch(self, neighbour: Neighbour) -> bool:
         now = self._clock()
-        if not self.borrowed or now < self._borrowed_seconds + STAY_SECONDS:
+        if not self.borrowed or now < self._borrowed_seconds + MIN_STAY_SECONDS:
             return False
-        first = self._next(now - STAY_SECONDS)
+        first = self._next_neighbour(now - MIN_STAY_SECONDS)
         return first is not None and first.name != neighbour.name
 
     def _borrow(self) -> None:
         self._chart.fire(ViewEvent.CAUGHT_UP)
         self._borrowed_seconds = self._clock()
-        self._own.way.backoff.neighbour_retries = False
+        self._own.access.backoff.neighbour_retries = False
         for view in self._views.values():
             view.borrow()
         self._changed.set()
 
     async def _join(self) -> None:
-        """Return once a neighbour's view is in force."""
-        pause_seconds = FIRST_PAUSE_SECONDS
+        """Return once a neighbour's view is in effect."""
+        backoff_seconds = INITIAL_BACKOFF_SECONDS
         while not self.borrowed:
-            await asyncio.sleep(pause_seconds)
-            neighbour = self._next(self._clock())
+            await asyncio.sleep(backoff_seconds)
+            neighbour = self._next_neighbour(self._clock())
             if neighbour is not None:
-                grown = pause_seconds * _GROWTH
-                pause_seconds = min(MOST_PAUSE_SECONDS, grown)
+                grown = backoff_seconds * _BACKOFF_FACTOR
+                backoff_seconds = min(MAX_BACKOFF_SECONDS, grown)
                 await self._try(neighbour)
         assert self._neighbour is not None  # noqa: S101
         self._log.write(
@@ -213,23 +221,27 @@
         )
 
     async def _stay(self) -> None:
-        """Return when the neighbour's word can't be relied on any more."""
+        """Return when the neighbour is lost or has timed out."""
         while self.borrowed:
-            late_seconds = self._heard_seconds + LATE_SECONDS - self._clock()
-            if late_seconds <= 0:
+            left_seconds = (
+                self._received_seconds
+                + CONFIRMATION_TIMEOUT_SECONDS
+                - self._clock()
+            )
+            if left_seconds <= 0:
                 self._fail('late')
             else:
-                await self._wait_change(late_seconds)
+                await self._wait_change(left_seconds)
 
     async def _try(self, neighbour: Neighbour) -> None:
         self._neighbour = neighbour
         self._chart.fire(ViewEvent.ASKED)
         neighbour.tell(FollowView(self._clock()))
-        await self._wait_change(JOIN_SECONDS)
+        await self._wait_change(JOIN_TIMEOUT_SECONDS)
         if self._chart.state is ViewState.JOINING:
             self._fail('not caught up')
 
-    def _next(self, now: float) -> Neighbour | None:
+    def _next_neighbour(self, now: float) -> Neighbour | None:
         return next(
             (
                 neighbour
@@ -247,7 +259,7 @@
         self._avoided = {
             name: until
             for name, until in self._avoided.items()
-            if now < until + STAY_SECONDS
+            if now < until + MIN_STAY_SECONDS
         }
         self._avoided[neighbour.name] = now + AVOID_SECONDS
         self._leave(cause)
@@ -261,12 +273,12 @@
             neighbour=neighbour.name,
             cause=cause,
             was=self._chart.state,
-            heard_seconds=round(self._clock() - self._heard_seconds, 3),
+            heard_seconds=round(self._clock() - self._received_seconds, 3),
         )
         self._chart.fire(ViewEvent.FAILED)
-        self._own.way.backoff.neighbour_retries = False
+        self._own.access.backoff.neighbour_retries = False
         for view in self._views.values():
-            view.drop()
+            view.reset()
         if neighbour.live:
             neighbour.tell(LeaveView())
         self._changed.set()
--- a/src/sardinetrack/views/watcher.py
+++ b/src/sardinetrack/views/watcher.py
@@ -1,4 +1,4 @@
-"""Watch the store for instances that ask, and tell them what changes."""
+"""Watches the store for its subscribers and sends them the changes."""
 
 from __future__ import annotations
 
@@ -18,51 +18,57 @@
 from sardinetrack.views.api import Follower
 from sardinetrack.views.messages import (
     FromWatcher,
-    ToldObject,
     ViewConfirmed,
     ViewLost,
+    ViewObject,
     ViewObjects,
-    told,
+    encode_object,
 )
 
 WATCH_SECONDS: Final = 1.0
-"""How long a watcher's call waits whose answers confirm the configuration.
+"""How long a watcher's call waits whose responses confirm the configuration.
 
-Followers take a longer pause for a loss; it costs one call a second for all
-of them together.
+Subscribers take a longer time without confirmation for a loss. It costs one
+call a second for all of them together.
 """
 SLOW_WATCH_SECONDS: Final = 2.0
-"""The same of a kind of objects whose view needs no age."""
+"""The same for objects whose view needs no bound on its age."""
 IDLE_SECONDS: Final = 1.0
-"""How long the store is watched on after the last follower has left."""
+"""How long the store is still watched after the last subscriber has left."""
 
 
 @dataclass(slots=True)
 class _Clock:
-    """How a follower's boot clock stands to this one's."""
+    """Offset between the boot clocks of a subscriber and this instance."""
 
     stamp_seconds: float
+    """By the subscriber's clock, when it sent its last message."""
     received_seconds: float
+    """By this instance's clock, when that message arrived."""
 
     def at(self, own_seconds: float) -> float:
-        """Tell the follower's time; never later than the true one.
+        """Convert a time to the subscriber's clock, never too late.
 
-        The stamp was older than it says when it came, by its way here. What
-        waits in a buffer while an end is suspended so only looks older.
+        The result is too early by the time that the message was in transit. A
+        view that waits in a buffer while an instance is suspended thus can
+        only look too old.
         """
         return self.stamp_seconds + own_seconds - self.received_seconds
 
 
 class Feeds(ABC):
-    """Makes the ways to the store."""
+    """Makes the feeds that read the store."""
 
     @abstractmethod
     def open(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
-        """Make a feed for each mirror, by prefix."""
+        """Make a feed for each mirror.
+
+        :param mirrors: by prefix.
+        """
 
 
 class Watcher:
-    """Follows the store while somebody asks for its word."""
+    """Watches the store while it has subscribers."""
 
     def __init__(
         self,
@@ -71,8 +77,9 @@
         log: EventLog,
         clock: Callable[[], float] = boot_clock,
     ) -> None:
-        """Prepare.
+        """Start without subscribers.
 
+        :param feeds: makes the feeds when the first subscriber arrives.
         :param prefixes: of the kinds of objects that are watched.
         :param clock: the boot clock, in seconds.
         """
@@ -80,13 +87,13 @@
         self._feeds = feeds
         self._log = log
         self._mirrors = {one: Mirror(one, self) for one in prefixes}
-        self._followers: dict[Follower, _Clock] = {}
+        self._subscribers: dict[Follower, _Clock] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self._idle: asyncio.TimerHandle | None = None
         self._stack = ExitStack()
 
     def __enter__(self) -> Self:
-        """Watch nothing yet."""
+        """Return itself; the store is watched from the first subscriber on."""
         self._stack.callback(self._stop)
         return self
 
@@ -101,44 +108,51 @@
 
     @property
     def followers(self) -> int:
-        """Count those that are told."""
-        return len(self._followers)
+        """Number of subscribers."""
+        return len(self._subscribers)
+
+    def follow(self, subscriber: Follower, stamp_seconds: float) -> None:
+        """Add a subscriber: send it all objects, and then every change.
 
-    def follow(self, follower: Follower, stamp_seconds: float) -> None:
-        """Tell a follower all there is, and then every change."""
-        self._followers[follower] = _Clock(stamp_seconds, self._clock())
+        :param stamp_seconds: its boot clock when it subscribed.
+        """
+        self._subscribers[subscriber] = _Clock(stamp_seconds, self._clock())
         if self._idle is not None:
             self._idle.cancel()
             self._idle = None
         if not self._tasks:
             self._start()
         for mirror in self._mirrors.values():
-            mirror.introduce(follower)
+            mirror.send_all(subscriber)
 
-    def stamp(self, follower: Follower, stamp_seconds: float) -> None:
-        """Learn a follower's clock anew."""
-        clock = self._followers.get(follower)
+    def stamp(self, subscriber: Follower, stamp_seconds: float) -> None:
+        """Update a subscriber's clock."""
+        clock = self._subscribers.get(subscriber)
         if clock is not None:
             clock.stamp_seconds = stamp_seconds
             clock.received_seconds = self._clock()
 
-    def leave(self, follower: Follower) -> None:
-        """Tell a follower no more."""
-        self._followers.pop(follower, None)
-        if not self._followers and self._tasks and self._idle is None:
+    def leave(self, subscriber: Follower) -> None:
+        """Remove a subscriber."""
+        self._subscribers.pop(subscriber, None)
+        if not self._subscribers and self._tasks and self._idle is None:
             loop = asyncio.get_running_loop()
             self._idle = loop.call_later(IDLE_SECONDS, self._stop)
 
-    def tell(self, message: FromWatcher) -> None:
-        """Tell everybody."""
-        for follower in list(self._followers):
-            follower.tell(message)
+    def broadcast(self, message: FromWatcher) -> None:
+        """Send a message to all subscribers."""
+        for subscriber in list(self._subscribers):
+            subscriber.tell(message)
 
-    def confirm(self, prefix: str, asked_seconds: float) -> None:
-        """Tell everybody, by their own clocks, when a view was whole."""
-        for follower, clock in list(self._followers.items()):
+    def broadcast_confirmation(
+        self,
+        prefix: str,
+        asked_seconds: float,
+    ) -> None:
+        """Send all subscribers when a view was complete, by their clocks."""
+        for subscriber, clock in list(self._subscribers.items()):
             at_seconds = clock.at(asked_seconds)
-            follower.tell(ViewConfirmed(prefix, at_seconds))
+            subscriber.tell(ViewConfirmed(prefix, at_seconds))
 
     def _start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -167,38 +181,42 @@
 
 
 class Mirror(FeedFollower):
-    """One kind of objects as the store has it, and as it is told."""
+    """Copy of one kind of objects of the store, sent to the subscribers."""
 
     def __init__(self, prefix: str, watcher: Watcher) -> None:
-        """Start with nothing."""
+        """Start without objects.
+
+        :param prefix: of the keys of the objects.
+        :param watcher: sends the changes to its subscribers.
+        """
         self._prefix = prefix
         self._watcher = watcher
-        self._objects: dict[str, ToldObject] | None = None
+        self._objects: dict[str, ViewObject] | None = None
         self._revision = 0
-        self._changes: list[ToldObject] = []
+        self._changes: list[ViewObject] = []
 
     def clear(self) -> None:
-        """Forget what is not kept up to date any more."""
+        """Discard the objects, which are no longer kept up to date."""
         self._objects = None
         self._changes = []
 
-    def introduce(self, follower: Follower) -> None:
-        """Tell a new follower all there is."""
+    def send_all(self, subscriber: Follower) -> None:
+        """Send a new subscriber all objects."""
         if self._objects is not None:
-            follower.tell(self._all(self._objects))
+            subscriber.tell(self._full_view(self._objects))
 
     def listed(self, listing: Listing) -> None:
-        """Take over all objects."""
+        """Replace all objects and send them."""
         self._revision = listing.revision
         self._changes = []
-        self._objects = {one.key: told(one) for one in listing.objects}
-        self._watcher.tell(self._all(self._objects))
+        self._objects = {one.key: encode_object(one) for one in listing.objects}
+        self._watcher.broadcast(self._full_view(self._objects))
 
     def changed(self, stored: StoredObject) -> None:
-        """Take one change; it is told with the answer that brought it."""
+        """Apply one change; it is sent with all others of its response."""
         if self._objects is None:
             return
-        one = told(stored)
+        one = encode_object(stored)
         self._revision = max(self._revision, one.version)
         self._changes.append(one)
         self._objects.pop(one.key, None)
@@ -206,28 +224,30 @@
             self._objects[one.key] = one
 
     def confirmed(self, asked_seconds: float) -> None:
-        """Tell the changes, and that there are no others."""
+        """Send the changes, and a confirmation that there are no others."""
         if self._changes:
             changes = tuple(self._changes)
             self._changes = []
-            self._watcher.tell(
+            self._watcher.broadcast(
                 ViewObjects(
                     self._prefix,
                     self._revision,
-                    whole=False,
+                    complete=False,
                     objects=changes,
                 ),
             )
-        self._watcher.confirm(self._prefix, asked_seconds)
+        self._watcher.broadcast_confirmation(self._prefix, asked_seconds)
 
     def lost(self) -> None:
-        """Tell that the store does not answer here."""
-        self._watcher.tell(ViewLost(f'{self._prefix} unread at the neighbour'))
+        """Report that the store does not respond to this instance."""
+        self._watcher.broadcast(
+            ViewLost(f'{self._prefix} unreadable at the neighbour')
+        )
 
-    def _all(self, objects: Mapping[str, ToldObject]) -> ViewObjects:
+    def _full_view(self, objects: Mapping[str, ViewObject]) -> ViewObjects:
         return ViewObjects(
             self._prefix,
             self._revision,
-            whole=True,
+            complete=True,
             objects=tuple(objects.values()),
         )
--- a/tests/views/steps/choice_steps.py
+++ b/tests/views/steps/choice_steps.py
@@ -23,7 +23,7 @@
     return ranked[0]
 
 
-@then('each entry of a domain asks the same side of that domain first')
+@then('each entry of a domain prefers the same side of that domain')
 def same_in_domain(context):
     for domain in set(context.domains.values()):
         first = _first(context, domain)
@@ -31,12 +31,12 @@
         assert first == _first(context, domain)
 
 
-@then('all entries ask the same side first')
+@then('all entries prefer the same side')
 def same_for_all(context):
     domains = set(context.domains.values())
     assert len({_first(context, domain) for domain in domains}) == 1
 
 
-@then('an entry in {domain} asks some side')
+@then('an entry in {domain} prefers some side')
 def some_side(context, domain):
     assert _first(context, domain) in context.domains
--- a/tests/views/steps/view_steps.py
+++ b/tests/views/steps/view_steps.py
@@ -1,4 +1,4 @@
-"""Steps for views that a neighbour lends, on virtual time."""
+"""Steps for borrowed views, on virtual time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sardinetrack.store.api import Listing, StoredObject
 from sardinetrack.topology.servers import RELIST_GRACE_SECONDS
 from sardinetrack.views.borrowed import BorrowedView
-from sardinetrack.views.messages import ToldObject, ViewConfirmed, ViewObjects
+from sardinetrack.views.messages import ViewConfirmed, ViewObject, ViewObjects
 
 
 @given('{entries:d} entries, {sides:d} sides and a store with a configuration')
@@ -63,7 +63,7 @@
 
 @then('every entry has had each change within {seconds:f} seconds')
 def had_each(context, seconds):
-    # The first seconds are those in which nobody knows the configuration.
+    # No entry has the configuration in the first seconds.
     assert max(context.delays[2:]) <= seconds, context.delays
 
 
@@ -73,17 +73,17 @@
     assert total <= calls, context.world.table.calls
 
 
-@when('the watcher hears nothing more of the store')
+@when('the watcher receives nothing more from the store')
 def silence(context):
     context.world.watcher.way.silent = True
 
 
-@when('the watcher dies')
-def kill(context):
-    context.dead = context.world.watcher
+@when('the watcher crashes')
+def crash(context):
+    context.crashed = context.world.watcher
 
     async def play():
-        context.world.kill(context.dead)
+        context.world.kill(context.crashed)
 
     _run(context, play())
 
@@ -110,31 +110,31 @@
 @then('another side watches within {seconds:d} seconds')
 def other_watches(context, seconds):
     _run(context, asyncio.sleep(seconds))
-    followers = context.world.watcher.watcher.followers
-    assert context.world.watcher is not context.dead
-    assert followers == len(context.world.entries), followers
+    subscribers = context.world.watcher.watcher.followers
+    assert context.world.watcher is not context.crashed
+    assert subscribers == len(context.world.entries), subscribers
 
 
-@when('entry {number:d} is cut from the store')
-def cut(context, number):
+@when('entry {number:d} is disconnected from the store')
+def disconnect(context, number):
     context.world.entries[number - 1].way.silent = True
 
 
 @then('the view of entry {number:d} is at most {seconds:f} seconds old')
-def is_young(context, number, seconds):
+def is_fresh(context, number, seconds):
     age = context.world.entries[number - 1].age_seconds
     assert age <= seconds, age
 
 
 @when('entry {number:d} is suspended for {seconds:d} seconds')
 def suspend(context, number, seconds):
-    """Let the neighbour's words wait; the own timers don't run either."""
+    """Buffer the neighbour's messages; the entry's timers don't run either."""
 
     async def play():
         entry = context.world.entries[number - 1]
         entry.suspended = True
         entry.task.cancel()
-        # Long enough for one confirmation to be told into the buffer.
+        # Long enough for one confirmation to arrive in the buffer.
         await asyncio.sleep(1.1)
         waiting = list(entry.buffer)
         await asyncio.sleep(seconds - 1.1)
@@ -146,13 +146,16 @@
     _run(context, play())
 
 
-@then('the view of entry {number:d} looks {seconds:d} seconds old on waking')
+@then(
+    'the view of entry {number:d} looks {seconds:d} seconds old '
+    'after the suspension',
+)
 def looks_old(context, number, seconds):
     age = context.world.entries[number - 1].age_seconds
     assert age >= seconds, age
 
 
-@when('the store is away for {seconds:d} seconds')
+@when('the store is unreachable for {seconds:d} seconds')
 def outage(context, seconds):
     async def play():
         table = context.world.table
@@ -167,8 +170,8 @@
     _run(context, play())
 
 
-@when('the store cuts the watches')
-def cut_watches(context):
+@when('the store ends the watches')
+def end_watches(context):
     async def play():
         table = context.world.table
         context.calls_before = dict(table.calls)
@@ -192,7 +195,7 @@
             assert calls == context.calls_before[name], name
 
 
-@then('it was called at most {calls:d} times meanwhile')
+@then('it was called at most {calls:d} times during that time')
 def seldom_called(context, calls):
     before = sum(context.calls_before.values())
     assert sum(context.calls_after.values()) - before <= calls
@@ -206,16 +209,16 @@
         assert confirmed >= context.returned - 0.1, entry.age_seconds
 
 
-@then('at most {count:d} sides watch and every entry follows one')
-def all_follow(context, count):
-    followers = [
+@then('at most {count:d} sides watch and every entry subscribes to one')
+def all_subscribe(context, count):
+    subscribers = [
         side.watcher.followers for side in context.world.sides if side.watches
     ]
-    assert len(followers) <= count, followers
-    assert sum(followers) == len(context.world.entries), followers
+    assert len(subscribers) <= count, subscribers
+    assert sum(subscribers) == len(context.world.entries), subscribers
 
 
-@then('every entry keeps servers that vanish around the outage')
+@then('every entry keeps servers that are not listed around the outage')
 def keeps_servers(context):
     _run(context, asyncio.sleep(1))
     for entry in context.world.entries:
@@ -233,7 +236,7 @@
 
 
 @then('no side watches after {seconds:d} seconds')
-def nobody_watches(context, seconds):
+def none_watches(context, seconds):
     async def play():
         await asyncio.sleep(seconds)
         before = context.world.table.calls.total()
@@ -244,7 +247,7 @@
 
 
 @given('an entry that has read the store at {seconds:f} seconds')
-def own_view(context, seconds):
+def direct_view(context, seconds):
     loop = VirtualTimeLoop()
     context.add_cleanup(loop.close)
     context.now = seconds
@@ -257,59 +260,61 @@
     return StoredObject(f'{CONFIG}{name}', version, b'{}')
 
 
-@when('a neighbour tells a view that was whole at {seconds:f} seconds')
-def neighbour_tells(context, seconds):
-    _tell(context, ('lent',), 6, seconds)
+@when('a neighbour sends a view that was complete at {seconds:f} seconds')
+def send_view(context, seconds):
+    _send(context, ('lent',), 6, seconds)
 
 
 @when('a change of the object reaches the entry at {seconds:f} seconds')
-def own_change(context, seconds):
+def change_directly(context, seconds):
     context.now = seconds
     context.view.changed(_object('own', 8))
 
 
 @when('a deletion reaches the entry at {seconds:f} seconds')
-def own_deletion(context, seconds):
+def delete_directly(context, seconds):
     context.now = seconds
-    gone = StoredObject(f'{CONFIG}own', 8, b'', deleted=True)
-    context.view.changed(gone)
+    removed = StoredObject(f'{CONFIG}own', 8, b'', deleted=True)
+    context.view.changed(removed)
 
 
 @when(
-    'a neighbour tells the changed object, whole at {seconds:f} seconds',
+    'a neighbour sends the changed object, complete at {seconds:f} seconds',
 )
-def neighbour_tells_change(context, seconds):
-    _tell(context, ('own', 'lent'), 8, seconds)
+def send_change(context, seconds):
+    _send(context, ('own', 'lent'), 8, seconds)
 
 
-def _tell(context, names, version, seconds):
-    lent = tuple(
-        ToldObject(f'{CONFIG}{name}', version, b'{}', deleted=False)
+def _send(context, names, version, seconds):
+    sent = tuple(
+        ViewObject(f'{CONFIG}{name}', version, b'{}', deleted=False)
         for name in names
     )
     view = context.view
-    view.told(ViewObjects(CONFIG, version, whole=True, objects=lent))
-    view.sure(ViewConfirmed(CONFIG, seconds))
+    view.receive_objects(
+        ViewObjects(CONFIG, version, complete=True, objects=sent),
+    )
+    view.receive_confirmation(ViewConfirmed(CONFIG, seconds))
     if view.ready:
         view.borrow()
 
 
-@when('the own feed brings an older object')
-def own_late(context):
+@when('the direct feed delivers an older object')
+def deliver_late(context):
     context.view.listed(Listing(5, (_object('own', 5),)))
     context.view.changed(_object('own', 5))
 
 
-@then("the entry's own view stays in force")
-def own_in_force(context):
+@then("the entry's direct view stays in effect")
+def direct_in_effect(context):
     assert set(context.taker.known) == {f'{CONFIG}own'}
 
 
-@then("the neighbour's view is in force")
-def lent_in_force(context):
+@then("the neighbour's view is in effect")
+def borrowed_in_effect(context):
     assert f'{CONFIG}lent' in context.taker.known
 
 
-@then("the neighbour's view is not in force")
-def lent_not_in_force(context):
+@then("the neighbour's view is not in effect")
+def borrowed_not_in_effect(context):
     assert f'{CONFIG}lent' not in context.taker.known
--- a/tests/views/view.feature
+++ b/tests/views/view.feature
@@ -1,8 +1,9 @@
-Feature: A view of the store that a neighbour lends
+Feature: A view of the store borrowed from a neighbour
 
-  The store answers some thousand calls a second, and its rates grow more
-  slowly than the fleet. One instance of a failure domain watches for all.
-  The load is that of the users' grown sheet: 26 entries, one change a second.
+  The store responds to some thousand calls a second, and this rate grows more
+  slowly than the fleet. One instance of a failure domain watches for all. The
+  load is that of the users' enlarged deployment: 26 entries, one change a
+  second.
 
   Scenario: One watcher calls the store for all entries
     Given 26 entries, 3 sides and a store with a configuration
@@ -10,114 +11,115 @@
     Then every entry has had each change within 0.3 seconds
     And the store got at most 500 calls
 
-  Scenario: An older view is never taken for a newer one
-    The neighbour was cut from the store before a server began to leave. This
-    entry has read of it. Were the neighbour's list taken, the server would
-    get work again.
+  Scenario: An older view never replaces a newer one
+    The neighbour was disconnected from the store before a server began to
+    drain. This entry has read the change. With the neighbour's list the server
+    would get work again.
 
     Given an entry that has read the store at 10.0 seconds
-    When a neighbour tells a view that was whole at 9.9 seconds
-    Then the entry's own view stays in force
-    When a neighbour tells a view that was whole at 10.1 seconds
-    Then the neighbour's view is in force
+    When a neighbour sends a view that was complete at 9.9 seconds
+    Then the entry's direct view stays in effect
+    When a neighbour sends a view that was complete at 10.1 seconds
+    Then the neighbour's view is in effect
 
-  Scenario: Objects that are all as new do as well while changes come fast
+  Scenario: A view with equally new objects is accepted while changes are frequent
     Given an entry that has read the store at 10.0 seconds
     When a change of the object reaches the entry at 11.0 seconds
-    And a neighbour tells the changed object, whole at 10.5 seconds
-    Then the neighbour's view is in force
+    And a neighbour sends the changed object, complete at 10.5 seconds
+    Then the neighbour's view is in effect
 
-  Scenario: A deletion can't be told from a creation by its versions
-    The entry has read that a server is gone; the neighbour still lists it.
+  Scenario: Versions don't distinguish a deletion from a creation
+    The entry has read that a server was removed; the neighbour still lists it.
 
     Given an entry that has read the store at 10.0 seconds
     When a deletion reaches the entry at 11.0 seconds
-    And a neighbour tells the changed object, whole at 10.5 seconds
-    Then the neighbour's view is not in force
+    And a neighbour sends the changed object, complete at 10.5 seconds
+    Then the neighbour's view is not in effect
 
-  Scenario: What the own feed reads once the neighbour's view is in force
-    The own feed is being stopped. An answer that was on its way to it is
-    older than what the neighbour has told since.
+  Scenario: The direct feed is ignored once the neighbour's view is in effect
+    The direct feed is being stopped. A response that was in transit to it is
+    older than what the neighbour has sent since.
 
     Given an entry that has read the store at 10.0 seconds
-    When a neighbour tells a view that was whole at 10.1 seconds
-    And the own feed brings an older object
-    Then the neighbour's view is in force
+    When a neighbour sends a view that was complete at 10.1 seconds
+    And the direct feed delivers an older object
+    Then the neighbour's view is in effect
 
-  Scenario: A watcher that was cut from the store silently
-    Its connection to the store says nothing any more, and nothing else
-    shows. A key is taken away meanwhile; the entries must know in 2 s.
+  Scenario: A watcher that is silently disconnected from the store
+    Its connection to the store delivers nothing any more, without any error. A
+    key is revoked during that time; the entries must know within 2 s.
 
     Given 5 entries, 2 sides and a store with a configuration
     When they have run for 10 seconds
-    And the watcher hears nothing more of the store
+    And the watcher receives nothing more from the store
     And a change is made
     Then every entry has the change within 1.8 seconds
 
-  Scenario: A watcher that dies
+  Scenario: A watcher that crashes
     Given 5 entries, 2 sides and a store with a configuration
     When they have run for 10 seconds
-    And the watcher dies
+    And the watcher crashes
     And a change is made
     Then every entry has the change within 0.5 seconds
     And another side watches within 10 seconds
 
-  Scenario: A watcher that the store refuses is left when it is late
+  Scenario: A watcher that the store refuses is left after the timeout
     Given 5 entries, 2 sides and a store with a configuration
     When they have run for 10 seconds
     And the store refuses the watcher
     And a change is made
     Then every entry has the change within 1.8 seconds
 
-  Scenario: A store that drops its history cuts every watch
-    The watcher's call fails once and the next one succeeds. Were it left at
-    that, all entries would list everything anew at the same moment.
+  Scenario: A store that drops its history ends every watch
+    The watcher's call fails once and the next one succeeds. If the entries left
+    it at the failure, all of them would list everything again at the same time.
 
     Given 26 entries, 3 sides and a store with a configuration
     When they have run for 10 seconds
-    And the store cuts the watches
+    And the store ends the watches
     Then no entry has called the store in the next 5 seconds
-    And every entry keeps servers that vanish around the outage
+    And every entry keeps servers that are not listed around the outage
 
-  Scenario: An entry that is cut from the store goes on by its neighbour
-    Keyed work stops when the view of the keys is older than the bound. The
-    neighbour still reads the store, so the entry's view stays young.
+  Scenario: An entry without the store continues through its neighbour
+    Requests with an API key are refused when the view of the keys is older than
+    the bound. The neighbour still reads the store, so the entry's view stays
+    fresh.
 
     Given 5 entries, 2 sides and a store with a configuration
     When they have run for 10 seconds
-    And entry 1 is cut from the store
+    And entry 1 is disconnected from the store
     And they have run for 20 seconds
     Then the view of entry 1 is at most 2.5 seconds old
 
-  Scenario: An entry that was suspended doesn't trust what waited for it
-    The neighbour's confirmation lay in the socket's buffer for six seconds
-    while the entry was suspended. Read now, it says what was true then; a
-    key that was revoked meanwhile must not run.
+  Scenario: An entry that was suspended counts buffered confirmations as old
+    The neighbour's confirmation was in the socket's buffer for six seconds
+    while the entry was suspended. It confirms what was true then; requests with
+    a key revoked during that time must not run.
 
     Given 5 entries, 2 sides and a store with a configuration
     When they have run for 10 seconds
     And entry 1 is suspended for 6 seconds
-    Then the view of entry 1 looks 5 seconds old on waking
+    Then the view of entry 1 looks 5 seconds old after the suspension
 
-  Scenario: An outage of the store is not made worse by those who wait for it
-    Everybody asks whether it is back. An entry whose neighbour asks too asks
-    seldom, and hears of the return from the neighbour.
+  Scenario: Retries don't overload a store that is unreachable
+    Every instance retries. An entry whose neighbour retries too does so less
+    often, and the neighbour reports the return of the store to it.
 
     Given 26 entries, 24 sides and a store with a configuration
     When they have run for 10 seconds
-    And the store is away for 10 seconds
-    Then it was called at most 500 times meanwhile
+    And the store is unreachable for 10 seconds
+    Then it was called at most 500 times during that time
     And every entry reads it again within 0.7 seconds
-    And every entry keeps servers that vanish around the outage
+    And every entry keeps servers that are not listed around the outage
 
-  Scenario: After an outage all follow a watcher again
+  Scenario: After an outage all entries subscribe to a watcher again
     Given 26 entries, 24 sides and a store with a configuration
     When they have run for 10 seconds
-    And the store is away for 10 seconds
+    And the store is unreachable for 10 seconds
     And they have run for 50 seconds
-    Then at most 3 sides watch and every entry follows one
+    Then at most 3 sides watch and every entry subscribes to one
 
-  Scenario: Nobody follows any more
+  Scenario: A watcher without subscribers stops
     Given 5 entries, 2 sides and a store with a configuration
     When they have run for 10 seconds
     And all entries stop
