--- a/src/sardinetrack/admission/__init__.py
+++ b/src/sardinetrack/admission/__init__.py
@@ -1,3 +1,6 @@
-"""Decisions of a side: which waiting request starts next. No I/O."""
+"""Admission decisions of a side: which queued request starts next. No I/O.
+
+A side is the sidecar process of a backend server, which admits requests to it.
+"""
 
 from __future__ import annotations
--- a/src/sardinetrack/admission/api.py
+++ b/src/sardinetrack/admission/api.py
@@ -1,8 +1,8 @@
-"""Types of a side's decisions: events in, effects out.
+"""Interface of a side's admission: events in, effects out.
 
-Every method of a decision object takes the time first, in seconds of a
+Every method of an admission object takes the time first, in seconds of a
 monotonic clock that the caller owns, and returns effects for the caller to
-carry out. Decision objects do no I/O.
+carry out. Admission objects do no I/O.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached the side; its body is held by the daemon."""
+    """A request that reached the side; the daemon keeps its body."""
 
     attempt_id: str
     entry: str
@@ -26,7 +26,7 @@
     tag: float
     hint_cost: float
     grant: int
-    """0 for a request sent on the chance of a free slot."""
+    """Number of its grant; 0 if it was sent without one, for any free slot."""
     wait_seconds: float
     fingerprint: str = ''
     suspect: bool = False
@@ -34,7 +34,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a side did not start an arrival; it never will."""
+    """Why a side did not start a request; a refused attempt never starts."""
 
     BUSY = 'busy'
     DRAINING = 'draining'
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Hand the request to the backend server now."""
+    """Send the request to the backend server now."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the entry that the request was not started."""
+    """Respond to the entry that the request was not started."""
 
     attempt_id: str
     reason: RefusalReason
@@ -83,11 +83,11 @@
 
 
 class Admission(ABC):
-    """Owns the slots of one backend server."""
+    """Allocates the slots of one backend server."""
 
     @abstractmethod
     def arrive(self, now: float, arrival: Arrival) -> Sequence[SideEffect]:
-        """Start, hold back or refuse a request that reached the side."""
+        """Start, queue or refuse a request that reached the side."""
 
     @abstractmethod
     def bids(
@@ -105,7 +105,7 @@
         entry: str,
         number: int,
     ) -> Sequence[SideEffect]:
-        """Take back a slot that an entry has no use for."""
+        """Reclaim the slot of a grant that an entry declined."""
 
     @abstractmethod
     def entry_lost(self, now: float, entry: str) -> Sequence[SideEffect]:
@@ -123,8 +123,8 @@
     ) -> Sequence[SideEffect]:
         """Free the slot of a request that ended.
 
-        :param whole: the backend server's answer was complete.
-        :param stopped: it was not whole, and the side itself had ended it.
+        :param whole: the backend server's response was complete.
+        :param stopped: it was not complete because the side cancelled it.
         :param cost: what it cost, in cost units of the pool.
         """
 
@@ -136,23 +136,25 @@
         *,
         cancel: bool,
     ) -> tuple[Fate, Sequence[SideEffect]]:
-        """Tell the fate of an attempt.
+        """Return the status of an attempt, for a status query.
 
-        One that is not started never will be after this answer.
+        An attempt that has not started is tombstoned and never starts.
+
+        :param cancel: cancel the attempt if it is running.
         """
 
     @abstractmethod
     def resize(self, now: float, limit: int) -> Sequence[SideEffect]:
-        """Change how many requests may run at once."""
+        """Change how many requests may run concurrently."""
 
     @abstractmethod
     def drain(self, now: float) -> Sequence[SideEffect]:
-        """Take no new work; running work finishes."""
+        """Accept no new requests; running requests finish."""
 
     @abstractmethod
     def tick(self, now: float) -> Sequence[SideEffect]:
-        """Expire grants, held requests and old records."""
+        """Expire grants, queued requests and old records."""
 
     @abstractmethod
     def load(self) -> SideLoad:
-        """Describe what the side can take now."""
+        """Return the load report of the side."""
--- a/src/sardinetrack/admission/ask.py
+++ b/src/sardinetrack/admission/ask.py
@@ -1,4 +1,4 @@
-"""A request that would like to go to a model engine, and the verdict on it."""
+"""A request for a permit to use a model engine, and the decision on it."""
 
 from __future__ import annotations
 
@@ -6,50 +6,52 @@
 from dataclasses import dataclass
 from typing import Final
 
-_ANSWER_WEIGHT: Final = 2.0
-"""Tokens generated count twice (the platform's pages)."""
+_OUTPUT_WEIGHT: Final = 2.0
+"""The platform's documentation counts generated tokens twice."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """A request that would like to go to the engine."""
+    """A request for a permit to send one request to the engine."""
 
     ask_id: str
     workspace: str
     new_tokens: int
-    """Prompt tokens that the engine would have to read."""
+    """Prompt tokens that the engine would have to prefill."""
     kept_tokens: int
-    """Tokens that it adds to the engine's memory, those of the answer too."""
+    """Tokens that it adds to the engine's KV cache, generated ones included."""
     answer_tokens: int
     patience_seconds: float
-    """How long it may wait at the most."""
+    """Maximum wait for the permit."""
     priority: int = 0
     entry: str = ''
     served_tokens: float = 0
-    """What the entry has had served to the workspace lately, anywhere."""
+    """Service that the workspace recently received through this entry, at all
+    servers."""
     part: str = ''
-    """The shared part that the engine holds when the request has begun."""
+    """Shared prefix that the engine caches once it has prefilled the request.
+    """
     due_seconds: float = math.inf
-    """From now to the moment at which its first event is late."""
+    """From now to the moment after which its first event is late."""
     ends_seconds: float = math.inf
-    """From now to the moment at which its caller waits no longer."""
+    """From now to its caller's deadline."""
     fingerprint: str = ''
     """Stays the same when the caller sends the request again."""
     returned_seconds: float = 0
-    """How long before it was refused, as far as the entry knows."""
+    """Time since the request was first refused, as far as the entry knows."""
 
     @property
     def is_late(self) -> bool:
         """Whether its first event is late already.
 
-        Its caller has come back after a refusal, and waits on.
+        The caller has retried after a refusal and is still waiting.
         """
         return self.due_seconds <= 0
 
     @property
     def cost(self) -> float:
-        """Service that it takes, in tokens."""
-        return self.new_tokens + _ANSWER_WEIGHT * self.answer_tokens
+        """Service that it receives, in tokens."""
+        return self.new_tokens + _OUTPUT_WEIGHT * self.answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +69,7 @@
     retry_after_seconds: float
     waited_seconds: float
     ahead_tokens: int
-    """What was to be read before it."""
+    """Prompt tokens to prefill before it."""
 
 
 Verdict = Granted | Refused
--- a/src/sardinetrack/admission/book.py
+++ b/src/sardinetrack/admission/book.py
@@ -1,4 +1,4 @@
-"""The side's record of attempts: the only judge of what was started."""
+"""The side's record of attempts: only it decides what was started."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from sardinetrack.messages.run import Fate
 
 KEEP_SECONDS: Final = 900.0
-"""How long an ended attempt is remembered; entries ask much sooner."""
+"""How long an ended attempt is kept; entries query its status much sooner."""
 MAX_ENDED: Final = 65_536
 
 
 class AttemptState(StrEnum):
-    """Where an attempt stands at the side."""
+    """State of an attempt at the side."""
 
     UNSEEN = 'unseen'
     HELD = 'held'
@@ -42,7 +42,7 @@
 
 _CHART: Final = TypedChart('attempt', AttemptState, AttemptEvent)
 _LIVE: Final = frozenset((AttemptState.HELD, AttemptState.RUNNING))
-_FATES: Final = MappingProxyType(
+_STATUSES: Final = MappingProxyType(
     {
         AttemptState.RUNNING: Fate.RUNNING,
         AttemptState.FINISHED: Fate.FINISHED,
@@ -59,34 +59,34 @@
     ended_seconds: float
 
 
-class AttemptBook:
-    """States of attempts, bounded in number and age."""
+class AttemptRegistry:
+    """States of attempts, limited in number and age."""
 
     def __init__(self, max_ended: int = MAX_ENDED) -> None:
-        """Start empty.
+        """Create an empty registry.
 
-        :param max_ended: ended attempts remembered at most.
+        :param max_ended: maximum number of ended attempts to keep.
         """
         self._max_ended = max_ended
         self._live: dict[str, AttemptState] = {}
         self._ended: OrderedDict[str, _Ended] = OrderedDict()
-        self._blind_until_seconds = float('-inf')
+        self._incomplete_until_seconds = float('-inf')
 
     def state(self, attempt_id: str) -> AttemptState:
-        """Find the state of an attempt."""
+        """Return the state of an attempt."""
         live = self._live.get(attempt_id)
         if live is not None:
             return live
         ended = self._ended.get(attempt_id)
         return _CHART.initial if ended is None else ended.state
 
-    def note(self, now: float, attempt_id: str, event: AttemptEvent) -> None:
-        """Move an attempt along its chart.
+    def apply(self, now: float, attempt_id: str, event: AttemptEvent) -> None:
+        """Move an attempt along its state chart.
 
         :param now: monotonic time.
         :param attempt_id: the attempt.
         :param event: what happened to it.
-        :raises IllegalEventError: it can't happen to it any more.
+        :raises IllegalEventError: its state has no transition for the event.
         """
         before = self.state(attempt_id)
         after = _CHART.after(before, event)
@@ -95,25 +95,25 @@
         elif after is not before:
             self._end(now, attempt_id, after)
 
-    def ask(self, now: float, attempt_id: str) -> Fate:
-        """Tell a fate; an attempt that was not started never will be.
+    def final_status(self, now: float, attempt_id: str) -> Fate:
+        """Return the status; an attempt that has not started never will.
 
-        A record pushed out by newer ones may be of an attempt that ran, so
-        nothing unseen is called "not started" until its age would have
-        ended it anyway.
+        A record evicted by newer ones may be of an attempt that ran, so no
+        unseen attempt is reported as "not started" until the evicted record
+        would have expired by age.
 
         :param now: monotonic time.
         :param attempt_id: the attempt.
-        :return: its fate, binding when it is not started.
+        :return: its status; if it is not started, that is final.
         """
         unseen = self.state(attempt_id) is AttemptState.UNSEEN
-        self.note(now, attempt_id, AttemptEvent.ASK)
-        if unseen and now < self._blind_until_seconds:
+        self.apply(now, attempt_id, AttemptEvent.ASK)
+        if unseen and now < self._incomplete_until_seconds:
             return Fate.UNKNOWN
-        return _FATES[self.state(attempt_id)]
+        return _STATUSES[self.state(attempt_id)]
 
-    def forget(self, now: float) -> None:
-        """Drop records that are too old to be asked for."""
+    def drop_expired(self, now: float) -> None:
+        """Drop records too old for a status query."""
         while self._ended:
             oldest = next(iter(self._ended.values()))
             if oldest.ended_seconds + KEEP_SECONDS > now:
@@ -125,8 +125,8 @@
         self._ended[attempt_id] = _Ended(state, now)
         if len(self._ended) > self._max_ended:
             _, oldest = self._ended.popitem(last=False)
-            forgotten_until = oldest.ended_seconds + KEEP_SECONDS
-            self._blind_until_seconds = max(
-                self._blind_until_seconds,
-                forgotten_until,
+            evicted_until = oldest.ended_seconds + KEEP_SECONDS
+            self._incomplete_until_seconds = max(
+                self._incomplete_until_seconds,
+                evicted_until,
             )
--- a/src/sardinetrack/admission/pace.py
+++ b/src/sardinetrack/admission/pace.py
@@ -1,4 +1,4 @@
-"""How fast an engine reads, and when it will have read what it was given."""
+"""How fast an engine prefills, and when it will have done what was granted."""
 
 from __future__ import annotations
 
@@ -6,162 +6,166 @@
 from dataclasses import dataclass
 from typing import Final
 
-FIRST_RATE_TOKENS: Final = 40_000.0
-"""Prompt tokens a second taken for an engine that has shown nothing yet."""
+INITIAL_RATE_TOKENS: Final = 40_000.0
+"""Prompt tokens a second assumed for an engine without measurements."""
 _RATE_TOKENS: Final = 60_000.0
-"""Read tokens over which the rate is a mean: about a second's reading. Shorter
-spans follow the length of single prompts, longer ones a slow engine late."""
-_LEAST_RATE_PART: Final = 0.04
-_MOST_RATE_PART: Final = 8.0
+"""Prefilled tokens over which the rate is averaged: about a second's work.
+Shorter spans follow the length of single prompts, longer ones notice a slow
+engine late."""
+_MIN_RATE_FACTOR: Final = 0.04
+_MAX_RATE_FACTOR: Final = 8.0
 _ALONE_GAIN: Final = 0.15
-"""Part of its error by which a prompt alone at the engine corrects: seven
-such prompts, a second of a calm day."""
+"""Fraction of its error by which a prompt alone at the engine corrects: about
+seven such prompts, a second of light load."""
 _USUAL_TOKENS: Final = 4000.0
-"""Size at which lag and rate bear the same part of an error."""
+"""Prompt size at which an error is divided equally between lag and rate."""
 _RATE_SECONDS: Final = 1.0
-"""The same for an engine that has turned slow."""
-_MOST_LAG_SECONDS: Final = 0.3
-"""More is no lag: the engine is slow, and the rate learns that."""
+"""Span over which the rate of an engine that has slowed down is averaged."""
+_MAX_LAG_SECONDS: Final = 0.3
+"""More is not lag: the engine is slow, and the rate is corrected instead."""
 OVERDUE_SECONDS: Final = 0.1
-"""Lateness of a first event after which an engine is taken to stand still.
+"""Lateness of a first event after which an engine counts as stalled.
 
-A lost packet or a late turn of a process costs less.
+A lost packet or a delayed iteration of an event loop costs less.
 """
 
 
 @dataclass(frozen=True, slots=True)
-class _Unread:
+class _PendingPrompt:
     tokens: int
     granted_seconds: float
 
 
-class ReadingPace:
-    """Learns from grants and first events; reads no clock.
+class PrefillEstimator:
+    """Estimates rate, lag and backlog of an engine; reads no clock.
 
-    The first event of an answer comes a good while after its prompt is read:
-    the engine prepares the answer, and the event travels. An engine that is
-    known only by first events therefore looks busy for that long after it has
-    run dry. Reading time and this lag are told apart by what each request
-    met: behind another prompt it took its reading time from that one's end,
-    at an engine with nothing to read its reading time and the lag.
+    It observes grants and first events. The first event of a response comes a
+    good while after its prompt is prefilled: the engine prepares the response,
+    and the event travels. An engine that is known only by first events
+    therefore looks busy for that long after it has run out of work. Prefill
+    time and this lag are told apart by the state of the engine at the grant:
+    behind another prompt the first event comes a prefill time after that
+    prompt's, at an idle engine a prefill time and the lag after the grant.
     """
 
     def __init__(self) -> None:
-        """Start with a guess."""
         self.lag_seconds = float(0)
-        self._unread: dict[str, _Unread] = {}
-        self._unread_tokens = 0
+        self._pending: dict[str, _PendingPrompt] = {}
+        self._pending_tokens = 0
         self._free_at_seconds = -math.inf
-        self._last_begun_seconds = -math.inf
-        self._seconds = _RATE_TOKENS / 2 / FIRST_RATE_TOKENS
+        self._last_first_event_seconds = -math.inf
+        self._seconds = _RATE_TOKENS / 2 / INITIAL_RATE_TOKENS
         self._tokens = _RATE_TOKENS / 2
 
     @property
     def rate_tokens(self) -> float:
-        """Prompt tokens read a second."""
+        """Prompt tokens prefilled a second."""
         rate = self._tokens / self._seconds
-        least = _LEAST_RATE_PART * FIRST_RATE_TOKENS
-        return min(max(rate, least), _MOST_RATE_PART * FIRST_RATE_TOKENS)
+        minimum = _MIN_RATE_FACTOR * INITIAL_RATE_TOKENS
+        return min(max(rate, minimum), _MAX_RATE_FACTOR * INITIAL_RATE_TOKENS)
 
     def backlog_seconds(self, now: float) -> float:
-        """Tell how long the engine still reads what it was given.
+        """Estimate how long the engine still prefills what was granted.
 
-        One that has stood still since its last first event would else be
-        given more and more, by a clock that runs on without it.
+        By the clock alone, an engine that has stalled since its last first
+        event would look free again and be granted more and more.
         """
         left_seconds = max(0, self._free_at_seconds - now)
-        if not self._stands_still(now):
+        if not self._is_stalled(now):
             return left_seconds
-        return max(left_seconds, self._unread_tokens / self.rate_tokens)
+        return max(left_seconds, self._pending_tokens / self.rate_tokens)
 
     def first_event_seconds(self, now: float, tokens: int) -> float:
-        """Tell how long a prompt's first event would take if granted now."""
-        reading_seconds = tokens / self.rate_tokens
-        return self.backlog_seconds(now) + reading_seconds + self.lag_seconds
+        """Estimate the time to a prompt's first event if granted now."""
+        prefill_seconds = tokens / self.rate_tokens
+        return self.backlog_seconds(now) + prefill_seconds + self.lag_seconds
 
     def granted(self, now: float, name: str, tokens: int) -> None:
-        """Note a prompt on its way to the engine."""
-        self._unread[name] = _Unread(tokens, now)
-        self._unread_tokens += tokens
+        """Add a prompt that goes to the engine."""
+        self._pending[name] = _PendingPrompt(tokens, now)
+        self._pending_tokens += tokens
         begins_seconds = max(now, self._free_at_seconds)
         self._free_at_seconds = begins_seconds + tokens / self.rate_tokens
 
-    def begun(self, now: float, name: str) -> None:
-        """Note a first event."""
-        unread = self._drop(name)
-        if unread is None:
+    def first_event(self, now: float, name: str) -> None:
+        """Update the estimates from a first event."""
+        prompt = self._drop(name)
+        if prompt is None:
             return
-        self._learn(now, unread)
-        self._last_begun_seconds = now
-        self._settle(now - self.lag_seconds)
+        self._update(now, prompt)
+        self._last_first_event_seconds = now
+        self._resync(now - self.lag_seconds)
 
     def ended(self, now: float, name: str) -> None:
-        """Note that a prompt will not be read, or that its first event was."""
-        unread = self._drop(name)
-        if unread is None:
+        """Drop a prompt that will not be prefilled; ignore others."""
+        prompt = self._drop(name)
+        if prompt is None:
             return
-        self._free_at_seconds -= unread.tokens / self.rate_tokens
-        if not self._unread:
+        self._free_at_seconds -= prompt.tokens / self.rate_tokens
+        if not self._pending:
             self._free_at_seconds = min(now, self._free_at_seconds)
 
-    def _stands_still(self, now: float) -> bool:
-        if not self._unread:
+    def _is_stalled(self, now: float) -> bool:
+        if not self._pending:
             return False
-        oldest = self._unread[next(iter(self._unread))]
-        since = max(oldest.granted_seconds, self._last_begun_seconds)
-        reading_seconds = oldest.tokens / self.rate_tokens
-        due = since + reading_seconds + self.lag_seconds + OVERDUE_SECONDS
+        oldest = self._pending[next(iter(self._pending))]
+        since = max(oldest.granted_seconds, self._last_first_event_seconds)
+        prefill_seconds = oldest.tokens / self.rate_tokens
+        due = since + prefill_seconds + self.lag_seconds + OVERDUE_SECONDS
         return now > due
 
-    def _drop(self, name: str) -> _Unread | None:
-        unread = self._unread.pop(name, None)
-        if unread is not None:
-            self._unread_tokens -= unread.tokens
-        return unread
+    def _drop(self, name: str) -> _PendingPrompt | None:
+        prompt = self._pending.pop(name, None)
+        if prompt is not None:
+            self._pending_tokens -= prompt.tokens
+        return prompt
 
-    def _settle(self, read_at_seconds: float) -> None:
-        """Reckon anew from the moment at which a prompt was surely read."""
+    def _resync(self, prefilled_at_seconds: float) -> None:
+        """Estimate the backlog again from the end of a confirmed prefill."""
         rate = self.rate_tokens
-        free_at = read_at_seconds + self._unread_tokens / rate
-        if self._unread:
-            newest = self._unread[next(reversed(self._unread))]
+        free_at = prefilled_at_seconds + self._pending_tokens / rate
+        if self._pending:
+            newest = self._pending[next(reversed(self._pending))]
             after_grant = newest.granted_seconds + newest.tokens / rate
             free_at = max(free_at, after_grant)
         self._free_at_seconds = free_at
 
-    def _learn(self, now: float, unread: _Unread) -> None:
-        read_before = self._last_begun_seconds - self.lag_seconds
-        if unread.granted_seconds <= read_before:
-            self._learn_rate(now - self._last_begun_seconds, unread.tokens)
+    def _update(self, now: float, prompt: _PendingPrompt) -> None:
+        prefilled_before = self._last_first_event_seconds - self.lag_seconds
+        if prompt.granted_seconds <= prefilled_before:
+            self._update_rate(
+                now - self._last_first_event_seconds, prompt.tokens
+            )
         else:
-            self._learn_alone(now - unread.granted_seconds, unread.tokens)
+            self._update_alone(now - prompt.granted_seconds, prompt.tokens)
 
-    def _learn_rate(self, seconds: float, tokens: int) -> None:
-        """Take a mean over tokens and over seconds, not over rates.
+    def _update_rate(self, seconds: float, tokens: int) -> None:
+        """Average over tokens and over seconds, not over rates.
 
-        Two prompts that are read in one step begin together, as if the
-        second had taken no time; a mean of rates would follow such a pair.
+        Two prompts that are prefilled in one step have their first events
+        together, as if the second had taken no time; a mean of rates would
+        follow such a pair.
         """
         span = max(tokens / _RATE_TOKENS, seconds / _RATE_SECONDS)
         kept = math.exp(-span)
         self._seconds = self._seconds * kept + max(0, seconds)
         self._tokens = self._tokens * kept + tokens
 
-    def _learn_alone(self, seconds: float, tokens: int) -> None:
-        """Take what a prompt met that had the engine for itself.
+    def _update_alone(self, seconds: float, tokens: int) -> None:
+        """Update lag and rate from a prompt that had the engine to itself.
 
-        Its error is shared out between lag and rate by its size: prompts of
-        different sizes tell the two apart. Where it is far too late, the
-        engine has turned slow.
+        Its error is divided between lag and rate by its size: prompts of
+        different sizes tell the two apart. If it is far too late, the engine
+        has slowed down.
         """
         error = seconds - self.lag_seconds - tokens / self.rate_tokens
         if error > OVERDUE_SECONDS:
-            self._learn_rate(seconds - self.lag_seconds, tokens)
+            self._update_rate(seconds - self.lag_seconds, tokens)
             return
         size = tokens / _USUAL_TOKENS
         step = _ALONE_GAIN * error / (1 + size * size)
         lag_seconds = self.lag_seconds + step
-        self.lag_seconds = min(max(0, lag_seconds), _MOST_LAG_SECONDS)
+        self.lag_seconds = min(max(0, lag_seconds), _MAX_LAG_SECONDS)
         slowness = 1 / self.rate_tokens + step * size / _USUAL_TOKENS
-        least = 1 / (_MOST_RATE_PART * FIRST_RATE_TOKENS)
-        self._seconds = self._tokens * max(least, slowness)
+        minimum = 1 / (_MAX_RATE_FACTOR * INITIAL_RATE_TOKENS)
+        self._seconds = self._tokens * max(minimum, slowness)
--- a/src/sardinetrack/admission/reading.py
+++ b/src/sardinetrack/admission/reading.py
@@ -1,9 +1,9 @@
-"""Admission to one model engine by what it has to read.
+"""Admission to one model engine by the prompt tokens it has to prefill.
 
-An engine admits requests as they come, knows no priorities and reads long
-prompts beside everybody's tokens. What it has been given can't be taken back,
-so it is given only as much as keeps it busy; the rest waits here, where the
-order is still ours: least served workspace first.
+An engine admits requests as they come, knows no priorities and prefills long
+prompts while it decodes all other responses. A request can't be taken back
+from it, so it gets only as much as keeps it busy; the rest waits here, where
+the order can still be chosen: least served workspace first.
 """
 
 from __future__ import annotations
@@ -12,51 +12,52 @@
 from typing import Final
 
 from sardinetrack.admission.ask import Ask, Granted, Refused, Verdict
-from sardinetrack.admission.batch import BatchBound
+from sardinetrack.admission.batch import BatchLimit
 from sardinetrack.admission.order import ServiceOrder
-from sardinetrack.admission.pace import ReadingPace
+from sardinetrack.admission.pace import PrefillEstimator
 from sardinetrack.admission.running import RunningRequests
 from sardinetrack.admission.usage import EngineUse, Usage
-from sardinetrack.admission.waiting import Waiting, WaitingRoom, tokens_of
+from sardinetrack.admission.waiting import WaitingRequest, WaitQueue, tokens_of
 from sardinetrack.admission.warming import WarmTurns
 from sardinetrack.topology.cold import Cold
 
-READING_SECONDS: Final = 0.15
-"""Reading that an engine is given ahead.
+PREFILL_AHEAD_SECONDS: Final = 0.15
+"""Prefill work that an engine gets ahead.
 
-Enough that it is never without work for a round trip (3 ms) and a late turn
-of this process; short enough that who is granted gets the first token within
-the shortest objective of the users (0.5 s).
+Enough that it never runs out of work for a round trip (3 ms) and a delayed
+iteration of this process's event loop; short enough that a granted request
+gets its first token within the users' shortest objective (0.5 s).
 """
-DRY_SECONDS: Final = 0.015
-"""Reading left at an engine when the next prompt is given whatever its size.
+MIN_BACKLOG_SECONDS: Final = 0.015
+"""Prefill backlog below which the next prompt is granted whatever its size.
 
-A grant, the request and a late turn of a process take some 5 ms together.
+A grant, the request and a delayed iteration of an event loop take some 5 ms
+together.
 """
-LEAST_PATIENCE_SECONDS: Final = 0.2
-"""Wait of a request that can't begin in time anyway.
+MAX_WAIT_FLOOR_SECONDS: Final = 0.2
+"""Maximum wait of a request that would be late even at an idle engine.
 
-What the engine has been given ahead is read meanwhile, and one turn more.
+During that time the engine prefills what it got ahead, and one more request.
 """
-_LEAST_RETRY_SECONDS: Final = 0.25
+_MIN_RETRY_SECONDS: Final = 0.25
 
 
 class ReadingAdmission:
     """Decides which request goes to the engine next; reads no clock."""
 
     def __init__(self, slots: int, memory_tokens: int) -> None:
-        """Start empty.
+        """Start idle.
 
-        :param slots: requests that the engine runs at once.
-        :param memory_tokens: tokens that fit into its memory.
+        :param slots: requests that the engine runs concurrently.
+        :param memory_tokens: tokens that fit into its KV cache.
         """
-        self.pace = ReadingPace()
+        self.estimator = PrefillEstimator()
         self.usage = Usage()
-        self.warming = WarmTurns()
-        self._share = float(1)
+        self.cold_start = WarmTurns()
+        self._fraction = float(1)
         self._running = RunningRequests(slots, memory_tokens)
-        self._room = WaitingRoom()
-        self._order = ServiceOrder(self._room)
+        self._queue = WaitQueue()
+        self._order = ServiceOrder(self._queue)
 
     def resize(
         self,
@@ -64,58 +65,58 @@
         memory_tokens: int,
         share: float = 1,
     ) -> None:
-        """Take over the engine's size as the configuration tells it.
+        """Change the engine's size to that of the configuration.
 
-        :param share: the part of the engine that is granted here.
+        :param share: the fraction of the engine that is granted here.
         """
         self._running.resize(
             max(1, int(slots * share)),
             int(memory_tokens * share),
         )
-        self._share = share
+        self._fraction = share
 
-    def cool(self, now: float, cold: Cold) -> Sequence[Verdict]:
-        """Learn how long the engine stays cold, and what it bears."""
-        self.warming.cool(cold)
-        return self._turn(now)
+    def cool(self, now: float, cold_period: Cold) -> Sequence[Verdict]:
+        """Set how long the engine stays cold, and its rate until then."""
+        self.cold_start.cool(cold_period)
+        return self._grant_next(now)
 
     @property
     def running(self) -> int:
-        """Count the requests at the engine."""
+        """Number of requests at the engine."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Count the requests that wait here."""
-        return len(self._room)
+        """Number of requests that wait here."""
+        return len(self._queue)
 
     @property
     def slots_left(self) -> int:
-        """Count the free slots."""
+        """Number of free slots."""
         return self._running.slots_left
 
     @property
     def held_seconds(self) -> float:
-        """Mean time that a request holds its slot; 0 until one has ended."""
+        """Mean time a request occupies its slot; 0 until one has ended."""
         return self._running.held_seconds
 
     @property
     def rate_tokens(self) -> float:
-        """Prompt tokens that the engine reads a second."""
-        return self.pace.rate_tokens
+        """Prompt tokens that the engine prefills a second."""
+        return self.estimator.rate_tokens
 
     def hold_seconds(self, now: float) -> float:
-        """Estimate how long the engine keeps a part after its last use."""
+        """Estimate how long the engine caches a prefix after its last use."""
         return self._running.hold_seconds(now)
 
     @property
-    def batch(self) -> BatchBound:
-        """The bound on the answers that it writes at once."""
+    def batch(self) -> BatchLimit:
+        """The limit on the responses that it decodes concurrently."""
         return self._running.batch
 
     def wait_seconds(self, now: float) -> float:
-        """Estimate how long a request waits until it is read."""
-        return self._wait_behind(now, self._room.tokens, self.waiting)
+        """Estimate how long a request waits until its prefill begins."""
+        return self._wait_behind(now, self._queue.tokens, self.waiting)
 
     def _wait_behind(
         self,
@@ -123,24 +124,24 @@
         queued_tokens: int,
         queued: int,
     ) -> float:
-        backlog_seconds = self.pace.backlog_seconds(now)
-        reading_seconds = backlog_seconds + queued_tokens / self.rate_tokens
+        backlog_seconds = self.estimator.backlog_seconds(now)
+        prefill_seconds = backlog_seconds + queued_tokens / self.rate_tokens
         return max(
-            reading_seconds,
+            prefill_seconds,
             self._running.slot_seconds(queued),
-            self.warming.wait_seconds(now, queued),
+            self.cold_start.wait_seconds(now, queued),
         )
 
     def restart(self, now: float) -> Sequence[Verdict]:
-        """Note that the engine has started anew and knows of nothing.
+        """Handle a restart of the engine.
 
-        What ran there is gone, and its rate was another process's. What
-        waits here was never sent; it goes on waiting, for an empty engine.
-        What the workspaces were served stays true.
+        Its requests are lost, and its rate was that of another process. The
+        requests that wait here were never sent; they go on waiting, for an
+        idle engine. The service that workspaces received still counts.
         """
-        self.pace = ReadingPace()
+        self.estimator = PrefillEstimator()
         self._running.clear()
-        return self._turn(now)
+        return self._grant_next(now)
 
     def hear(
         self,
@@ -148,40 +149,44 @@
         entry: str,
         served: Iterable[tuple[str, float]],
     ) -> None:
-        """Take an entry's word on what workspaces were served anywhere.
+        """Apply an entry's report of service received at all servers.
 
-        :param served: names and tokens.
+        :param served: workspaces and tokens.
         """
-        self._order.hear(now, entry, served)
-
-    def ask(self, now: float, ask: Ask) -> Sequence[Verdict]:
-        """Take in a request: it is granted, refused or waits."""
-        served = ((ask.workspace, ask.served_tokens),)
-        self._order.hear(now, ask.entry, served)
-        self.batch.asked(now, ask.answer_tokens, ask.ends_seconds)
-        self._order.join(now, ask.workspace)
-        wait_seconds = self._wait_seconds(now, ask)
-        patience_seconds = self._patience_seconds(ask)
-        if wait_seconds > patience_seconds:
-            return (self._refusal(ask, wait_seconds, float(0)),)
-        self._room.put(Waiting(ask, now, now + patience_seconds))
-        return self._turn(now)
-
-    def _patience_seconds(self, ask: Ask) -> float:
-        """Tell how long a request can wait here and still be in time.
-
-        What it needs once it is granted differs by its length: a short prompt
-        can wait where a long one has to begin. One that would be late at an
-        idle engine may wait a little all the same, or the longest prompts
-        would be refused whenever anything is read.
+        self._order.update_served(now, entry, served)
+
+    def ask(self, now: float, request: Ask) -> Sequence[Verdict]:
+        """Grant, refuse or queue a request for a permit."""
+        served = ((request.workspace, request.served_tokens),)
+        self._order.update_served(now, request.entry, served)
+        self.batch.requested(now, request.answer_tokens, request.ends_seconds)
+        self._order.join(now, request.workspace)
+        wait_seconds = self._wait_seconds(now, request)
+        max_wait_seconds = self._max_wait_seconds(request)
+        if wait_seconds > max_wait_seconds:
+            return (self._refusal(request, wait_seconds, float(0)),)
+        self._queue.put(WaitingRequest(request, now, now + max_wait_seconds))
+        return self._grant_next(now)
+
+    def _max_wait_seconds(self, request: Ask) -> float:
+        """Return how long a request can wait here and still be in time.
+
+        The time it needs after its grant depends on its length: a short prompt
+        can wait where a long one has to begin. A request that would be late
+        even at an idle engine may still wait a little; otherwise the longest
+        prompts would be refused whenever the engine prefills anything.
         """
-        if ask.is_late:
-            return ask.patience_seconds
-        reading_seconds = DRY_SECONDS + ask.new_tokens / self.rate_tokens
-        needs_seconds = max(self._ahead_seconds, reading_seconds)
-        spare_seconds = ask.due_seconds - needs_seconds - self.pace.lag_seconds
-        least_seconds = LEAST_PATIENCE_SECONDS
-        return min(ask.patience_seconds, max(spare_seconds, least_seconds))
+        if request.is_late:
+            return request.patience_seconds
+        prefill_seconds = (
+            MIN_BACKLOG_SECONDS + request.new_tokens / self.rate_tokens
+        )
+        needs_seconds = max(self._ahead_seconds, prefill_seconds)
+        spare_seconds = (
+            request.due_seconds - needs_seconds - self.estimator.lag_seconds
+        )
+        floor_seconds = MAX_WAIT_FLOOR_SECONDS
+        return min(request.patience_seconds, max(spare_seconds, floor_seconds))
 
     def withdraw(
         self,
@@ -190,25 +195,25 @@
         *,
         whole: bool = False,
     ) -> Sequence[Verdict]:
-        """Forget a request, wherever it stands.
+        """Drop a request, whether it runs or waits.
 
-        :param whole: its caller has all of the answer.
+        :param whole: its caller has the complete response.
         """
         if ask_id in self._running:
             return self.ended(now, ask_id, whole=whole)
-        return self._turn(now) if self._room.remove(ask_id) else ()
+        return self._grant_next(now) if self._queue.remove(ask_id) else ()
 
     def begun(self, now: float, ask_id: str) -> Sequence[Verdict]:
-        """Note the first token: the prompt is read."""
-        running = self._running.begun(now, ask_id)
+        """Handle the first event: the prompt is prefilled."""
+        running = self._running.first_event(now, ask_id)
         if running is None:
             return ()
-        self.usage.note_begun(
+        self.usage.record_first_event(
             now - running.granted_seconds,
             running.expected_seconds,
         )
-        self.pace.begun(now, ask_id)
-        return self._turn(now)
+        self.estimator.first_event(now, ask_id)
+        return self._grant_next(now)
 
     def ended(
         self,
@@ -217,140 +222,146 @@
         *,
         whole: bool = True,
     ) -> Sequence[Verdict]:
-        """Free what a request held.
+        """Free the slot and the KV cache of a request.
 
-        :param whole: its caller has all of the answer.
+        :param whole: its caller has the complete response.
         """
         if not self._running.ended(now, ask_id, whole=whole):
             return ()
-        self.pace.ended(now, ask_id)
-        return self._turn(now)
+        self.estimator.ended(now, ask_id)
+        return self._grant_next(now)
 
     def tick(self, now: float) -> Sequence[Verdict]:
-        """Refuse what has waited for too long."""
-        expired = self._room.take_expired(now)
+        """Refuse requests whose maximum wait is over; grant what now fits."""
+        expired = self._queue.take_expired(now)
         late = self._refusals(now, expired) if expired else ()
-        return (*late, *self._turn(now))
+        return (*late, *self._grant_next(now))
 
     def _refusals(
         self,
         now: float,
-        expired: Sequence[Waiting],
+        expired: Sequence[WaitingRequest],
     ) -> Sequence[Verdict]:
-        """Refuse in turn; who is refused waits before nobody any more."""
+        """Refuse one by one; a refused request no longer counts as ahead."""
         late: list[Verdict] = []
-        queued_tokens = self._room.tokens + tokens_of(expired)
+        queued_tokens = self._queue.tokens + tokens_of(expired)
         queued = self.waiting + len(expired)
         for one in expired:
-            queued_tokens -= one.ask.new_tokens
+            queued_tokens -= one.request.new_tokens
             queued -= 1
-            waited_seconds = now - one.asked_seconds
+            waited_seconds = now - one.queued_seconds
             wait_seconds = self._wait_behind(now, queued_tokens, queued)
-            late.append(self._refusal(one.ask, wait_seconds, waited_seconds))
+            late.append(
+                self._refusal(one.request, wait_seconds, waited_seconds)
+            )
         return late
 
     def next_deadline_seconds(self, now: float) -> float | None:
-        """Tell when ``tick`` is due.
+        """Return when ``tick`` is due, on the monotonic clock.
 
-        A guest has far less patience than those before it in its queue; and
-        the engine has read enough for the next one at some moment of which
-        no first event tells.
+        A request away from its home server has a far shorter maximum wait than
+        those before it in its queue; and no first event marks the moment at
+        which the engine has prefilled enough for the next request.
         """
-        dues = [one.until_seconds for one in self._room]
+        dues = [one.until_seconds for one in self._queue]
         if not dues:
             return None
-        first = self._room.first(self._order.next_workspace(now))
-        over_seconds = self._over_seconds(now, first)
-        warm_seconds = self.warming.wait_seconds(now, 0)
-        if max(over_seconds, warm_seconds) > 0:
-            dues.append(now + max(over_seconds, warm_seconds))
+        first = self._queue.first(self._order.next_workspace(now))
+        excess_seconds = self._excess_seconds(now, first)
+        cold_seconds = self.cold_start.wait_seconds(now, 0)
+        if max(excess_seconds, cold_seconds) > 0:
+            dues.append(now + max(excess_seconds, cold_seconds))
         return min(dues)
 
-    def _turn(self, now: float) -> Sequence[Verdict]:
+    def _grant_next(self, now: float) -> Sequence[Verdict]:
         granted: list[Verdict] = []
-        while self._room.workspaces:
+        while self._queue.workspaces:
             workspace = self._order.next_workspace(now)
-            if not self._fits(now, self._room.first(workspace)):
+            if not self._fits(now, self._queue.first(workspace)):
                 break
-            granted.append(self._grant(now, self._room.take_first(workspace)))
-        self.usage.note(now, self._use(now))
+            granted.append(self._grant(now, self._queue.take_first(workspace)))
+        self.usage.record_activity(now, self._activity(now))
         return granted
 
-    def _use(self, now: float) -> EngineUse:
-        reads = self.pace.backlog_seconds(now) > 0
-        if not self._room.workspaces:
-            return self._use_alone(reads=reads)
-        if reads:
+    def _activity(self, now: float) -> EngineUse:
+        prefills = self.estimator.backlog_seconds(now) > 0
+        if not self._queue.workspaces:
+            return self._activity_without_queue(prefills=prefills)
+        if prefills:
             return EngineUse.FULL
         if not self.slots_left:
-            return EngineUse.HELD_SLOTS
-        if self.warming.bounds(now):
-            return EngineUse.HELD_COLD
-        return EngineUse.HELD_MEMORY
+            return EngineUse.SLOTS_EXHAUSTED
+        if self.cold_start.is_limited(now):
+            return EngineUse.COLD_START_LIMITED
+        return EngineUse.MEMORY_EXHAUSTED
 
-    def _use_alone(self, *, reads: bool) -> EngineUse:
+    def _activity_without_queue(self, *, prefills: bool) -> EngineUse:
         if not self._running:
             return EngineUse.IDLE
-        return EngineUse.READING if reads else EngineUse.ANSWERING
+        return EngineUse.PREFILLING if prefills else EngineUse.DECODING
 
-    def _fits(self, now: float, ask: Ask) -> bool:
-        if self.warming.free_at_seconds(now) > now:
+    def _fits(self, now: float, request: Ask) -> bool:
+        if self.cold_start.free_at_seconds(now) > now:
             return False
         if not self._running:
             return True
         if not self.slots_left:
             return False
-        if not self._running.has_memory(ask):
+        if not self._running.has_memory(request):
             return False
-        backlog_seconds = self.pace.backlog_seconds(now)
-        if backlog_seconds <= DRY_SECONDS:
+        backlog_seconds = self.estimator.backlog_seconds(now)
+        if backlog_seconds <= MIN_BACKLOG_SECONDS:
             return True
-        reading_seconds = ask.new_tokens / self.rate_tokens
-        return backlog_seconds + reading_seconds <= self._ahead_seconds
-
-    def _grant(self, now: float, ask: Ask) -> Verdict:
-        expected_seconds = self.pace.first_event_seconds(now, ask.new_tokens)
-        self.warming.granted(now)
-        self.pace.granted(now, ask.ask_id, ask.new_tokens)
-        self._running.add(now, ask, expected_seconds)
-        self.usage.note_grant(ask.new_tokens)
-        self._order.granted(now, ask)
-        return Granted(ask.ask_id)
-
-    def _wait_seconds(self, now: float, ask: Ask) -> float:
-        """Tell how long a request that comes now waits for its grant."""
-        ahead = self._order.ahead_of(now, ask)
+        prefill_seconds = request.new_tokens / self.rate_tokens
+        return backlog_seconds + prefill_seconds <= self._ahead_seconds
+
+    def _grant(self, now: float, request: Ask) -> Verdict:
+        expected_seconds = self.estimator.first_event_seconds(
+            now, request.new_tokens
+        )
+        self.cold_start.granted(now)
+        self.estimator.granted(now, request.ask_id, request.new_tokens)
+        self._running.add(now, request, expected_seconds)
+        self.usage.record_grant(request.new_tokens)
+        self._order.granted(now, request)
+        return Granted(request.ask_id)
+
+    def _wait_seconds(self, now: float, request: Ask) -> float:
+        """Estimate how long a request that arrives now waits for its grant."""
+        ahead = self._order.ahead_of(now, request)
         queued_seconds = ahead.tokens / self.rate_tokens
-        over_seconds = max(0, self._over_seconds(now, ask))
+        excess_seconds = max(0, self._excess_seconds(now, request))
         return max(
-            over_seconds + queued_seconds,
+            excess_seconds + queued_seconds,
             self._running.slot_seconds(ahead.requests),
-            self.warming.wait_seconds(now, ahead.requests),
+            self.cold_start.wait_seconds(now, ahead.requests),
         )
 
-    def _over_seconds(self, now: float, ask: Ask) -> float:
-        """Tell when the engine has room for a request that is next.
+    def _excess_seconds(self, now: float, request: Ask) -> float:
+        """Return the backlog above that at which a request may be granted.
 
-        A long prompt has room only where next to nothing is left to read.
+        A long prompt may be granted only when hardly any backlog is left.
         """
-        reading_seconds = ask.new_tokens / self.rate_tokens
-        room_seconds = max(DRY_SECONDS, self._ahead_seconds - reading_seconds)
-        return self.pace.backlog_seconds(now) - room_seconds
+        prefill_seconds = request.new_tokens / self.rate_tokens
+        allowed_seconds = max(
+            MIN_BACKLOG_SECONDS, self._ahead_seconds - prefill_seconds
+        )
+        return self.estimator.backlog_seconds(now) - allowed_seconds
 
     @property
     def _ahead_seconds(self) -> float:
-        return READING_SECONDS * self._share
+        return PREFILL_AHEAD_SECONDS * self._fraction
 
     def _refusal(
         self,
-        ask: Ask,
+        request: Ask,
         wait_seconds: float,
         waited_seconds: float,
     ) -> Refused:
-        self.usage.note_refusal(waited_seconds)
+        self.usage.record_refusal(waited_seconds)
         return Refused(
-            ask.ask_id,
-            max(_LEAST_RETRY_SECONDS, wait_seconds),
+            request.ask_id,
+            max(_MIN_RETRY_SECONDS, wait_seconds),
             waited_seconds,
             int(wait_seconds * self.rate_tokens),
         )
--- a/src/sardinetrack/admission/running.py
+++ b/src/sardinetrack/admission/running.py
@@ -1,4 +1,4 @@
-"""The requests at an engine, and what they hold: slots and memory."""
+"""The requests at an engine, and their slots and KV cache."""
 
 from __future__ import annotations
 
@@ -7,45 +7,49 @@
 from typing import Final
 
 from sardinetrack.admission.ask import Ask
-from sardinetrack.admission.batch import BatchBound
-from sardinetrack.admission.holding import SlotHolding
+from sardinetrack.admission.batch import BatchLimit
+from sardinetrack.admission.slot_occupancy import SlotOccupancy
 from sardinetrack.fairness.recent import HALF_SECONDS, RecentService
 
-MEMORY_PART: Final = 0.72
-"""Part of an engine's memory given to the own tokens of requests.
+MEMORY_FRACTION: Final = 0.72
+"""Fraction of an engine's KV cache for the own tokens of requests.
 
-The rest holds the shared parts in use; when memory runs out the newest
-request is read again from the start.
+The rest caches the shared prefixes in use; when the cache is full the engine
+evicts the newest request and prefills it again from the start.
 """
 _ENGINE: Final = ''
 
 
 @dataclass(slots=True)
-class Running:
-    """One request that was granted."""
+class RunningRequest:
+    """A granted request."""
 
-    ask: Ask
+    request: Ask
     granted_seconds: float
     expected_seconds: float
-    """Until its first event, as expected when it was granted."""
-    begun_seconds: float | None = None
-    """When its first event came."""
+    """From the grant to its first event, as estimated at the grant."""
+    first_event_seconds: float | None = None
+    """When its first event came, on the monotonic clock."""
 
 
 class RunningRequests:
-    """Counts slots and memory, and learns how long requests hold them."""
+    """Counts slots and KV cache tokens, and averages slot occupancy."""
 
     def __init__(self, slots: int, memory_tokens: int) -> None:
-        """Start empty."""
-        self.batch = BatchBound()
-        self._holding = SlotHolding()
+        """Start idle.
+
+        :param slots: requests that the engine runs concurrently.
+        :param memory_tokens: tokens that fit into its KV cache.
+        """
+        self.batch = BatchLimit()
+        self._occupancy = SlotOccupancy()
         self._turnover = RecentService[str]()
-        self._running: dict[str, Running] = {}
+        self._running: dict[str, RunningRequest] = {}
         self._kept_tokens = 0
         self.resize(slots, memory_tokens)
 
     def resize(self, slots: int, memory_tokens: int) -> None:
-        """Take over the engine's size."""
+        """Change the engine's size."""
         self._slots = slots
         self._memory_tokens = memory_tokens
 
@@ -54,90 +58,98 @@
         return len(self._running)
 
     def __contains__(self, ask_id: str) -> bool:
-        """Whether a request is here."""
+        """Whether a request is at the engine."""
         return ask_id in self._running
 
     @property
-    def most(self) -> int:
-        """Tell how many may be here at once."""
-        return self.batch.most(self._slots)
+    def limit(self) -> int:
+        """Maximum number of concurrent requests."""
+        return self.batch.limit(self._slots)
 
     @property
     def slots_left(self) -> int:
-        """Count the free slots."""
-        return max(0, self.most - len(self._running))
+        """Number of free slots."""
+        return max(0, self.limit - len(self._running))
 
     @property
     def held_seconds(self) -> float:
-        """Mean time that a request holds its slot; 0 until one has ended."""
-        return self._holding.seconds
+        """Mean time a request occupies its slot; 0 until one has ended."""
+        return self._occupancy.seconds
 
     def slot_seconds(self, before: int) -> float:
         """Estimate how long a request waits for a slot.
 
-        Of an engine with few slots these run out before its reading does; a
-        request that waits for one would be told that its turn is next.
+        An engine with few slots runs out of slots before it is busy with
+        prefill; by the prefill backlog alone the estimate would be zero for a
+        request that waits for a slot.
 
         :param before: requests that get a slot before it.
         """
         short = before + 1 - self.slots_left
         if short <= 0:
             return 0
-        return short * self.held_seconds / self.most
+        return short * self.held_seconds / self.limit
 
     def hold_seconds(self, now: float) -> float:
-        """Estimate how long the engine keeps a part after its last use.
+        """Estimate how long the engine caches a prefix after its last use.
 
-        It drops what was used longest ago when new tokens need the room that
-        running requests leave.
+        It evicts what was used least recently when new tokens need the space
+        that running requests leave.
         """
         free_tokens = max(0, self._memory_tokens - self._kept_tokens)
-        lately = self._turnover.tokens(now, _ENGINE)
-        rate_tokens = lately * math.log(2) / HALF_SECONDS
+        recent_tokens = self._turnover.tokens(now, _ENGINE)
+        rate_tokens = recent_tokens * math.log(2) / HALF_SECONDS
         if rate_tokens <= 0:
             return math.inf
         return free_tokens / rate_tokens
 
-    def has_memory(self, ask: Ask) -> bool:
-        """Whether what a request adds to the memory fits into it."""
-        kept = self._kept_tokens + ask.kept_tokens
-        return kept <= self._memory_tokens * MEMORY_PART
+    def has_memory(self, request: Ask) -> bool:
+        """Whether the tokens that a request adds fit into the KV cache."""
+        kept = self._kept_tokens + request.kept_tokens
+        return kept <= self._memory_tokens * MEMORY_FRACTION
 
-    def add(self, now: float, ask: Ask, expected_seconds: float) -> None:
-        """Take in a request that is granted."""
-        self._running[ask.ask_id] = Running(ask, now, expected_seconds)
-        self._turnover.add(now, _ENGINE, ask.kept_tokens)
-        self._kept_tokens += ask.kept_tokens
+    def add(self, now: float, request: Ask, expected_seconds: float) -> None:
+        """Add a granted request.
+
+        :param expected_seconds: estimated time to its first event.
+        """
+        self._running[request.ask_id] = RunningRequest(
+            request, now, expected_seconds
+        )
+        self._turnover.add(now, _ENGINE, request.kept_tokens)
+        self._kept_tokens += request.kept_tokens
 
-    def begun(self, now: float, ask_id: str) -> Running | None:
-        """Note a first event.
+    def first_event(self, now: float, ask_id: str) -> RunningRequest | None:
+        """Record a first event.
 
         :return: its request; ``None`` if it is not here, or had one before.
         """
         running = self._running.get(ask_id)
-        if running is None or running.begun_seconds is not None:
+        if running is None or running.first_event_seconds is not None:
             return None
-        running.begun_seconds = now
+        running.first_event_seconds = now
         return running
 
     def ended(self, now: float, ask_id: str, *, whole: bool) -> bool:
-        """Free what a request held.
+        """Free the slot and the KV cache of a request.
 
-        :param whole: its caller has all of the answer.
+        :param whole: its caller has the complete response.
         :return: whether it was here.
         """
         running = self._running.pop(ask_id, None)
         if running is None:
             return False
-        self._kept_tokens -= running.ask.kept_tokens
-        if running.begun_seconds is not None:
-            self._holding.ended(now - running.granted_seconds)
+        self._kept_tokens -= running.request.kept_tokens
+        if running.first_event_seconds is not None:
+            self._occupancy.ended(now - running.granted_seconds)
             if whole:
-                wrote_seconds = now - running.begun_seconds
-                self.batch.wrote(wrote_seconds, running.ask.answer_tokens)
+                decode_seconds = now - running.first_event_seconds
+                self.batch.completed(
+                    decode_seconds, running.request.answer_tokens
+                )
         return True
 
     def clear(self) -> None:
-        """Forget all of them: their engine is gone."""
+        """Drop all requests: the engine has restarted."""
         self._running.clear()
         self._kept_tokens = 0
--- a/src/sardinetrack/admission/holding.py
+++ b/src/sardinetrack/admission/slot_occupancy.py
@@ -1,23 +1,23 @@
-"""How long requests hold a slot of an engine."""
+"""How long requests occupy a slot of an engine."""
 
 from __future__ import annotations
 
 from typing import Final
 
 _GAIN: Final = 0.1
-"""Weight of the latest in the mean: it follows within ten answers."""
+"""Weight of the latest in the mean: it follows within ten responses."""
 
 
-class SlotHolding:
-    """Learns from requests that have ended; reads no clock."""
+class SlotOccupancy:
+    """Averages over requests that have ended; reads no clock."""
 
     def __init__(self) -> None:
-        """Start knowing nothing."""
+        """Start without samples."""
         self.seconds = float(0)
         """Mean time between a grant and its end; 0 until one has ended."""
 
     def ended(self, held_seconds: float) -> None:
-        """Note an answer that has ended.
+        """Record a response that has ended.
 
         :param held_seconds: since its grant.
         """
--- a/src/sardinetrack/admission/usage.py
+++ b/src/sardinetrack/admission/usage.py
@@ -11,19 +11,20 @@
     """What an engine does at a moment."""
 
     IDLE = 'idle'
-    """Nothing runs there."""
-    ANSWERING = 'answering'
-    """It only writes answers; it could read more, and nothing waits."""
-    READING = 'reading'
-    """It reads a prompt, and nothing waits."""
+    """It runs nothing."""
+    DECODING = 'answering'
+    """It only decodes; it could prefill more, and no request waits."""
+    PREFILLING = 'reading'
+    """It prefills a prompt, and no request waits."""
     FULL = 'full'
-    """It reads a prompt, and others wait."""
-    HELD_SLOTS = 'held_slots'
-    """It reads nothing though others wait: no slot is free."""
-    HELD_COLD = 'held_cold'
-    """It reads nothing though others wait: it is cold, and bears no more."""
-    HELD_MEMORY = 'held_memory'
-    """It reads nothing though others wait: the next does not fit."""
+    """It prefills a prompt, and requests wait."""
+    SLOTS_EXHAUSTED = 'held_slots'
+    """It prefills nothing though requests wait: no slot is free."""
+    COLD_START_LIMITED = 'held_cold'
+    """It prefills nothing though requests wait: the cold start limits it."""
+    MEMORY_EXHAUSTED = 'held_memory'
+    """It prefills nothing though requests wait: the next one does not fit into
+    the KV cache."""
 
 
 def _no_time() -> defaultdict[EngineUse, float]:
@@ -32,51 +33,61 @@
 
 @dataclass(slots=True)
 class Usage:
-    """Time by use, and what was granted and refused, since the last report."""
+    """Time by activity, grants and refusals since the last report."""
 
     seconds: defaultdict[EngineUse, float] = field(
         default_factory=_no_time,
     )
     granted: int = 0
     granted_tokens: int = 0
-    """Prompt tokens to be read."""
+    """Prompt tokens to prefill."""
     refused_at_once: int = 0
+    """Refused immediately on arrival."""
     refused_late: int = 0
     """Refused after they had waited."""
     begun: int = 0
     begin_seconds: float = 0
-    """From the grant to the first event, summed."""
+    """Sum of the times from the grant to the first event."""
     expected_seconds: float = 0
-    """The same as it was expected at the grant."""
-    _use: EngineUse = EngineUse.IDLE
+    """Sum of the same times as estimated at the grant."""
+    _activity: EngineUse = EngineUse.IDLE
     _since_seconds: float | None = None
 
-    def note(self, now: float, use: EngineUse) -> None:
-        """Count the time since the last note for what the engine did then."""
+    def record_activity(self, now: float, activity: EngineUse) -> None:
+        """Count the time since the last call for the activity set then."""
         if self._since_seconds is not None:
-            self.seconds[self._use] += now - self._since_seconds
-        self._use = use
+            self.seconds[self._activity] += now - self._since_seconds
+        self._activity = activity
         self._since_seconds = now
 
-    def note_grant(self, tokens: int) -> None:
-        """Count a granted turn."""
+    def record_grant(self, tokens: int) -> None:
+        """Count a granted permit.
+
+        :param tokens: prompt tokens to prefill.
+        """
         self.granted += 1
         self.granted_tokens += tokens
 
-    def note_refusal(self, waited_seconds: float) -> None:
-        """Count a refused turn."""
+    def record_refusal(self, waited_seconds: float) -> None:
+        """Count a refused request."""
         if waited_seconds > 0:
             self.refused_late += 1
         else:
             self.refused_at_once += 1
 
-    def note_begun(self, took_seconds: float, expected_seconds: float) -> None:
-        """Count the first event of a request."""
+    def record_first_event(
+        self, took_seconds: float, expected_seconds: float
+    ) -> None:
+        """Count the first event of a request.
+
+        :param took_seconds: since its grant.
+        :param expected_seconds: the same as estimated at the grant.
+        """
         self.begun += 1
         self.begin_seconds += took_seconds
         self.expected_seconds += expected_seconds
 
     def next_report(self, now: float) -> Usage:
-        """Begin the next span."""
-        self.note(now, self._use)
-        return Usage(_use=self._use, _since_seconds=now)
+        """Close this report and return an empty one that starts now."""
+        self.record_activity(now, self._activity)
+        return Usage(_activity=self._activity, _since_seconds=now)
--- a/src/sardinetrack/admission/waiting.py
+++ b/src/sardinetrack/admission/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an engine, by workspace, in the order they came."""
+"""Queue of requests that wait for an engine, one a workspace."""
 
 from __future__ import annotations
 
@@ -10,91 +10,91 @@
 
 
 @dataclass(slots=True)
-class Waiting:
-    """One of them."""
+class WaitingRequest:
+    """A request in the queue."""
 
-    ask: Ask
-    asked_seconds: float
+    request: Ask
+    queued_seconds: float
+    """When it was queued, on the monotonic clock."""
     until_seconds: float
-    """When it has waited for too long."""
+    """When its maximum wait is over."""
 
 
-class WaitingRoom:
-    """Holds who waits; says nothing about which workspace is next.
+class WaitQueue:
+    """Queues of all workspaces; doesn't decide which workspace is next.
 
-    Of one workspace those that can still be in time go before those that are
-    late already. Under overload somebody has to be late; were both served in
-    the order they came, those that wait their turn would be late as well.
+    Of one workspace, requests that can still be in time go before those that
+    are late already. Under overload some have to be late; were both served in
+    the order of arrival, those that wait behind late ones would be late too.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._queues: dict[str, deque[Waiting]] = {}
+        self._queues: dict[str, deque[WaitingRequest]] = {}
 
     def __len__(self) -> int:
         """Count the requests."""
         return sum(len(queue) for queue in self._queues.values())
 
-    def __iter__(self) -> Iterator[Waiting]:
-        """Go through all that wait."""
+    def __iter__(self) -> Iterator[WaitingRequest]:
+        """Iterate over all requests."""
         for queue in self._queues.values():
             yield from queue
 
     @property
     def workspaces(self) -> Collection[str]:
-        """Name those that have a request here."""
+        """Workspaces with at least one request."""
         return self._queues.keys()
 
     @property
     def tokens(self) -> int:
-        """Sum up what is to be read."""
+        """Prompt tokens to prefill for all requests."""
         return tokens_of(self)
 
-    def of(self, workspace: str) -> Collection[Waiting]:
+    def of(self, workspace: str) -> Collection[WaitingRequest]:
         """List the requests of one workspace."""
         return self._queues.get(workspace, ())
 
     def first(self, workspace: str) -> Ask:
-        """Find what a workspace that waits asked for first."""
-        return self._queues[workspace][0].ask
+        """Return the next request of a workspace that waits."""
+        return self._queues[workspace][0].request
 
-    def before(self, ask: Ask) -> list[Waiting]:
-        """List the requests of its workspace that go before one."""
+    def before(self, request: Ask) -> list[WaitingRequest]:
+        """List the requests of its workspace that go before a request."""
         return [
             one
-            for one in self.of(ask.workspace)
-            if ask.is_late or not one.ask.is_late
+            for one in self.of(request.workspace)
+            if request.is_late or not one.request.is_late
         ]
 
-    def put(self, one: Waiting) -> None:
-        """Let a request wait behind those of its workspace that go first."""
-        queue = self._queues.setdefault(one.ask.workspace, deque())
-        queue.insert(len(self.before(one.ask)), one)
+    def put(self, one: WaitingRequest) -> None:
+        """Queue a request behind those of its workspace that go first."""
+        queue = self._queues.setdefault(one.request.workspace, deque())
+        queue.insert(len(self.before(one.request)), one)
 
     def take_first(self, workspace: str) -> Ask:
-        """Take out what a workspace asked for first."""
+        """Remove and return the next request of a workspace."""
         one = self._queues[workspace].popleft()
         self._drop_empty(workspace)
-        return one.ask
+        return one.request
 
     def remove(self, ask_id: str) -> bool:
-        """Take out one request.
+        """Remove one request.
 
-        :return: whether it was here.
+        :return: whether it was queued.
         """
         for one in self:
-            if one.ask.ask_id == ask_id:
-                self._queues[one.ask.workspace].remove(one)
-                self._drop_empty(one.ask.workspace)
+            if one.request.ask_id == ask_id:
+                self._queues[one.request.workspace].remove(one)
+                self._drop_empty(one.request.workspace)
                 return True
         return False
 
-    def take_expired(self, now: float) -> list[Waiting]:
-        """Take out what has waited for too long."""
+    def take_expired(self, now: float) -> list[WaitingRequest]:
+        """Remove and return the requests whose maximum wait is over."""
         expired = [one for one in self if one.until_seconds <= now]
         for one in expired:
-            self._queues[one.ask.workspace].remove(one)
-            self._drop_empty(one.ask.workspace)
+            self._queues[one.request.workspace].remove(one)
+            self._drop_empty(one.request.workspace)
         return expired
 
     def _drop_empty(self, workspace: str) -> None:
@@ -102,6 +102,6 @@
             self._queues.pop(workspace)
 
 
-def tokens_of(waiting: Iterable[Waiting]) -> int:
-    """Sum up what some requests have to read."""
-    return sum(one.ask.new_tokens for one in waiting)
+def tokens_of(waiting: Iterable[WaitingRequest]) -> int:
+    """Return the prompt tokens to prefill for some requests."""
+    return sum(one.request.new_tokens for one in waiting)
--- a/src/sardinetrack/admission/warming.py
+++ b/src/sardinetrack/admission/warming.py
@@ -1,4 +1,4 @@
-"""How many requests a second a cold server is given; reads no clock."""
+"""How many requests a second a cold server gets; reads no clock."""
 
 from __future__ import annotations
 
@@ -7,63 +7,62 @@
 
 from sardinetrack.topology.cold import Cold
 
-_AT_ONCE: Final = 2
-"""Requests that may go together; the others keep their distance."""
+_BURST: Final = 2
+"""Requests that may go together; the others keep their interval."""
 RAMP_SECONDS: Final = 1.0
-"""After the last cold moment until there is no bound any more."""
+"""From the end of the cold period until there is no limit any more."""
 _STEP_SECONDS: Final = 0.25
-"""Time in which the pace grows by what a cold server bears."""
+"""Time in which the rate grows by the rate of the cold period."""
 
 
 class WarmTurns:
-    """Spaces the requests that go to a cold server.
+    """Spaces the requests that go to a server after a cold start.
 
-    A server that has just started crashes when it is given at once what it
-    bears when warm, starts anew, cold again, and never gets out of this. Evenly
-    spaced requests keep below its bound in any second, also when some of them
-    travel longer than others; after the last cold moment the pace grows, so
-    that what has queued up meanwhile doesn't go all at once.
+    A server that has just started crashes when it immediately gets the load
+    that it handles when warm, starts cold again, and never gets out of this
+    loop. Evenly spaced requests keep below its limit in any second, also when
+    some of them travel longer than others. After the cold period the rate
+    grows gradually, so that the queued requests don't go all at the same time.
     """
 
     def __init__(self) -> None:
-        """Start warm."""
-        self.cold = Cold()
+        self.cold_period = Cold()
         self._due_seconds = -math.inf
 
-    def cool(self, cold: Cold) -> None:
-        """Learn how long the server stays cold."""
-        self.cold = cold
+    def cool(self, cold_period: Cold) -> None:
+        """Set how long the server stays cold, and its rate until then."""
+        self.cold_period = cold_period
 
-    def bounds(self, now: float) -> bool:
-        """Whether there is a bound now."""
-        over = now >= self.cold.until_seconds + RAMP_SECONDS
-        return not over and self.cold.per_second > 0
+    def is_limited(self, now: float) -> bool:
+        """Whether the rate is limited now."""
+        over = now >= self.cold_period.until_seconds + RAMP_SECONDS
+        return not over and self.cold_period.per_second > 0
 
     def free_at_seconds(self, now: float) -> float:
-        """Tell when the next request may go; in the past if it may now."""
-        if not self.bounds(now):
+        """Return when the next request may go; in the past if it may now."""
+        if not self.is_limited(now):
             return -math.inf
-        return self._due_seconds - (_AT_ONCE - 1) * self._interval(now)
+        return self._due_seconds - (_BURST - 1) * self._interval(now)
 
     def wait_seconds(self, now: float, before: int) -> float:
-        """Tell how long a request waits for this bound.
+        """Estimate how long a request waits for this limit.
 
         :param before: requests that go before it.
         """
-        if not self.bounds(now):
+        if not self.is_limited(now):
             return 0
         wait_seconds = max(0, self.free_at_seconds(now) - now)
         wait_seconds += before * self._interval(now)
-        warm_seconds = self.cold.until_seconds + RAMP_SECONDS - now
-        return min(wait_seconds, warm_seconds)
+        limited_seconds = self.cold_period.until_seconds + RAMP_SECONDS - now
+        return min(wait_seconds, limited_seconds)
 
     def granted(self, now: float) -> None:
-        """Note that a request goes there."""
-        if self.bounds(now):
+        """Count a request that goes to the server."""
+        if self.is_limited(now):
             begins_seconds = max(now, self._due_seconds)
             self._due_seconds = begins_seconds + self._interval(now)
 
     def _interval(self, now: float) -> float:
-        over_seconds = max(0, now - self.cold.until_seconds)
-        grown = 1 + over_seconds / _STEP_SECONDS
-        return 1 / (self.cold.per_second * grown)
+        over_seconds = max(0, now - self.cold_period.until_seconds)
+        growth = 1 + over_seconds / _STEP_SECONDS
+        return 1 / (self.cold_period.per_second * growth)
--- a/tests/admission/concurrency.feature
+++ b/tests/admission/concurrency.feature
@@ -1,26 +1,26 @@
-Feature: The side learns a server's concurrency
+Feature: The side adapts a server's concurrency limit
 
   Scenario Outline: The limit finds the knee of the throughput
     The server reports its load 2 s late and 5 % wrong. Beyond its knee more
-    requests at once bring no more tokens; a fixed guess wastes slots below the
-    knee, or builds queues above it.
+    concurrent requests bring no more tokens; a fixed limit wastes slots below
+    the knee, or builds queues above it.
 
     Given a server whose throughput stops growing at <knee> requests
-    And a first guess of <first> slots
+    And an initial limit of <initial> slots
     When it is kept busy for 4000 seconds
     Then 99 percent of its throughput is used in the second half
-    And 10 percent of its slots at most are taken beyond the knee
+    And at most 10 percent of its slots are used beyond the knee
 
     Examples:
-      | knee | first |
-      | 5    | 8     |
-      | 8    | 8     |
-      | 20   | 8     |
-      | 37   | 8     |
+      | knee | initial |
+      | 5    | 8       |
+      | 8    | 8       |
+      | 20   | 8       |
+      | 37   | 8       |
 
   Scenario: A queue inside the server lowers the limit
     Given a server whose throughput stops growing at 5 requests
-    And it queues what is above
-    And a first guess of 8 slots
+    And it queues further requests
+    And an initial limit of 8 slots
     When it is kept busy for 600 seconds
     Then the limit stays between 4 and 6 at the end
--- a/tests/admission/pace.feature
+++ b/tests/admission/pace.feature
@@ -1,45 +1,46 @@
-Feature: When an engine will have read what it was given
+Feature: When an engine will have prefilled what was granted
 
-  Figures: an engine that reads 90,000 tokens a second, whose first events come
-  0.055 s after their prompts are read. Today's engines read 57 to 125 tokens a
-  millisecond, and take 53 ms to the first event.
+  Figures: an engine that prefills 90,000 tokens a second, whose first events
+  come 0.055 s after their prompts are prefilled. Current engines prefill 57 to
+  125 tokens a millisecond, and take 53 ms to the first event.
 
-  Scenario: Lag and rate are told apart in calm
-    Prompts come one by one. Taken together, lag and reading time would make
-    the engine look half as fast as it is, and it would refuse what it could
-    read in time.
+  Scenario: Lag and rate are told apart under light load
+    Prompts arrive one by one. If lag and prefill time were taken together, the
+    engine would look half as fast as it is, and requests that it could prefill
+    in time would be refused.
 
-    Given an engine that reads 90000 tokens a second with a lag of 0.055 seconds
-    When 300 prompts of 300 to 12000 tokens come one by one
-    Then its rate is known within 15 in 100
-    And its lag is known within 0.02 seconds
+    Given an engine that prefills 90000 tokens a second with a lag of 0.055 seconds
+    When 300 prompts of 300 to 12000 tokens arrive one by one
+    Then its rate is estimated within 15 percent
+    And its lag is estimated within 0.02 seconds
 
   Scenario: The rate is known within a second of full load
-    After a start nothing is known of the engine, and everybody comes at once.
+    After a start nothing is known of the engine, and all requests arrive
+    together.
 
-    Given an engine that reads 90000 tokens a second with a lag of 0.055 seconds
-    When it reads without a pause for 1.5 seconds
-    Then its rate is known within 15 in 100
+    Given an engine that prefills 90000 tokens a second with a lag of 0.055 seconds
+    When it prefills without a break for 1.5 seconds
+    Then its rate is estimated within 15 percent
 
-  Scenario: An engine that has read everything is not taken for busy
-    Its last first events are still under way. Were they waited for, it would
-    stand idle for the lag each time, a third of a busy engine's time.
+  Scenario: An engine that has prefilled everything does not count as busy
+    Its last first events are still under way. If the side waited for them, the
+    engine would idle for the lag each time, a third of a busy engine's time.
 
-    Given an engine that reads 90000 tokens a second with a lag of 0.055 seconds
-    When 300 prompts of 300 to 12000 tokens come one by one
-    Then 0.01 seconds after it has read a prompt its backlog is below 0.02 seconds
+    Given an engine that prefills 90000 tokens a second with a lag of 0.055 seconds
+    When 300 prompts of 300 to 12000 tokens arrive one by one
+    Then 0.01 seconds after it has prefilled a prompt its backlog is below 0.02 seconds
 
-  Scenario: An engine that stands still is given nothing more
-    It has gone dark. By its clock alone its backlog would be read by now, and
-    it would be given more and more that nobody answers.
+  Scenario: A stalled engine gets nothing more
+    It no longer responds. By the clock alone its backlog would be done by now;
+    it would get more and more requests that never get a response.
 
-    Given an engine that reads 90000 tokens a second with a lag of 0.055 seconds
-    When 300 prompts of 300 to 12000 tokens come one by one
-    And it is given 20000 tokens and stands still for 2 seconds
+    Given an engine that prefills 90000 tokens a second with a lag of 0.055 seconds
+    When 300 prompts of 300 to 12000 tokens arrive one by one
+    And it gets 20000 tokens and stalls for 2 seconds
     Then its backlog is above 0.15 seconds
 
-  Scenario: An engine that has turned slow is learned
-    Given an engine that reads 90000 tokens a second with a lag of 0.055 seconds
-    When it reads without a pause for 1.5 seconds
-    And it turns 5 times slower and reads for 4 seconds
-    Then its rate is known within 25 in 100
+  Scenario: The estimate follows an engine that becomes slow
+    Given an engine that prefills 90000 tokens a second with a lag of 0.055 seconds
+    When it prefills without a break for 1.5 seconds
+    And it becomes 5 times slower and prefills for 4 seconds
+    Then its rate is estimated within 25 percent
--- a/tests/admission/reading.feature
+++ b/tests/admission/reading.feature
@@ -1,102 +1,103 @@
-Feature: Turns at an engine by what it has to read
+Feature: Permits at an engine by the prompt tokens to prefill
 
-  Figures: an engine that reads 40,000 tokens a second is given at most 0.15 s
-  of reading ahead, so 6,000 tokens; more waits here, where the order is ours.
+  Figures: an engine that prefills 40,000 tokens a second gets at most 0.15 s of
+  prefill ahead, so 6,000 tokens; further requests wait here, where their order
+  can still be chosen.
 
-  Scenario: An idle engine is never kept waiting
+  Scenario: An idle engine never waits for work
     Given an engine of 8 slots
-    When workspace pilot asks for 5000 tokens
-    Then pilot is granted 1 turn
+    When workspace pilot sends a request of 5000 prompt tokens
+    Then pilot is granted 1 permit
 
-  Scenario: A prompt larger than all room is granted to an idle engine
+  Scenario: A prompt longer than the limit is granted to an idle engine
     Given an engine of 8 slots
-    When workspace pilot asks for 50000 tokens
-    Then pilot is granted 1 turn
+    When workspace pilot sends a request of 50000 prompt tokens
+    Then pilot is granted 1 permit
 
   Scenario: A lone pilot goes before a flood
-    One agency sends twenty requests in a moment. A pilot asks once after
-    them, and is the next to be granted.
+    One agency sends twenty requests in a moment. A pilot sends one after them.
+    It gets the next permit.
 
     Given an engine of 64 slots
-    When workspace agency asks 20 times for 5000 tokens
-    And workspace pilot asks for 5000 tokens
-    And the engine has read one prompt
-    Then pilot is granted 1 turn
+    When workspace agency sends 20 requests of 5000 prompt tokens
+    And workspace pilot sends a request of 5000 prompt tokens
+    And the engine has prefilled one prompt
+    Then pilot is granted 1 permit
 
   Scenario: Service at other servers counts
-    The prompts of one workspace are at home here, those of another are
-    spread over all servers. Both flood. Counted by this server alone they
-    would share it evenly, and the first would get a ninth of the fleet's
-    service of the second.
+    This is the home server of one workspace's prompts; the prompts of another
+    workspace are spread over all servers. Both flood. Counted by this server
+    alone they would share it evenly, and the first would get a ninth of the
+    service that the second gets in the fleet.
 
     Given an engine of 64 slots
-    When with 0 tokens served elsewhere home asks 6 times for 5000 tokens
-    And with 400000 tokens served elsewhere spread asks 6 times for 5000 tokens
-    And the engine reads prompts for 1 second
-    Then home is granted 6 turns
-    And spread is granted fewer turns
+    When after 0 tokens of service elsewhere home sends 6 requests of 5000 prompt tokens
+    And after 400000 tokens of service elsewhere spread sends 6 requests of 5000 prompt tokens
+    And the engine prefills prompts for 1 second
+    Then home is granted 6 permits
+    And spread is granted fewer permits
 
-  Scenario: A guest takes free capacity only
-    A request whose part is at home elsewhere has next to no patience here.
+  Scenario: A request away from its home server gets free capacity only
+    Its prefix is cached at another server, so its maximum wait here is short.
 
     Given an engine of 64 slots
-    When a guest with 0.02 seconds of patience asks for 5000 tokens
-    And workspace home asks 4 times for 5000 tokens
-    And a guest with 0.02 seconds of patience asks for 5000 tokens
+    When workspace guest sends a request of 5000 prompt tokens away from home, waiting for at most 0.02 seconds
+    And workspace home sends 4 requests of 5000 prompt tokens
+    And workspace guest sends a request of 5000 prompt tokens away from home, waiting for at most 0.02 seconds
     And 0.03 seconds pass at the engine
-    Then guest is granted 1 turn
-    And 1 of guest are refused
+    Then guest is granted 1 permit
+    And 1 of the requests of guest are refused
 
-  Scenario: What can't be read in time is refused at once
-    Waiting would be in vain; the caller is told when the queue will have
-    drained, from the rate at which the engine reads.
+  Scenario: What can't be prefilled in time is refused immediately
+    Waiting would be in vain; the refusal reports when the queue will have
+    drained, at the rate at which the engine prefills.
 
     Given an engine of 64 slots
-    When workspace agency asks 20 times for 10000 tokens
-    Then some of agency are refused at once
-    And they are told to come back after the queue has drained
+    When workspace agency sends 20 requests of 10000 prompt tokens
+    Then some requests of agency are refused immediately
+    And their retry delay is the time in which the queue drains
 
-  Scenario: A pilot is not refused for a flood's queue
+  Scenario: A pilot is not refused because of a flood's queue
     Given an engine of 64 slots
-    When workspace agency asks 20 times for 10000 tokens
-    And workspace pilot asks for 500 tokens
+    When workspace agency sends 20 requests of 10000 prompt tokens
+    And workspace pilot sends a request of 500 prompt tokens
     Then pilot is not refused
 
-  Scenario: Who has waited for too long is refused, not forgotten
+  Scenario: A request whose maximum wait is over is refused, not forgotten
     Given an engine of 64 slots
-    When workspace agency asks 3 times for 9000 tokens
+    When workspace agency sends 3 requests of 9000 prompt tokens
     And 0.5 seconds pass at the engine
-    Then 2 of agency are refused
+    Then 2 of the requests of agency are refused
 
-  Scenario: A caller that leaves frees its place
+  Scenario: A request that ends frees its slot
     Given an engine of 1 slot
-    When workspace agency asks 1 times for 100 tokens
-    And workspace pilot asks for 100 tokens
+    When workspace agency sends 1 requests of 100 prompt tokens
+    And workspace pilot sends a request of 100 prompt tokens
     And the request of agency ends
-    Then pilot is granted 1 turn
+    Then pilot is granted 1 permit
 
-  Scenario: The engine's memory is not overfilled
-    An engine whose memory runs out throws out its newest request and reads it
-    again from the start, so what would not fit waits here.
+  Scenario: The engine's KV cache is not overfilled
+    An engine whose KV cache is full evicts its newest request and prefills it
+    again from the start, so requests that don't fit wait here.
 
     Given an engine of 64 slots
-    When workspace agency asks 8 times for 100 tokens and 20000 answer tokens
-    Then agency is granted 3 turns
+    When workspace agency sends 8 requests of 100 prompt tokens and 20000 output tokens
+    Then agency is granted 3 permits
 
-  Scenario: A slow engine is learned and given less
+  Scenario: A slow engine is noticed and gets less
     Given an engine of 64 slots
-    When its prompts take five times as long for a while
-    Then its wait is told five times as long
+    When its prefill takes five times as long for a while
+    Then its estimated prefill rate falls to a fifth
 
   Scenario Outline: Flood, seed <seed>
-    Whatever comes in whatever order: places are conserved, nothing waits
-    while the engine is idle, each ask has one verdict, and the service of two
+    Whatever arrives in whatever order: requests are conserved, none waits while
+    the engine is idle, each gets one decision, and the service of two
     workspaces that both wait differs by no more than the largest requests.
 
     Given an engine of 64 slots
-    When 4 workspaces ask at random for 30 seconds with seed <seed>
-    Then every ask had one verdict
-    And workspaces that waited all along were served alike
+    When 4 workspaces send requests at random for 30 seconds with seed <seed>
+    Then every request got one decision
+    And workspaces that waited all the time received equal service
 
     Examples:
       | seed |
@@ -105,111 +106,114 @@
       | 3    |
       | 4    |
 
-  Scenario: A guest behind others of its workspace is refused in its own time
-    A request of a workspace waits for its home here; behind it waits a guest
-    of the same workspace, whose patience is far shorter. It has another
-    server to ask, and must not wait for the one in front.
+  Scenario: A request away from home is refused after its own maximum wait
+    A request of a workspace waits at its home server here; behind it waits a
+    request of the same workspace away from home, whose maximum wait is far
+    shorter. It can go to another server, and must not wait for the one in
+    front.
 
     Given an engine of 64 slots
-    When workspace agency asks for 7900 tokens
-    And workspace agency asks for 700 tokens
-    And a guest of agency with 0.02 seconds of patience asks for 100 tokens
+    When workspace agency sends a request of 7900 prompt tokens
+    And workspace agency sends a request of 700 prompt tokens
+    And a request of agency arrives with 100 prompt tokens away from home, waiting for at most 0.02 seconds
     And 0.03 seconds pass at the engine
-    Then 1 of agency are refused
+    Then 1 of the requests of agency are refused
 
-  Scenario: A short prompt waits where a long one has to begin
-    Both are due in 0.5 s. Reading takes the long one 0.3 s, so after 0.2 s it
+  Scenario: A short prompt can wait longer than a long one
+    Both are due in 0.5 s. Prefill takes the long one 0.3 s, so after 0.2 s it
     can't be in time; the short one can wait longer.
 
     Given an engine of 64 slots
-    When workspace agency asks for 7900 tokens
-    And workspace short asks for 400 tokens, due in 0.5 seconds
-    And workspace long asks for 12000 tokens, due in 0.5 seconds
+    When workspace agency sends a request of 7900 prompt tokens
+    And workspace short sends a request of 400 prompt tokens, due in 0.5 seconds
+    And workspace long sends a request of 12000 prompt tokens, due in 0.5 seconds
     And 0.25 seconds pass at the engine
-    Then 1 of long are refused
+    Then 1 of the requests of long are refused
     And short is not refused
 
-  Scenario: What would be late anyway waits a moment all the same
-    A prompt that takes an idle engine longer than its objective allows would
-    else be refused whenever the engine reads anything.
+  Scenario: A request that would be late anyway still waits a moment
+    Otherwise a prompt that takes an idle engine longer than its objective
+    allows would be refused whenever the engine prefills anything.
 
     Given an engine of 64 slots
-    When workspace agency asks for 7900 tokens
-    And workspace long asks for 40000 tokens, due in 0.5 seconds
+    When workspace agency sends a request of 7900 prompt tokens
+    And workspace long sends a request of 40000 prompt tokens, due in 0.5 seconds
     Then long is not refused
 
-  Scenario: The wait for a slot is told
-    Twelve long answers hold all slots of an engine that reads nothing. Told
-    to be free, it is sent requests that wait in vain for their turn. Twelve
-    slots held for 1.2 s each come free 0.1 s apart.
+  Scenario: The wait for a slot is reported
+    Twelve long responses occupy all slots of an engine that prefills nothing.
+    If it were reported as free, it would get requests that wait in vain for a
+    permit. Twelve slots occupied for 1.2 s each become free 0.1 s apart.
 
     Given an engine of 12 slots
-    When 12 answers have each held a slot for 1.2 seconds
-    And workspace agency asks 12 times for 100 tokens
-    And the engine reads prompts for 1 second
-    Then it tells a wait of about 0.1 seconds
+    When 12 responses have each occupied a slot for 1.2 seconds
+    And workspace agency sends 12 requests of 100 prompt tokens
+    And the engine prefills prompts for 1 second
+    Then it reports a wait of about 0.1 seconds
 
-  Scenario: Who can't wait for a slot is refused at once
-    A guest may wait 20 ms and a slot comes free in 100: kept waiting it would
-    reach the next engine later. Who is at home waits for the slot.
+  Scenario: A request that can't wait for a slot is refused immediately
+    A request away from home may wait 20 ms and a slot becomes free in 100: if
+    it waited, it would reach the next engine later. A request at its home
+    server waits for the slot.
 
     Given an engine of 12 slots
-    When 12 answers have each held a slot for 1.2 seconds
-    And workspace agency asks 12 times for 100 tokens
-    And the engine reads prompts for 1 second
-    And a guest with 0.02 seconds of patience asks for 100 tokens
-    And workspace pilot asks for 100 tokens
-    Then some of guest are refused at once
+    When 12 responses have each occupied a slot for 1.2 seconds
+    And workspace agency sends 12 requests of 100 prompt tokens
+    And the engine prefills prompts for 1 second
+    And workspace guest sends a request of 100 prompt tokens away from home, waiting for at most 0.02 seconds
+    And workspace pilot sends a request of 100 prompt tokens
+    Then some requests of guest are refused immediately
     And pilot is not refused
 
-  Scenario: A long prompt is told at once that its room is not near
-    A prompt that takes longer to read than an engine is given ahead begins
-    where next to nothing is left to read. For a guest of 20 ms that is not so
-    while 0.1 s are left; a short one still has room.
+  Scenario: A long prompt that can't begin soon is refused immediately
+    A prompt that takes longer to prefill than an engine gets ahead begins when
+    hardly any backlog is left. A request away from home that waits for 20 ms
+    can't begin while 0.1 s are left; a short one still can.
 
     Given an engine of 64 slots
-    When workspace agency asks for 4000 tokens
-    And a guest with 0.02 seconds of patience asks for 12000 tokens
-    And a guest of pilot with 0.02 seconds of patience asks for 1000 tokens
-    Then some of guest are refused at once
-    And pilot is granted 1 turn
+    When workspace agency sends a request of 4000 prompt tokens
+    And workspace guest sends a request of 12000 prompt tokens away from home, waiting for at most 0.02 seconds
+    And a request of pilot arrives with 1000 prompt tokens away from home, waiting for at most 0.02 seconds
+    Then some requests of guest are refused immediately
+    And pilot is granted 1 permit
 
-  Scenario: How the engine's time is used is told
+  Scenario: The use of the engine's time is reported
     Given an engine of 64 slots
-    When workspace agency asks 3 times for 4000 tokens
-    And the engine reads prompts for 1 second
-    Then its usage tells of 3 turns, of reading with and without others waiting
+    When workspace agency sends 3 requests of 4000 prompt tokens
+    And the engine prefills prompts for 1 second
+    Then its usage report counts 3 permits, and prefill with and without waiting requests
 
-  Scenario: A busy engine keeps parts for less time than a calm one
-    It drops what was used longest ago when new tokens need the room. Taken for
-    a constant, parts that are gone would count as held, and their requests
-    would be read twice as long as was reckoned.
+  Scenario: A busy engine caches prefixes for less time than an idle one
+    It evicts what was used least recently when new tokens need the space. If
+    the time were taken for constant, evicted prefixes would count as cached;
+    prefill of their requests would take twice as long as estimated.
 
     Given an engine of 64 slots
-    When workspace agency asks 4 times for 1000 tokens
-    Then it keeps a part for longer than 60 seconds
-    When workspace agency asks for 60000 tokens that stay
-    Then it keeps a part for less than 20 seconds
-
-  Scenario: Who used an idle engine does not starve when another comes
-    For ten seconds only one workspace asks, and has the engine for itself;
-    another floods from the eleventh on. It is owed half from there on, not
-    all until it has had as much as the first one had before. The users' bound:
-    nobody who waits gets less than half of what another one gets. With the
-    newcomer at zero the first got a tenth here.
+    When workspace agency sends 4 requests of 1000 prompt tokens
+    Then it caches a prefix for longer than 60 seconds
+    When workspace agency sends a request whose 60000 prompt tokens stay in the KV cache
+    Then it caches a prefix for less than 20 seconds
+
+  Scenario: A workspace that used an idle engine does not starve when another joins
+    For ten seconds only one workspace sends requests, and has the engine to
+    itself; another floods from the eleventh on. It is owed half from there on,
+    not everything until it has received as much as the first one had before.
+    The users' bound: a workspace that waits receives at least half of what
+    another one receives. With the newcomer at zero the first received a tenth
+    here.
 
     Given an engine of 64 slots
     When workspace agency floods for 10 seconds
     And workspaces agency and newcomer flood for 4 seconds
-    Then agency got at least 0.5 of what newcomer got
-    And newcomer got at least 0.9 of what agency got
+    Then agency received at least 0.5 of what newcomer received
+    And newcomer received at least 0.9 of what agency received
 
-  Scenario Outline: Who had the engine for itself pauses for a bounded time
-    A workspace has had the engine for itself when <count> others begin to
-    flood it. They start from nine tenths of its service. Service fades with a
+  Scenario Outline: A workspace that had the engine to itself pauses for a bounded time
+    A workspace has had the engine to itself when <count> others begin to
+    flood it. They start from nine tenths of its service. Service decays with a
     time constant of 5.8 s, so they have caught up after 5.8 s * ln(1 +
     <count> / 10); the bounds are that, and a request of 0.075 s for each
-    workspace and the one that is being read.
+    workspace and the one that is being prefilled.
 
     Given an engine of 64 slots
     When workspace first floods for 20 seconds
@@ -223,31 +227,32 @@
       | 4     | 2.40 |
       | 8     | 4.15 |
 
-  Scenario: Who can still be in time goes before who is late already
-    Pattern: a crowd asks for twice what the engines can do. Half of it is
-    refused and comes back when its objective has passed. Served in the order
-    they come, those that return make those late that still could be in time.
+  Scenario: Requests that can still be in time go before late ones
+    The case: callers request twice what the engines can do. Half of it is
+    refused and sent again after its objective has passed. Served in the order
+    of arrival, the repeated requests would make those late that still could be
+    in time.
 
     Given an engine of 64 slots
-    When workspace agency asks for 6000 tokens
-    And 2 requests of agency that are late already ask for 3000 tokens
-    And workspace agency asks for 3000 tokens
-    And the engine has read one prompt
-    Then the last of agency's requests is granted before those that are late
+    When workspace agency sends a request of 6000 prompt tokens
+    And workspace agency sends 2 late requests of 3000 prompt tokens
+    And workspace agency sends a request of 3000 prompt tokens
+    And the engine has prefilled one prompt
+    Then the last request of agency is granted before the late ones
 
-  Scenario: Who is late already waits for a gap, and gets it
+  Scenario: A late request gets a permit once no other request waits
     Given an engine of 64 slots
-    When workspace agency asks for 6000 tokens
-    And 1 request of agency that is late already asks for 3000 tokens
-    And the engine has read one prompt
-    Then agency is granted 2 turns
+    When workspace agency sends a request of 6000 prompt tokens
+    And workspace agency sends 1 late request of 3000 prompt tokens
+    And the engine has prefilled one prompt
+    Then agency is granted 2 permits
 
-  Scenario: Being late costs a workspace nothing against others
-    The least served workspace is next, late or not.
+  Scenario: A late request costs its workspace nothing against others
+    The workspace with the least service is next, late or not.
 
     Given an engine of 64 slots
-    When workspace agency asks for 6000 tokens
-    And 1 request of pilot that is late already asks for 3000 tokens
-    And workspace agency asks for 3000 tokens
-    And the engine has read one prompt
-    Then pilot is granted 1 turn
+    When workspace agency sends a request of 6000 prompt tokens
+    And workspace pilot sends 1 late request of 3000 prompt tokens
+    And workspace agency sends a request of 3000 prompt tokens
+    And the engine has prefilled one prompt
+    Then pilot is granted 1 permit
--- a/tests/admission/spread.py
+++ b/tests/admission/spread.py
@@ -1,9 +1,9 @@
 """Workspaces that come through one entry and through many, at many engines.
 
-The pattern: most entries ask one side for one workspace less often than the
-past fades, and for all workspaces together several times a second. Grounds of
-the figures: a fleet of the size that the users grow to (20 entries, 40
-engines that read 90,000 tokens a second), long prompts, and two workspaces
+The case: most entries request permits of one side for one workspace less often
+than service decays, and for all workspaces together several times a second.
+Basis of the figures: a fleet of the size that the users grow to (20 entries, 40
+engines that prefill 90,000 tokens a second), long prompts, and two workspaces
 of which each would take all engines.
 """
 
@@ -28,27 +28,27 @@
 ENGINES: Final = 40
 RATE_TOKENS: Final = 90_000
 PROMPT_TOKENS: Final = 20_000
-ASKS_A_SECOND: Final = 180.0
-"""Of each of the two: what all engines can read."""
+REQUESTS_A_SECOND: Final = 180.0
+"""Of each of the two: what all engines can prefill."""
 SMALL_PROMPT_TOKENS: Final = 500
-SMALL_ASKS_A_SECOND: Final = 2000.0
+SMALL_REQUESTS_A_SECOND: Final = 2000.0
 """Of all small workspaces together, through all entries."""
 SMALL_WORKSPACES: Final = 200
 LAG_SECONDS: Final = 0.05
 ANSWER_SECONDS: Final = 0.5
-PATIENCE_SECONDS: Final = 0.4
+MAX_WAIT_SECONDS: Final = 0.4
 TICK_SECONDS: Final = 0.001
-"""A turn of a process comes no sooner."""
+"""Shortest iteration of an event loop."""
 WARM_SECONDS: Final = 3.0
 SECONDS: Final = 7.0
 WIDE: Final = 'wide'
 NARROW: Final = 'narrow'
-Act = Callable[[float], None]
+Action = Callable[[float], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What one caller asks for."""
+    """What one caller requests."""
 
     entry: int
     workspace: str
@@ -56,103 +56,102 @@
 
 
 class Entry:
-    """What one entry counts and has told."""
+    """What one entry counts and has reported."""
 
-    def __init__(self, number: int, most_told: int) -> None:
-        """Start with nothing served."""
+    def __init__(self, number: int, max_reported: int) -> None:
         self.name = f'entry-{number}'
         self.service = RecentService[str]()
-        self.news = [ServiceNews(most_told) for _ in range(ENGINES)]
+        self.updates = [ServiceNews(max_reported) for _ in range(ENGINES)]
 
 
 class Fleet:
-    """Sides before engines, and entries, on a clock of its own."""
+    """Sides with their engines, and entries, on a simulated clock."""
 
-    def __init__(self, most_told: int) -> None:
+    def __init__(self, max_reported: int) -> None:
         """Start idle.
 
-        :param most_told: workspaces told with each question.
+        :param max_reported: workspaces reported with each permit request.
         """
         self.granted: Counter[str] = Counter()
-        self._dice = random.Random(5)
+        self._rng = random.Random(5)
         self._numbers = count()
-        self._events: list[tuple[float, int, Act]] = []
-        self._entries = [Entry(one, most_told) for one in range(ENTRIES)]
+        self._events: list[tuple[float, int, Action]] = []
+        self._entries = [Entry(one, max_reported) for one in range(ENTRIES)]
         self._sides = [ReadingAdmission(64, 4_000_000) for _ in range(ENGINES)]
         self._free_seconds = [float(0) for _ in range(ENGINES)]
-        self._asked: dict[str, Request] = {}
+        self._requested: dict[str, Request] = {}
         self._due_seconds = [math.inf for _ in range(ENGINES)]
 
-    def play(self) -> Counter[str]:
-        """Play the crowd.
+    def run(self) -> Counter[str]:
+        """Run the simulation.
 
         :return: tokens granted to each workspace after the first seconds.
         """
-        self._at(0, partial(self._come, ASKS_A_SECOND, self._wide))
-        self._at(0, partial(self._come, ASKS_A_SECOND, self._narrow))
-        self._at(0, partial(self._come, SMALL_ASKS_A_SECOND, self._small))
+        self._at(0, partial(self._arrive, REQUESTS_A_SECOND, self._wide))
+        self._at(0, partial(self._arrive, REQUESTS_A_SECOND, self._narrow))
+        self._at(0, partial(self._arrive, SMALL_REQUESTS_A_SECOND, self._small))
         while self._events:
-            now, _, act = heapq.heappop(self._events)
+            now, _, action = heapq.heappop(self._events)
             if now > SECONDS:
                 break
-            act(now)
+            action(now)
         return self.granted
 
     def _wide(self) -> Request:
-        return Request(self._dice.randrange(ENTRIES), WIDE, PROMPT_TOKENS)
+        return Request(self._rng.randrange(ENTRIES), WIDE, PROMPT_TOKENS)
 
     def _narrow(self) -> Request:
         return Request(0, NARROW, PROMPT_TOKENS)
 
     def _small(self) -> Request:
-        number = self._dice.randrange(SMALL_WORKSPACES)
-        entry = self._dice.randrange(ENTRIES)
+        number = self._rng.randrange(SMALL_WORKSPACES)
+        entry = self._rng.randrange(ENTRIES)
         return Request(entry, f'small-{number}', SMALL_PROMPT_TOKENS)
 
-    def _at(self, seconds: float, act: Act) -> None:
-        row = (seconds, next(self._numbers), act)
+    def _at(self, seconds: float, action: Action) -> None:
+        row = (seconds, next(self._numbers), action)
         heapq.heappush(self._events, row)
 
-    def _come(
+    def _arrive(
         self,
         rate: float,
-        draw: Callable[[], Request],
+        make_request: Callable[[], Request],
         now: float,
     ) -> None:
         self._at(
-            now + self._dice.expovariate(rate),
-            partial(self._come, rate, draw),
+            now + self._rng.expovariate(rate),
+            partial(self._arrive, rate, make_request),
         )
-        self._ask(now, draw(), self._dice.randrange(ENGINES))
+        self._request(now, make_request(), self._rng.randrange(ENGINES))
 
-    def _ask(self, now: float, request: Request, engine: int) -> None:
+    def _request(self, now: float, request: Request, engine: int) -> None:
         entry = self._entries[request.entry]
-        ask = Ask(
+        permit_request = Ask(
             ask_id=f'{next(self._numbers)}',
             workspace=request.workspace,
             new_tokens=request.tokens,
             kept_tokens=request.tokens,
             answer_tokens=0,
-            patience_seconds=PATIENCE_SECONDS,
+            patience_seconds=MAX_WAIT_SECONDS,
             entry=entry.name,
             served_tokens=entry.service.tokens(now, request.workspace),
         )
-        self._asked[ask.ask_id] = request
+        self._requested[permit_request.ask_id] = request
         side = self._sides[engine]
-        news = entry.news[engine].rows(now, entry.service)
-        side.hear(now, entry.name, news)
-        self._carry_out(now, engine, side.ask(now, ask))
+        served = entry.updates[engine].rows(now, entry.service)
+        side.hear(now, entry.name, served)
+        self._carry_out(now, engine, side.ask(now, permit_request))
 
     def _carry_out(
         self,
         now: float,
         engine: int,
-        verdicts: Sequence[Verdict],
+        decisions: Sequence[Verdict],
     ) -> None:
-        for verdict in verdicts:
-            request = self._asked[verdict.ask_id]
-            if isinstance(verdict, Granted):
-                self._grant(now, engine, verdict.ask_id, request)
+        for decision in decisions:
+            request = self._requested[decision.ask_id]
+            if isinstance(decision, Granted):
+                self._grant(now, engine, decision.ask_id, request)
         side = self._sides[engine]
         due = side.next_deadline_seconds(now)
         if due is not None and due < self._due_seconds[engine]:
@@ -175,10 +174,10 @@
         if now > WARM_SECONDS:
             self.granted[request.workspace] += request.tokens
         begins = max(now, self._free_seconds[engine])
-        read = begins + request.tokens / RATE_TOKENS
-        self._free_seconds[engine] = read
-        self._at(read + LAG_SECONDS, partial(self._begun, engine, ask_id))
-        ends = read + LAG_SECONDS + ANSWER_SECONDS
+        prefilled = begins + request.tokens / RATE_TOKENS
+        self._free_seconds[engine] = prefilled
+        self._at(prefilled + LAG_SECONDS, partial(self._begun, engine, ask_id))
+        ends = prefilled + LAG_SECONDS + ANSWER_SECONDS
         self._at(ends, partial(self._ended, engine, ask_id))
 
     def _begun(self, engine: int, ask_id: str, now: float) -> None:
--- a/tests/admission/steps/batch_steps.py
+++ b/tests/admission/steps/batch_steps.py
@@ -1,78 +1,84 @@
-"""Steps for the bound on the answers written at once."""
+"""Steps for the limit on concurrent responses."""
 
 from __future__ import annotations
 
 import random
 
 from behave import given, then, when
-from writing import WritingEngine
+from writing import DecodingEngine
 
 from sardinetrack.admission.batch import (
-    LEAST_PART,
-    SLOTS_PART,
-    BatchBound,
+    MAX_SLOTS_FRACTION,
+    MIN_SLOTS_FRACTION,
+    BatchLimit,
 )
 
 _TOKENS = 300
 _HINT_SPREAD = 0.5
 
 
-@given('an engine of {slots:d} slots and answers of {tokens:d} tokens')
+@given('an engine of {slots:d} slots and responses of {tokens:d} tokens')
 def given_engine(context, slots, tokens):
-    context.engine = WritingEngine(slots, tokens, bounded=True)
-    context.full = WritingEngine(slots, tokens, bounded=False)
+    context.engine = DecodingEngine(slots, tokens, limited=True)
+    context.full = DecodingEngine(slots, tokens, limited=False)
 
 
-@when('{rate:d} a second are asked for in {seconds:d} seconds')
+@when('{rate:d} a second are requested for {seconds:d} seconds')
 def run_both(context, rate, seconds):
     context.engine.run(rate, seconds)
     context.full.run(rate, seconds)
 
 
-@when('answers are of {tokens:d} tokens again for {seconds:d} seconds')
+@when('responses have {tokens:d} tokens for {seconds:d} seconds')
 def run_short(context, tokens, seconds):
     context.engine._median_tokens = tokens  # noqa: SLF001
     context.engine.run(20, seconds)
 
 
-@then('under a third as many are cut at their deadline as in a full batch')
-def fewer_cut(context):
-    cut = (context.engine.cut, context.full.cut)
-    assert cut[1] > 20, cut
-    assert 3 * cut[0] < cut[1], cut
+@then(
+    'under a third as many are truncated at their deadline as in a full batch'
+)
+def fewer_truncated(context):
+    truncated = (context.engine.truncated, context.full.truncated)
+    assert truncated[1] > 20, truncated
+    assert 3 * truncated[0] < truncated[1], truncated
 
 
-@then('no fewer than nine tenths as many are whole')
-def as_many_whole(context):
-    whole = (context.engine.whole, context.full.whole)
-    assert whole[0] >= 0.9 * whole[1], whole
+@then('no fewer than nine tenths as many are complete')
+def as_many_complete(context):
+    complete = (context.engine.complete, context.full.complete)
+    assert complete[0] >= 0.9 * complete[1], complete
 
 
-@then('the whole batch is used')
-def whole_batch(context):
-    assert context.engine.part == SLOTS_PART, context.engine.part
+@then('the full batch is used')
+def full_batch(context):
+    assert context.engine.slots_fraction == MAX_SLOTS_FRACTION, (
+        context.engine.slots_fraction
+    )
 
 
 @then('half of the batch is used')
 def half_batch(context):
-    assert context.engine.part == LEAST_PART, context.engine.part
+    assert context.engine.slots_fraction == MIN_SLOTS_FRACTION, (
+        context.engine.slots_fraction
+    )
 
 
-@given('a pace of {seconds:g} seconds a token')
+@given('a decoding pace of {seconds:g} seconds a token')
 def given_pace(context, seconds):
     context.pace_seconds = seconds
-    context.bound = BatchBound()
+    context.limit = BatchLimit()
 
 
-@when('{count:d} answers end whose lengths were roughly told')
-def end_answers(context, count):
-    chance = random.Random(3)
+@when('{count:d} responses end whose lengths were roughly estimated')
+def end_responses(context, count):
+    rng = random.Random(3)
     for _ in range(count):
-        told = int(_TOKENS * chance.lognormvariate(0, _HINT_SPREAD))
-        context.bound.wrote(_TOKENS * context.pace_seconds, told)
+        estimate = int(_TOKENS * rng.lognormvariate(0, _HINT_SPREAD))
+        context.limit.completed(_TOKENS * context.pace_seconds, estimate)
 
 
-@then('the pace is known within {percent:d} in 100')
-def knows_pace(context, percent):
-    known = context.bound.token_seconds / context.pace_seconds
-    assert abs(known - 1) < percent / 100, known
+@then('the decoding pace is estimated within {percent:d} percent')
+def estimates_pace(context, percent):
+    ratio = context.limit.token_seconds / context.pace_seconds
+    assert abs(ratio - 1) < percent / 100, ratio
--- a/tests/admission/steps/book_steps.py
+++ b/tests/admission/steps/book_steps.py
@@ -4,31 +4,31 @@
 
 from behave import given, then, when
 
-from sardinetrack.admission.book import AttemptBook, AttemptEvent
+from sardinetrack.admission.book import AttemptEvent, AttemptRegistry
 
-_WALK = (AttemptEvent.ARRIVE, AttemptEvent.START, AttemptEvent.FINISH)
+_EVENTS = (AttemptEvent.ARRIVE, AttemptEvent.START, AttemptEvent.FINISH)
 
 
-@given('a book that remembers {count:d} ended attempts')
-def start_book(context, count):
+@given('an attempt registry that keeps {count:d} ended attempts')
+def create_registry(context, count):
     context.now = 0
-    context.book = AttemptBook(max_ended=count)
+    context.registry = AttemptRegistry(max_ended=count)
 
 
 @when('attempts {names} ran to their end')
 def run_attempts(context, names):
     for name in names.split(', '):
-        for event in _WALK:
-            context.book.note(context.now, name, event)
+        for event in _EVENTS:
+            context.registry.apply(context.now, name, event)
 
 
-@when('{seconds:g} seconds go by in the book')
+@when('{seconds:g} seconds pass in the registry')
 def pass_seconds(context, seconds):
     context.now += seconds
-    context.book.forget(context.now)
+    context.registry.drop_expired(context.now)
 
 
-@then('the book calls {name} {fate}')
-def check_book(context, name, fate):
-    found = context.book.ask(context.now, name)
-    assert found == fate, found
+@then('the registry reports {name} as {status}')
+def check_registry(context, name, status):
+    found = context.registry.final_status(context.now, name)
+    assert found == status, found
--- a/tests/admission/steps/reading_steps.py
+++ b/tests/admission/steps/reading_steps.py
@@ -1,4 +1,4 @@
-"""Steps for turns at an engine."""
+"""Steps for permits at an engine."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from behave import given, step, then, when
 from engine import Engine
 
-from sardinetrack.admission.pace import FIRST_RATE_TOKENS
+from sardinetrack.admission.pace import INITIAL_RATE_TOKENS
 from sardinetrack.admission.usage import EngineUse
 
 
@@ -20,37 +20,42 @@
     context.engine = Engine(slots)
 
 
-@step('workspace {workspace} asks for {tokens:d} tokens')
-def ask_one(context, workspace, tokens):
-    context.engine.ask(workspace, tokens)
+@step('workspace {workspace} sends a request of {tokens:d} prompt tokens')
+def request_one(context, workspace, tokens):
+    context.engine.request(workspace, tokens)
 
 
-@step('a guest with {seconds:g} seconds of patience asks for {tokens:d} tokens')
-def ask_guest(context, seconds, tokens):
-    context.engine.ask('guest', tokens, patience_seconds=seconds)
+@step(
+    'workspace guest sends a request of {tokens:d} prompt tokens'
+    ' away from home, waiting for at most {seconds:g} seconds',
+)
+def request_away(context, seconds, tokens):
+    context.engine.request('guest', tokens, patience_seconds=seconds)
 
 
 @step(
-    'a guest of {workspace} with {seconds:g} seconds of patience asks'
-    ' for {tokens:d} tokens',
+    'a request of {workspace} arrives with {tokens:d} prompt tokens'
+    ' away from home, waiting for at most {seconds:g} seconds',
 )
-def ask_guest_of(context, workspace, seconds, tokens):
-    context.engine.ask(workspace, tokens, patience_seconds=seconds)
+def request_away_of(context, workspace, seconds, tokens):
+    context.engine.request(workspace, tokens, patience_seconds=seconds)
 
 
-@step('workspace {workspace} asks {count:d} times for {tokens:d} tokens')
-def ask_often(context, workspace, count, tokens):
+@step(
+    'workspace {workspace} sends {count:d} requests of {tokens:d} prompt tokens'
+)
+def request_often(context, workspace, count, tokens):
     for _ in range(count):
-        context.engine.ask(workspace, tokens)
+        context.engine.request(workspace, tokens)
 
 
 @step(
-    'with {served:d} tokens served elsewhere {workspace}'
-    ' asks {count:d} times for {tokens:d} tokens',
+    'after {served:d} tokens of service elsewhere {workspace}'
+    ' sends {count:d} requests of {tokens:d} prompt tokens',
 )
-def ask_served(context, served, workspace, count, tokens):
+def request_served(context, served, workspace, count, tokens):
     for _ in range(count):
-        context.engine.ask(
+        context.engine.request(
             workspace,
             tokens,
             entry='e',
@@ -60,104 +65,104 @@
 
 
 @step(
-    'workspace {workspace} asks {count:d} times for {tokens:d} tokens'
-    ' and {answer:d} answer tokens',
+    'workspace {workspace} sends {count:d} requests of {tokens:d} prompt tokens'
+    ' and {output:d} output tokens',
 )
-def ask_long(context, workspace, count, tokens, answer):
+def request_long(context, workspace, count, tokens, output):
     for _ in range(count):
-        context.engine.ask(workspace, tokens, kept_tokens=tokens + answer)
+        context.engine.request(workspace, tokens, kept_tokens=tokens + output)
 
 
-@when('{count:d} answers have each held a slot for {seconds:g} seconds')
-def hold_slots(context, count, seconds):
+@when('{count:d} responses have each occupied a slot for {seconds:g} seconds')
+def occupy_slots(context, count, seconds):
     engine = context.engine
     first = len(engine.granted)
     for _ in range(count):
-        engine.ask('before', 100)
-    while engine.unread:
-        engine.read_one()
+        engine.request('before', 100)
+    while engine.pending:
+        engine.prefill_one()
     engine.now += seconds
     for name in engine.granted[first:]:
-        engine.take(engine.admission.ended(engine.now, name))
+        engine.apply(engine.admission.ended(engine.now, name))
 
 
-@then('it tells a wait of about {seconds:g} seconds')
-def tells_wait(context, seconds):
-    told = context.engine.admission.wait_seconds(context.engine.now)
-    assert 0.9 * seconds < told < 1.1 * seconds, told
+@then('it reports a wait of about {seconds:g} seconds')
+def reports_wait(context, seconds):
+    reported = context.engine.admission.wait_seconds(context.engine.now)
+    assert 0.9 * seconds < reported < 1.1 * seconds, reported
 
 
-@when('the engine has read one prompt')
-def read_one(context):
+@when('the engine has prefilled one prompt')
+def prefill_one(context):
     context.before = list(context.engine.granted)
-    context.engine.read_one()
+    context.engine.prefill_one()
 
 
-@when('the engine reads prompts for {seconds:d} second')
-def read_for(context, seconds):
+@when('the engine prefills prompts for {seconds:d} second')
+def prefill_for(context, seconds):
     engine = context.engine
     ends = engine.now + seconds
-    while engine.unread and engine.now < ends:
-        engine.read_one()
+    while engine.pending and engine.now < ends:
+        engine.prefill_one()
 
 
 @when('{seconds:g} seconds pass at the engine')
 def wait(context, seconds):
     engine = context.engine
     engine.now += seconds
-    engine.take(engine.admission.tick(engine.now))
+    engine.apply(engine.admission.tick(engine.now))
 
 
 @when('the request of {workspace} ends')
 def end_request(context, workspace):
     engine = context.engine
-    engine.take(engine.admission.ended(engine.now, f'{workspace}.0'))
+    engine.apply(engine.admission.ended(engine.now, f'{workspace}.0'))
 
 
-@when('its prompts take five times as long for a while')
+@when('its prefill takes five times as long for a while')
 def slow_down(context):
     engine = context.engine
     for _ in range(300):
-        engine.ask('probe', 2000)
-        engine.run_one(FIRST_RATE_TOKENS / 5)
+        engine.request('probe', 2000)
+        engine.run_one(INITIAL_RATE_TOKENS / 5)
 
 
 @when(
-    '{count:d} workspaces ask at random for {seconds:d} seconds'
+    '{count:d} workspaces send requests at random for {seconds:d} seconds'
     ' with seed {seed:d}'
 )
-def ask_at_random(context, count, seconds, seed):
+def request_at_random(context, count, seconds, seed):
     engine = context.engine
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     names = [f'w{number}' for number in range(count)]
     while engine.now < seconds:
-        draw.shuffle(names)
+        rng.shuffle(names)
         for workspace in names:
-            if draw.randrange(5):
-                engine.ask(workspace, draw.randint(200, 6000))
-        if engine.unread:
+            if rng.randrange(5):
+                engine.request(workspace, rng.randint(200, 6000))
+        if engine.pending:
             engine.run_one()
         else:
             engine.now += 0.05
     engine.now += 10
-    engine.take(engine.admission.tick(engine.now))
+    engine.apply(engine.admission.tick(engine.now))
 
 
-@then('{workspace} is granted {count:d} turn')
-@then('{workspace} is granted {count:d} turns')
+@then('{workspace} is granted {count:d} permit')
+@then('{workspace} is granted {count:d} permits')
 def is_granted(context, workspace, count):
     engine = context.engine
     got = engine.count(engine.granted, workspace)
     assert got == count, got
 
 
-@then('{workspace} is granted fewer turns')
+@then('{workspace} is granted fewer permits')
 def is_granted_fewer(context, workspace):
     engine = context.engine
     assert engine.count(engine.granted, workspace) < 6, engine.granted
 
 
-@then('some of {workspace} are refused at once')
+@then('some requests of {workspace} are refused immediately')
 def some_refused(context, workspace):
     engine = context.engine
     assert engine.count(engine.refused, workspace) > 0
@@ -165,13 +170,13 @@
     assert not any(waits)
 
 
-@then('they are told to come back after the queue has drained')
-def told_when(context):
+@then('their retry delay is the time in which the queue drains')
+def retry_after_drain(context):
     engine = context.engine
     for refused in engine.refused.values():
         drain_seconds = refused.ahead_tokens / engine.admission.rate_tokens
-        told_seconds = refused.retry_after_seconds
-        assert isclose(told_seconds, drain_seconds, abs_tol=0.1)
+        retry_seconds = refused.retry_after_seconds
+        assert isclose(retry_seconds, drain_seconds, abs_tol=0.1)
 
 
 @then('{workspace} is not refused')
@@ -179,43 +184,43 @@
     assert not context.engine.count(context.engine.refused, workspace)
 
 
-@then('{count:d} of {workspace} are refused')
+@then('{count:d} of the requests of {workspace} are refused')
 def are_refused(context, count, workspace):
     got = context.engine.count(context.engine.refused, workspace)
     assert got == count, got
 
 
-@then('its wait is told five times as long')
-def told_slow(context):
+@then('its estimated prefill rate falls to a fifth')
+def rate_fell(context):
     rate = context.engine.admission.rate_tokens
-    expected = FIRST_RATE_TOKENS / 5
+    expected = INITIAL_RATE_TOKENS / 5
     assert isclose(rate, expected, rel_tol=0.1), rate
 
 
-@then('every ask had one verdict')
-def one_verdict(context):
+@then('every request got one decision')
+def one_decision(context):
     engine = context.engine
-    assert len(engine.granted) + len(engine.refused) == len(engine.asks)
+    assert len(engine.granted) + len(engine.refused) == len(engine.requests)
 
 
-@then('workspaces that waited all along were served alike')
-def served_alike(context):
+@then('workspaces that waited all the time received equal service')
+def equal_service(context):
     engine = context.engine
     served = Counter()
     for name in engine.granted:
-        served[name.split('.')[0]] += engine.asks[name].cost
+        served[name.split('.')[0]] += engine.requests[name].cost
     most, least = max(served.values()), min(served.values())
-    # The past fades by half every 4 s, so a difference of a largest request
-    # (6,100 tokens) may come anew in each of the seven spans of a run.
+    # Service decays by half every 4 s, so a difference of one largest request
+    # (6,100 tokens) may arise again in each of the seven spans of a run.
     assert most - least < 7 * 6100, served
 
 
 @step(
-    'workspace {workspace} asks for {tokens:d} tokens, '
+    'workspace {workspace} sends a request of {tokens:d} prompt tokens, '
     'due in {seconds:g} seconds',
 )
-def ask_due(context, workspace, tokens, seconds):
-    context.engine.ask(
+def request_due(context, workspace, tokens, seconds):
+    context.engine.request(
         workspace,
         tokens,
         patience_seconds=seconds,
@@ -224,32 +229,35 @@
 
 
 @then(
-    'its usage tells of {count:d} turns, '
-    'of reading with and without others waiting',
+    'its usage report counts {count:d} permits, '
+    'and prefill with and without waiting requests',
 )
-def tells_usage(context, count):
+def reports_usage(context, count):
     engine = context.engine
     usage = engine.admission.usage
     assert usage.granted == count, usage
     assert usage.seconds[EngineUse.FULL] > 0, usage
-    assert usage.seconds[EngineUse.READING] > 0, usage
+    assert usage.seconds[EngineUse.PREFILLING] > 0, usage
 
 
-@step('workspace {workspace} asks for {tokens:d} tokens that stay')
-def ask_staying(context, workspace, tokens):
-    context.engine.ask(workspace, tokens, kept_tokens=tokens)
-    while context.engine.unread:
+@step(
+    'workspace {workspace} sends a request whose {tokens:d} prompt tokens '
+    'stay in the KV cache',
+)
+def request_staying(context, workspace, tokens):
+    context.engine.request(workspace, tokens, kept_tokens=tokens)
+    while context.engine.pending:
         context.engine.run_one()
 
 
-@then('it keeps a part for longer than {seconds:g} seconds')
-def keeps_long(context, seconds):
+@then('it caches a prefix for longer than {seconds:g} seconds')
+def caches_long(context, seconds):
     engine = context.engine
     assert engine.admission.hold_seconds(engine.now) > seconds
 
 
-@then('it keeps a part for less than {seconds:g} seconds')
-def keeps_short(context, seconds):
+@then('it caches a prefix for less than {seconds:g} seconds')
+def caches_short(context, seconds):
     engine = context.engine
     assert engine.admission.hold_seconds(engine.now) < seconds
 
@@ -261,16 +269,16 @@
     engine.served_seconds = [engine.now]
     while engine.now < ends:
         for workspace in workspaces:
-            ended = (*engine.granted, *engine.refused)
-            asked = engine.count(engine.asks, workspace)
-            open_asks = asked - engine.count(ended, workspace)
-            for _ in range(4 - open_asks):
-                engine.ask(workspace, 3000, patience_seconds=9)
-        name = engine.read_one()
-        engine.take(engine.admission.ended(engine.now, name))
-        asker = name.partition('.')[0]
-        served[asker] += engine.asks[name].new_tokens
-        if asker == workspaces[0]:
+            decided = (*engine.granted, *engine.refused)
+            sent = engine.count(engine.requests, workspace)
+            waiting = sent - engine.count(decided, workspace)
+            for _ in range(4 - waiting):
+                engine.request(workspace, 3000, patience_seconds=9)
+        name = engine.prefill_one()
+        engine.apply(engine.admission.ended(engine.now, name))
+        owner = name.partition('.')[0]
+        served[owner] += engine.requests[name].new_tokens
+        if owner == workspaces[0]:
             engine.served_seconds.append(engine.now)
     engine.served_seconds.append(engine.now)
     return served
@@ -286,10 +294,10 @@
     context.served = _flood(context.engine, (first, second), seconds)
 
 
-@then('{one} got at least {part:g} of what {other} got')
-def got_part(context, one, part, other):
+@then('{one} received at least {fraction:g} of what {other} received')
+def received_fraction(context, one, fraction, other):
     served = context.served
-    assert served[one] >= part * served[other], served
+    assert served[one] >= fraction * served[other], served
 
 
 @when('workspace {first} and {count:d} newcomers flood for {seconds:d} seconds')
@@ -306,20 +314,20 @@
 
 
 @when(
-    '{count:d} requests of {workspace} that are late already ask'
-    ' for {tokens:d} tokens',
+    'workspace {workspace} sends {count:d} late requests'
+    ' of {tokens:d} prompt tokens',
 )
 @when(
-    '{count:d} request of {workspace} that is late already asks'
-    ' for {tokens:d} tokens',
+    'workspace {workspace} sends {count:d} late request'
+    ' of {tokens:d} prompt tokens',
 )
-def ask_late(context, count, workspace, tokens):
+def request_late(context, count, workspace, tokens):
     for _ in range(count):
-        context.engine.ask(workspace, tokens, due_seconds=-1)
+        context.engine.request(workspace, tokens, due_seconds=-1)
 
 
-@then("the last of agency's requests is granted before those that are late")
+@then('the last request of agency is granted before the late ones')
 def in_time_first(context):
     engine = context.engine
-    last = list(engine.asks)[-1]
+    last = list(engine.requests)[-1]
     assert engine.granted[1] == last, engine.granted
--- a/tests/admission/steps/slots_steps.py
+++ b/tests/admission/steps/slots_steps.py
@@ -80,7 +80,7 @@
     assert refusal in context.effects, context.effects
 
 
-@step('entry {entry} holds grant {number:d}')
+@step('entry {entry} has grant {number:d}')
 def check_grant(context, entry, number):
     grants = [
         (effect.entry, effect.grant.number)
@@ -90,18 +90,18 @@
     assert (entry, number) in grants, context.effects
 
 
-@step('the fate of {attempt} is {fate}')
-def check_fate(context, attempt, fate):
+@step('the status of {attempt} is {status}')
+def check_status(context, attempt, status):
     found, effects = context.side.query(context.now, attempt, cancel=False)
     context.effects.extend(effects)
-    assert found == fate, found
+    assert found == status, found
 
 
-@when("the server's slots become {count:d}")
+@when("the server's slots change to {count:d}")
 def resize(context, count):
     context.effects = list(context.side.resize(context.now, count))
 
 
-@then('the load is announced at once')
+@then('the load is announced immediately')
 def announced(context):
     assert Announce() in context.effects, context.effects
--- a/tests/admission/steps/spread_steps.py
+++ b/tests/admission/steps/spread_steps.py
@@ -6,8 +6,8 @@
 from spread import (
     NARROW,
     SECONDS,
-    SMALL_ASKS_A_SECOND,
     SMALL_PROMPT_TOKENS,
+    SMALL_REQUESTS_A_SECOND,
     WARM_SECONDS,
     WIDE,
     Fleet,
@@ -16,33 +16,41 @@
 from sardinetrack.fairness.news import MOST_TOLD
 
 
-@when('entries tell of as many others as the product does')
+@when('entries report as many other workspaces as the product does')
 def when_product(context):
-    context.granted = Fleet(MOST_TOLD).play()
+    context.granted = Fleet(MOST_TOLD).run()
 
 
-@when('entries tell of {count:d} others with each question')
-def when_tell(context, count: int):
-    context.granted = Fleet(count).play()
+@when('entries report {count:d} other workspaces with each request')
+def when_report(context, count: int):
+    context.granted = Fleet(count).run()
 
 
-@then('the wide one gets more than {times:g} times what the narrow one gets')
+@then(
+    'the wide workspace receives more than {times:g} times '
+    'what the narrow one receives',
+)
 def then_more(context, times: float):
     granted = context.granted
     assert granted[WIDE] > times * granted[NARROW], granted.most_common(2)
 
 
-@then('the wide one gets less than {times:g} times what the narrow one gets')
+@then(
+    'the wide workspace receives less than {times:g} times '
+    'what the narrow one receives',
+)
 def then_less(context, times: float):
     granted = context.granted
     assert granted[NARROW] < times * granted[WIDE], granted.most_common(2)
     assert granted[WIDE] < times * granted[NARROW], granted.most_common(2)
 
 
-@then('the small ones get at least {part:g} of what they ask for')
-def then_small(context, part: float):
-    asked_tokens = SMALL_ASKS_A_SECOND * SMALL_PROMPT_TOKENS
-    asked_tokens *= SECONDS - WARM_SECONDS
+@then(
+    'the small workspaces receive at least {fraction:g} of what they request',
+)
+def then_small(context, fraction: float):
+    requested_tokens = SMALL_REQUESTS_A_SECOND * SMALL_PROMPT_TOKENS
+    requested_tokens *= SECONDS - WARM_SECONDS
     both = context.granted[WIDE] + context.granted[NARROW]
     small = context.granted.total() - both
-    assert small > part * asked_tokens, small / asked_tokens
+    assert small > fraction * requested_tokens, small / requested_tokens
--- a/tests/admission/steps/warming_steps.py
+++ b/tests/admission/steps/warming_steps.py
@@ -1,4 +1,4 @@
-"""Steps for turns at a cold engine."""
+"""Steps for permits at an engine after a cold start."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 _STEP_SECONDS = 0.005
 
 
-class Crowd(Engine):
-    """Asks at an even rate; each prompt is read at once, none holds a slot."""
+class LoadedEngine(Engine):
+    """Gets requests at an even rate.
+
+    Each prompt is prefilled immediately, and none occupies a slot.
+    """
 
     def __init__(self, slots):
         super().__init__(slots)
         self.granted_at = []
 
-    def take(self, verdicts):
+    def apply(self, decisions):
         before = len(self.granted)
-        super().take(verdicts)
+        super().apply(decisions)
         count = len(self.granted) - before
         self.granted_at.extend(self.now for _ in range(count))
 
@@ -29,14 +32,14 @@
         due_seconds = self.now
         while self.now < end_seconds:
             while due_seconds <= self.now:
-                self.ask('crowd', 100)
+                self.request('crowd', 100)
                 due_seconds += 1 / rate
             self.now += _STEP_SECONDS
-            self.take(self.admission.tick(self.now))
-            while self.unread:
-                name = self.unread.pop(0)
-                self.take(self.admission.begun(self.now, name))
-                self.take(self.admission.ended(self.now, name))
+            self.apply(self.admission.tick(self.now))
+            while self.pending:
+                name = self.pending.pop(0)
+                self.apply(self.admission.begun(self.now, name))
+                self.apply(self.admission.ended(self.now, name))
 
     def granted_between(self, begin, end):
         return sum(begin <= at < end for at in self.granted_at)
@@ -44,23 +47,24 @@
 
 @given(
     'an engine of {slots:d} slots that is cold for {seconds:g} seconds '
-    'and bears {rate:g} a second',
+    'and handles {rate:g} requests a second',
 )
 def open_cold(context, slots, seconds, rate):
-    context.engine = Crowd(slots)
-    verdicts = context.engine.admission.cool(0, Cold(seconds, rate))
-    assert not verdicts
+    context.engine = LoadedEngine(slots)
+    decisions = context.engine.admission.cool(0, Cold(seconds, rate))
+    assert not decisions
 
 
-@when('a crowd of {rate:g} a second asks for {seconds:g} seconds')
-def crowd(context, rate, seconds):
+@when('{rate:g} requests a second arrive for {seconds:g} seconds')
+def arrive(context, rate, seconds):
     context.engine.run(rate, seconds)
 
 
 @then(
-    'in no second of the first {seconds:g} more than {most:d} turns are granted'
+    'in no second of the first {seconds:g} '
+    'more than {most:d} permits are granted',
 )
-def bounded(context, seconds, most):
+def limited(context, seconds, most):
     engine = context.engine
     for begin in engine.granted_at:
         if begin < seconds:
@@ -71,27 +75,27 @@
 @then('the engine is not left idle while cold')
 def used(context):
     engine = context.engine
-    bears = engine.admission.warming.cold.per_second
+    rate = engine.admission.cold_start.cold_period.per_second
     granted = engine.granted_between(0, _COLD_SECONDS)
-    assert granted >= _COLD_SECONDS * bears, granted
+    assert granted >= _COLD_SECONDS * rate, granted
 
 
 @then(
     'in the quarter second after {begin:g} seconds '
-    'at most {most:d} turns are granted',
+    'at most {most:d} permits are granted',
 )
 def ramp(context, begin, most):
     assert context.engine.granted_between(begin, begin + 0.25) <= most
 
 
-@then('{begin:g} seconds after the start turns are bound by reading alone')
-def unbound(context, begin):
+@then('{begin:g} seconds after the start permits are limited only by prefill')
+def unlimited(context, begin):
     granted = context.engine.granted_between(begin, begin + 0.5)
     assert granted >= 25, granted
 
 
-@then('the wait that the last one is told is about {seconds:g} seconds')
-def told_wait(context, seconds):
+@then('the last refusal reports a wait of about {seconds:g} seconds')
+def reported_wait(context, seconds):
     last = list(context.engine.refused.values())[-1]
-    told = last.retry_after_seconds
-    assert 0.9 * seconds < told < 1.3 * seconds, told
+    reported = last.retry_after_seconds
+    assert 0.9 * seconds < reported < 1.3 * seconds, reported
--- a/tests/admission/writing.py
+++ b/tests/admission/writing.py
@@ -1,7 +1,7 @@
-"""An engine that reads in chunks beside the answers that it writes.
+"""An engine that prefills in chunks while it decodes responses.
 
-A step writes one token of each running answer, and reads a chunk of the prompts
-that it was given; the more run, the longer it takes.
+A step decodes one token of each running response, and prefills a chunk of the
+granted prompts; the more responses run, the longer it takes.
 """
 
 from __future__ import annotations
@@ -9,48 +9,48 @@
 import random
 
 from sardinetrack.admission.ask import Ask, Granted
-from sardinetrack.admission.batch import SLOTS_PART
+from sardinetrack.admission.batch import MAX_SLOTS_FRACTION
 from sardinetrack.admission.reading import ReadingAdmission
 
 DEADLINE_SECONDS = 12.0
 OBJECTIVE_SECONDS = 1.0
 _STEP_SECONDS = 0.003
-_ANSWER_SECONDS = 0.0001
-_READ_TOKENS_A_SECOND = 57_000
+_RESPONSE_SECONDS = 0.0001
+_PREFILL_TOKENS_A_SECOND = 57_000
 _CHUNK_TOKENS = 1024
 _PROMPT_TOKENS = 2_000
 _LENGTH_SPREAD = 0.6
-_HINT_SPREAD = 0.5
+_ESTIMATE_SPREAD = 0.5
 
 
-class Written:
-    """One answer under way."""
+class Response:
+    """A response that has been requested."""
 
-    def __init__(self, ask_id, length, told, asked_seconds):
+    def __init__(self, ask_id, length, estimate, requested_seconds):
         self.ask_id = ask_id
         self.length = length
-        self.told = told
-        self.asked_seconds = asked_seconds
-        self.unread = _PROMPT_TOKENS
+        self.estimate = estimate
+        self.requested_seconds = requested_seconds
+        self.pending_tokens = _PROMPT_TOKENS
         self.tokens = 0
 
 
-class WritingEngine:
-    """Plays a crowd of callers; counts how their answers end."""
+class DecodingEngine:
+    """Simulates many callers; counts how their responses end."""
 
-    def __init__(self, slots, median_tokens, *, bounded):
+    def __init__(self, slots, median_tokens, *, limited):
         self.now = float(0)
-        self.whole = 0
-        self.cut = 0
+        self.complete = 0
+        self.truncated = 0
         self._admission = ReadingAdmission(slots, 10_000_000)
-        self._bounded = bounded
+        self._limited = limited
         self._median_tokens = median_tokens
-        self._asked = {}
+        self._requested = {}
         self._running = []
-        self._random = random.Random(7)
+        self._rng = random.Random(7)
 
     @property
-    def part(self):
+    def slots_fraction(self):
         return self._admission.batch.part
 
     def run(self, rate, seconds):
@@ -58,69 +58,69 @@
         end_seconds = self.now + seconds
         while self.now < end_seconds:
             while due_seconds <= self.now:
-                self._ask()
-                due_seconds += self._random.expovariate(rate)
+                self._request()
+                due_seconds += self._rng.expovariate(rate)
             self._step()
 
-    def _ask(self):
-        length = self._random.lognormvariate(0, _LENGTH_SPREAD)
+    def _request(self):
+        length = self._rng.lognormvariate(0, _LENGTH_SPREAD)
         length = max(1, int(length * self._median_tokens))
-        hint = self._random.lognormvariate(0, _HINT_SPREAD)
-        told = max(1, int(length * hint))
-        name = f'a{len(self._asked)}'
-        self._asked[name] = Written(name, length, told, self.now)
-        ask = Ask(
+        error = self._rng.lognormvariate(0, _ESTIMATE_SPREAD)
+        estimate = max(1, int(length * error))
+        name = f'a{len(self._requested)}'
+        self._requested[name] = Response(name, length, estimate, self.now)
+        request = Ask(
             name,
             'crowd',
             _PROMPT_TOKENS,
-            _PROMPT_TOKENS + told,
-            told,
+            _PROMPT_TOKENS + estimate,
+            estimate,
             0.6,
             due_seconds=OBJECTIVE_SECONDS,
             ends_seconds=DEADLINE_SECONDS,
         )
-        self._take(self._admission.ask(self.now, ask))
+        self._apply(self._admission.ask(self.now, request))
 
-    def _take(self, verdicts):
-        for verdict in verdicts:
-            if isinstance(verdict, Granted):
-                self._running.append(self._asked[verdict.ask_id])
+    def _apply(self, decisions):
+        for decision in decisions:
+            if isinstance(decision, Granted):
+                self._running.append(self._requested[decision.ask_id])
 
     def _step(self):
-        if not self._bounded:
-            self._admission.batch.part = SLOTS_PART
-        read_tokens, begun = self._read()
-        writing = [one for one in self._running if not one.unread]
-        self.now += _STEP_SECONDS + len(writing) * _ANSWER_SECONDS
-        self.now += read_tokens / _READ_TOKENS_A_SECOND
-        for ask_id in begun:
-            self._take(self._admission.begun(self.now, ask_id))
-        for answer in writing:
-            answer.tokens += 1
-            self._judge(answer)
-        self._take(self._admission.tick(self.now))
-
-    def _read(self):
-        """Read a chunk; tell its size and whose prompts are read now."""
+        if not self._limited:
+            self._admission.batch.part = MAX_SLOTS_FRACTION
+        prefilled_tokens, prefilled = self._prefill()
+        decoding = [one for one in self._running if not one.pending_tokens]
+        self.now += _STEP_SECONDS + len(decoding) * _RESPONSE_SECONDS
+        self.now += prefilled_tokens / _PREFILL_TOKENS_A_SECOND
+        for ask_id in prefilled:
+            self._apply(self._admission.begun(self.now, ask_id))
+        for response in decoding:
+            response.tokens += 1
+            self._finish(response)
+        self._apply(self._admission.tick(self.now))
+
+    def _prefill(self):
+        """Prefill a chunk; return its size and the prompts that are done."""
         left = _CHUNK_TOKENS
-        begun = []
-        for answer in self._running:
-            if answer.unread:
-                read = min(left, answer.unread)
-                answer.unread -= read
-                left -= read
-                if not answer.unread:
-                    begun.append(answer.ask_id)
-        return _CHUNK_TOKENS - left, begun
-
-    def _judge(self, one):
-        whole = one.tokens >= one.length
-        late = self.now > one.asked_seconds + DEADLINE_SECONDS
-        if not whole and not late:
+        prefilled = []
+        for response in self._running:
+            if response.pending_tokens:
+                tokens = min(left, response.pending_tokens)
+                response.pending_tokens -= tokens
+                left -= tokens
+                if not response.pending_tokens:
+                    prefilled.append(response.ask_id)
+        return _CHUNK_TOKENS - left, prefilled
+
+    def _finish(self, one):
+        complete = one.tokens >= one.length
+        late = self.now > one.requested_seconds + DEADLINE_SECONDS
+        if not complete and not late:
             return
-        self.whole += whole
-        self.cut += not whole
+        self.complete += complete
+        self.truncated += not complete
         self._running.remove(one)
-        self._take(
-            self._admission.ended(self.now, one.ask_id, whole=whole),
+        self._apply(
+            self._admission.ended(self.now, one.ask_id, whole=complete),
         )
