--- a/src/sardinetrack/admission/order.py
+++ b/src/sardinetrack/admission/order.py
@@ -8,7 +8,7 @@
 
 from sardinetrack.admission.ask import Ask
 from sardinetrack.admission.waiting import WaitQueue, tokens_of
-from sardinetrack.fairness.recent import SharedService
+from sardinetrack.fairness.recent import FleetService
 
 JOIN_FRACTION: Final = 0.9
 """A workspace that joins starts from this fraction of the largest service
@@ -42,7 +42,7 @@
     def __init__(self, queue: WaitQueue) -> None:
         """Order the workspaces of a queue."""
         self._queue = queue
-        self._service = SharedService()
+        self._service = FleetService()
 
     def update_served(
         self,
@@ -55,7 +55,7 @@
         :param served: workspaces and tokens.
         """
         for workspace, tokens in served:
-            self._service.hear(now, entry, workspace, tokens)
+            self._service.update(now, entry, workspace, tokens)
 
     def granted(self, now: float, request: Ask) -> None:
         """Count the service of a granted request."""
--- a/src/sardinetrack/admission/running.py
+++ b/src/sardinetrack/admission/running.py
@@ -9,7 +9,7 @@
 from sardinetrack.admission.ask import Ask
 from sardinetrack.admission.batch import BatchLimit
 from sardinetrack.admission.slot_occupancy import SlotOccupancy
-from sardinetrack.fairness.recent import HALF_SECONDS, RecentService
+from sardinetrack.fairness.recent import HALF_LIFE_SECONDS, RecentService
 
 MEMORY_FRACTION: Final = 0.72
 """Fraction of an engine's KV cache for the own tokens of requests.
@@ -98,7 +98,7 @@
         """
         free_tokens = max(0, self._memory_tokens - self._kept_tokens)
         recent_tokens = self._turnover.tokens(now, _ENGINE)
-        rate_tokens = recent_tokens * math.log(2) / HALF_SECONDS
+        rate_tokens = recent_tokens * math.log(2) / HALF_LIFE_SECONDS
         if rate_tokens <= 0:
             return math.inf
         return free_tokens / rate_tokens
--- a/src/sardinetrack/fairness/__init__.py
+++ b/src/sardinetrack/fairness/__init__.py
@@ -1,3 +1,3 @@
-"""Virtual time of workspaces: the service ledger and its tags."""
+"""Fair queueing between workspaces: the service ledger and its tags."""
 
 from __future__ import annotations
--- a/src/sardinetrack/fairness/account.py
+++ b/src/sardinetrack/fairness/account.py
@@ -9,56 +9,61 @@
 
 @dataclass(slots=True)
 class Account:
-    """What one workspace received and holds, in cost units per weight."""
+    """Service and requests of one workspace, in cost units per weight."""
 
     level: float = 0
+    """Virtual time by settled service, at all entries."""
     service: float = 0
+    """Settled service received through this entry; never falls."""
     outstanding: float = 0
+    """Charged for running requests of this entry, not settled yet."""
     running: int = 0
     waiting: int = 0
     peer_outstanding: float = 0
     peer_running: int = 0
     peer_waiting: int = 0
     peers_waiting: int = 0
-    """How many peers hold waiting work."""
+    """Number of peers with waiting requests."""
     reported_running: int = 0
-    """What the last own report said was running."""
+    """Running requests in this entry's last report."""
     changed_seconds: float = 0
+    """Last change, on the monotonic clock."""
 
     @property
     def tag(self) -> float:
-        """Virtual time of the workspace."""
+        """Virtual start time of the workspace's next request."""
         return self.level + self.outstanding + self.peer_outstanding
 
     @property
     def backlogged(self) -> bool:
-        """Whether work waits at any entry, as far as known."""
+        """Whether requests wait at any entry, as far as known."""
         return self.waiting > 0 or self.peer_waiting > 0
 
 
 @dataclass(slots=True)
 class Charge:
-    """What a running request is charged ahead, per weight."""
+    """What a running request is charged in advance, per weight."""
 
     workspace: str
     weight: float
-    hint: float
+    estimate: float
+    """Estimated cost."""
     settled: float = 0
     outstanding: float = 0
     """Charged and not settled."""
 
-    def wanted(self, most: float) -> float:
-        """Compute what should be outstanding.
+    def target(self, maximum: float) -> float:
+        """Return what should be outstanding.
 
-        :param most: charged ahead at most, at weight 1.
+        :param maximum: charged in advance at most, at weight 1.
         """
-        left = max(0, self.hint - self.settled)
-        return min(most / self.weight, left)
+        left = max(0, self.estimate - self.settled)
+        return min(maximum / self.weight, left)
 
 
 @dataclass(slots=True)
 class Peer:
-    """The last word of another entry."""
+    """The last report of another entry."""
 
     incarnation: str
     live: bool = True
--- a/src/sardinetrack/fairness/bucket.py
+++ b/src/sardinetrack/fairness/bucket.py
@@ -5,17 +5,17 @@
 from typing import Final
 
 _BURST_SECONDS: Final = 2.0
-_LEAST_RATE: Final = 0.001
+_MIN_RATE: Final = 0.001
 
 
 class TokenBucket:
     """Admits at a rate, with a burst of some seconds' worth."""
 
     def __init__(self, now: float, rate_per_second: float) -> None:
-        """Start full.
+        """Create a full bucket.
 
         :param now: monotonic time.
-        :param rate_per_second: tokens gained.
+        :param rate_per_second: tokens added a second.
         """
         self._rate_per_second = rate_per_second
         self._tokens = self._burst
@@ -32,7 +32,7 @@
         self._tokens = min(self._tokens, self._burst)
 
     def take(self, now: float) -> bool:
-        """Take one token if there is one."""
+        """Remove one token if there is one; return whether there was."""
         self._fill(now)
         if self._tokens < 1:
             return False
@@ -40,13 +40,11 @@
         return True
 
     def seconds_to_token(self, now: float) -> float:
-        """Tell when the next token will be there."""
+        """Return how long until the next token is available."""
         self._fill(now)
-        return max(0, 1 - self._tokens) / max(
-            self._rate_per_second, _LEAST_RATE
-        )
+        return max(0, 1 - self._tokens) / max(self._rate_per_second, _MIN_RATE)
 
     def _fill(self, now: float) -> None:
-        gained = (now - self._filled_seconds) * self._rate_per_second
-        self._tokens = min(self._burst, self._tokens + gained)
+        added = (now - self._filled_seconds) * self._rate_per_second
+        self._tokens = min(self._burst, self._tokens + added)
         self._filled_seconds = now
--- a/src/sardinetrack/fairness/invariant.py
+++ b/src/sardinetrack/fairness/invariant.py
@@ -1,18 +1,18 @@
-"""Checks that stay on in the program."""
+"""Invariant checks that run in production too."""
 
 from __future__ import annotations
 
 
 class InvariantError(AssertionError):
-    """A promise of the decisions was broken; the state can't be trusted."""
+    """An invariant does not hold; the state can't be trusted."""
 
 
-def ensure(holds: bool, promise: str) -> None:
-    """Raise when an invariant is broken.
+def ensure(holds: bool, invariant: str) -> None:
+    """Raise if an invariant does not hold.
 
     :param holds: whether it holds.
-    :param promise: what was promised.
+    :param invariant: what should hold; the text of the error.
     :raises InvariantError: it does not hold.
     """
     if not holds:
-        raise InvariantError(promise)
+        raise InvariantError(invariant)
--- a/src/sardinetrack/fairness/ledger.py
+++ b/src/sardinetrack/fairness/ledger.py
@@ -1,8 +1,8 @@
 """Service ledger of one pool: what workspaces received across the fleet.
 
-Each entry keeps its own ledger. Settled service only grows and travels as
-absolute counters, so that a lost report is mended by the next one. The tag
-orders workspaces: settled level plus what running requests are charged.
+Each entry keeps its own ledger. Settled service only grows and is reported in
+absolute counters, so that the next report makes up for a lost one. The tag
+orders workspaces: settled service plus the charges of running requests.
 """
 
 from __future__ import annotations
@@ -16,17 +16,19 @@
 from sardinetrack.messages.api import ServiceReport, ServiceRow
 
 DRIFT_GAIN: Final = 0.125
-"""Part of the difference to a peer's level taken over from each report."""
+"""Fraction of the difference in settled service to a peer that each of its
+reports corrects."""
 
-CHARGED_MEANS: Final = 2.0
-"""Most that a running request is charged ahead, in mean costs of the pool.
+MAX_CHARGE_MEAN_COSTS: Final = 2.0
+"""Most that a running request is charged in advance, in mean costs of the pool.
 
-A hint may be four times too high, and the largest cost twenty times the
+An estimate may be four times too high, and the largest cost twenty times the
 mean. Charged in full at the start, such a request shuts its workspace out
-for as long as others need to catch up with work that was not done yet.
+for as long as others need to catch up with service not received yet.
 """
 MAX_LOST_PEERS: Final = 64
 SYNC_SECONDS: Final = 5.0
+"""After this time without a synced peer a ledger counts as synced."""
 _COST_GAIN: Final = 0.05
 _ROUNDING: Final = 1e-6
 
@@ -35,7 +37,6 @@
     """Tags of all workspaces of one pool, as one entry knows them."""
 
     def __init__(self) -> None:
-        """Start empty and unsynced."""
         self.virtual_time = float(0)
         self.synced = False
         self._accounts: dict[str, Account] = {}
@@ -43,23 +44,23 @@
         self._peers: dict[str, Peer] = {}
         self._mean_cost = math.inf
         self._costs = 0
-        self._began_seconds: float | None = None
+        self._first_wait_seconds: float | None = None
 
     @property
     def charge_ahead(self) -> float:
-        """Most that one request is charged ahead at weight 1."""
-        return CHARGED_MEANS * self._mean_cost
+        """Most that one request is charged in advance at weight 1."""
+        return MAX_CHARGE_MEAN_COSTS * self._mean_cost
 
     @property
     def live_peers(self) -> int:
-        """Count the entries that report."""
+        """Number of other entries that report."""
         return sum(peer.live for peer in self._peers.values())
 
     def account(self, workspace: str) -> Account:
-        """Find or open an account.
+        """Return the account of a workspace; open one if there is none.
 
         :param workspace: its name.
-        :return: the live account.
+        :return: the account itself, not a copy.
         """
         account = self._accounts.get(workspace)
         if account is None:
@@ -68,15 +69,15 @@
         return account
 
     def tag(self, workspace: str) -> float:
-        """Tell the virtual time of a workspace."""
+        """Return the tag of a workspace."""
         return self.account(workspace).tag
 
     def backlogged(self) -> Iterable[Account]:
-        """Iterate over the accounts with waiting work anywhere."""
+        """Iterate over the accounts with waiting requests at any entry."""
         return (one for one in self._accounts.values() if one.backlogged)
 
     def backlogged_elsewhere(self) -> Iterable[tuple[str, float]]:
-        """Iterate over tags of workspaces with work at peers."""
+        """Iterate over tags of workspaces with waiting requests at peers."""
         return (
             (name, account.tag)
             for name, account in self._accounts.items()
@@ -84,9 +85,9 @@
         )
 
     def meet(self, virtual_time: float) -> None:
-        """Take over the fleet's virtual time when starting empty.
+        """Adopt the fleet's virtual time while unsynced.
 
-        :param virtual_time: as a side tells it.
+        :param virtual_time: as a side reports it.
         """
         if self.synced or virtual_time <= self.virtual_time:
             return
@@ -95,13 +96,13 @@
             account.level = max(account.level, virtual_time)
 
     def wait(self, now: float, workspace: str, waiting: int) -> None:
-        """Set how much work of a workspace waits here.
+        """Set how many requests of a workspace wait here.
 
         :param now: monotonic time.
         :param workspace: its name.
         :param waiting: requests that wait at this entry.
         """
-        self._grow_up(now)
+        self._sync_by_time(now)
         account = self.account(workspace)
         was_backlogged = account.backlogged
         account.waiting = waiting
@@ -114,28 +115,28 @@
         now: float,
         attempt_id: str,
         workspace: str,
-        hint: float,
+        estimate: float,
         weight: float,
     ) -> None:
-        """Charge an attempt with its expected cost.
+        """Charge an attempt its estimated cost.
 
         :param now: monotonic time.
         :param attempt_id: names the charge until it is settled.
         :param workspace: who pays.
-        :param hint: expected cost units.
+        :param estimate: estimated cost, in cost units.
         :param weight: the workspace's weight.
         """
         account = self.account(workspace)
         self._advance(account)
-        self._guess(hint)
-        charge = Charge(workspace, weight, hint / weight)
+        self._init_mean_cost(estimate)
+        charge = Charge(workspace, weight, estimate / weight)
         self._charges[attempt_id] = charge
-        self._hold(account, charge, charge.wanted(self.charge_ahead))
+        self._set_outstanding(account, charge, charge.target(self.charge_ahead))
         account.running += 1
         account.changed_seconds = now
 
     def progress(self, now: float, attempt_id: str, cost: float) -> None:
-        """True up a charge to the cost so far.
+        """Settle the cost of an attempt so far.
 
         :param now: monotonic time.
         :param attempt_id: of a charge; unknown ones are ignored.
@@ -146,11 +147,11 @@
             return
         account = self.account(charge.workspace)
         grown = max(0, cost / charge.weight - charge.settled)
-        ensure(grown >= 0, 'a level rises with service')
+        ensure(grown >= 0, 'settled service never falls')
         charge.settled += grown
         account.level += grown
         account.service += grown
-        self._hold(account, charge, charge.wanted(self.charge_ahead))
+        self._set_outstanding(account, charge, charge.target(self.charge_ahead))
         account.changed_seconds = now
 
     def settle(self, now: float, attempt_id: str, cost: float) -> None:
@@ -164,20 +165,20 @@
         charge = self._charges.pop(attempt_id, None)
         if charge is None:
             return
-        self._learn(cost)
+        self._update_mean_cost(cost)
         account = self.account(charge.workspace)
-        self._hold(account, charge, 0)
+        self._set_outstanding(account, charge, 0)
         account.running -= 1
-        ensure(account.running >= 0, 'a charge is settled once')
+        ensure(account.running >= 0, 'a charge is settled only once')
         if not account.running:
             ensure(
                 abs(account.outstanding) <= _ROUNDING * (1 + account.level),
-                'nothing is charged when nothing runs',
+                'nothing is outstanding when nothing runs',
             )
             account.outstanding = 0
 
     def hear(self, now: float, report: ServiceReport) -> None:
-        """Take in a peer's report.
+        """Apply a peer's report.
 
         :param now: monotonic time.
         :param report: its rows replace the peer's earlier rows.
@@ -189,15 +190,15 @@
             self._peers[report.entry] = peer
         peer.live = True
         for row in report.rows:
-            self._hear_row(peer, row, report)
+            self._apply_row(peer, row, report)
         self.synced = self.synced or report.synced
 
     def lose(self, entry: str) -> None:
-        """Note that a peer is gone; what it charged counts as received.
+        """Mark a peer as disconnected; its charges count as service received.
 
-        Dropping its charges instead would set tags back and hand its
-        workspaces a windfall. Its counters stay, so that a peer that comes
-        back adds only what it served meanwhile.
+        Dropping its charges instead would lower tags and give its workspaces
+        service for free. Its counters stay, so that a peer that reconnects
+        adds only the service since its last report.
 
         :param entry: name of the peer.
         """
@@ -208,16 +209,16 @@
         for name, row in peer.rows.items():
             account = self.account(name)
             account.level += row.outstanding
-            gone = ServiceRow(name, row.service + row.outstanding, 0, 0)
-            self._replace(account, row, gone)
-            peer.rows[name] = gone
-        self._forget_lost()
+            settled = ServiceRow(name, row.service + row.outstanding, 0, 0)
+            self._replace(account, row, settled)
+            peer.rows[name] = settled
+        self._drop_lost_peers()
 
     def rows(self, changed_since_seconds: float) -> tuple[ServiceRow, ...]:
-        """List the rows of a report.
+        """Return the rows of a report.
 
         :param changed_since_seconds: leave out accounts unchanged since.
-        :return: one row an account.
+        :return: one row for each account.
         """
         return tuple(
             self._report_row(name, account)
@@ -236,33 +237,35 @@
             account.outstanding,
         )
 
-    def _grow_up(self, now: float) -> None:
-        """Trust the own levels after a while without any synced peer.
+    def _sync_by_time(self, now: float) -> None:
+        """Count as synced after a while without any synced peer.
 
-        A fleet that starts all at once has none; without this it would
-        never align its levels.
+        A fleet whose entries all start together has none; without this its
+        entries would never align their settled service.
         """
-        if self._began_seconds is None:
-            self._began_seconds = now
-        elif now - self._began_seconds >= SYNC_SECONDS:
+        if self._first_wait_seconds is None:
+            self._first_wait_seconds = now
+        elif now - self._first_wait_seconds >= SYNC_SECONDS:
             self.synced = True
 
-    def _hold(self, account: Account, charge: Charge, wanted: float) -> None:
-        account.outstanding += wanted - charge.outstanding
-        charge.outstanding = wanted
+    def _set_outstanding(
+        self, account: Account, charge: Charge, target: float
+    ) -> None:
+        account.outstanding += target - charge.outstanding
+        charge.outstanding = target
 
-    def _guess(self, hint: float) -> None:
+    def _init_mean_cost(self, estimate: float) -> None:
         if math.isinf(self._mean_cost):
-            self._mean_cost = hint
+            self._mean_cost = estimate
 
-    def _learn(self, cost: float) -> None:
+    def _update_mean_cost(self, cost: float) -> None:
         if not cost:
             return
         self._costs += 1
         gain = max(_COST_GAIN, 1 / self._costs)
         self._mean_cost += gain * (cost - self._mean_cost)
 
-    def _hear_row(
+    def _apply_row(
         self,
         peer: Peer,
         row: ServiceRow,
@@ -283,7 +286,7 @@
         if account.backlogged and not was_backlogged:
             self._lift(account)
 
-    def _forget_lost(self) -> None:
+    def _drop_lost_peers(self) -> None:
         lost = [name for name, peer in self._peers.items() if not peer.live]
         for name in lost[:-MAX_LOST_PEERS]:
             self._peers.pop(name)
@@ -313,9 +316,9 @@
     def _lift(self, account: Account) -> None:
         """Lift an account that becomes backlogged, so idle time earns nothing.
 
-        Levels are compared, not tags: what is charged ahead by a wrong hint
-        is trued down later, but a lift that was made by it would stay and
-        shut the newcomer out until all others had caught up.
+        Settled service is compared, not tags: a charge by a wrong estimate is
+        corrected later, but a lift based on it would stay and shut the
+        newcomer out until all others had caught up.
         """
         others = (one for one in self.backlogged() if one is not account)
         self.virtual_time = min(
--- a/src/sardinetrack/fairness/news.py
+++ b/src/sardinetrack/fairness/news.py
@@ -1,4 +1,4 @@
-"""What an entry tells a side, beside a question, of whom it had served."""
+"""Service updates that an entry sends to a side with a permit request."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 from sardinetrack.fairness.recent import RecentService
 
-MOST_TOLD: Final = 8
-"""Workspaces told with a question; some 200 bytes.
+MAX_REPORTED_WORKSPACES: Final = 8
+"""Workspaces reported with a permit request; some 200 bytes.
 
-A side hears of a workspace from entries that ask there for it, each of them
-more seldom than the past fades when its callers come through many entries to
-many engines. It is then believed to have been served less than it was. Of two
-workspaces that each ask for all that forty engines read, the one behind
-twenty entries got 1.8 times what the one behind a single entry got; with 8
-told, 1.2 times (tests/admission/spread.py).
+A side gets the service of a workspace from entries that request permits for it
+there. When its callers come through many entries to many engines, each entry
+does so less often than service decays, and the side underestimates the service
+received. Of two workspaces that each request all that forty engines can
+prefill, the one behind twenty entries received 1.8 times what the one behind a
+single entry received; with 8 reported, 1.2 times (tests/admission/spread.py).
 """
 
 
 class ServiceNews:
-    """Whom an entry had served since it was last told at one side."""
+    """Workspaces served by an entry since its last update to one side."""
 
-    def __init__(self, most: int = MOST_TOLD) -> None:
-        """Start with nothing told.
+    def __init__(self, maximum: int = MAX_REPORTED_WORKSPACES) -> None:
+        """Create an updater that has reported nothing.
 
-        :param most: workspaces told at once; of more the newest ones.
+        :param maximum: workspaces in one update; of more the newest ones.
         """
-        self._most = most
-        self._told_number = 0
+        self._maximum = maximum
+        self._reported_number = 0
 
     def rows(
         self,
         now: float,
         service: RecentService[str],
     ) -> tuple[tuple[str, int], ...]:
-        """Tell what is new, once.
+        """Return the rows that changed since the last call.
 
-        :param service: what the entry had served, anywhere.
+        :param service: what the entry had served at all servers.
         :return: names of workspaces and tokens.
         """
-        rows = service.newest(now, self._told_number, self._most)
-        self._told_number = service.number
+        rows = service.newest(now, self._reported_number, self._maximum)
+        self._reported_number = service.number
         return tuple((name, round(tokens)) for name, tokens in rows)
--- a/src/sardinetrack/fairness/recent.py
+++ b/src/sardinetrack/fairness/recent.py
@@ -1,4 +1,4 @@
-"""What each workspace was served lately; the past fades."""
+"""Recent service of each workspace, with exponential decay."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from itertools import islice, takewhile
 from typing import Final, Generic, NamedTuple, TypeVar
 
-HALF_SECONDS: Final = 4.0
-"""After so long an idle workspace has half of its service left.
+HALF_LIFE_SECONDS: Final = 4.0
+"""After this time an idle workspace has half of its service left.
 
 The users owe each workspace its share over windows of four seconds.
 """
-_FORGET_TOKENS: Final = 1.0
-_MOST_NAMES: Final = 20_000
+_MIN_TOKENS: Final = 1.0
+_MAX_NAMES: Final = 20_000
 
 Name = TypeVar('Name', bound=Hashable)
 
@@ -21,97 +21,96 @@
 class _Served(NamedTuple):
     tokens: float
     since_seconds: float
+    """When the count was made, on the monotonic clock."""
     number: int
-    """Of the change that made it; later ones are greater."""
+    """Number of the change that made it; later ones are greater."""
 
 
 class RecentService(Generic[Name]):
-    """Service by name, each fading by half every four seconds."""
+    """Service by name; each count decays by half every four seconds."""
 
     def __init__(self) -> None:
-        """Start with nobody served."""
         # In the order of the changes, the newest last.
         self._served: dict[Name, _Served] = {}
-        self._most_names = _MOST_NAMES
+        self._max_names = _MAX_NAMES
         self.number = 0
-        """Of the newest change; 0 before the first."""
+        """Number of the newest change; 0 before the first."""
 
     def add(self, now: float, name: Name, tokens: float) -> None:
-        """Count service.
+        """Add service.
 
-        :param tokens: read ones, and generated ones twice.
+        :param tokens: prefilled ones, and generated ones twice.
         """
         self.put(now, name, self.tokens(now, name) + tokens)
 
     def put(self, now: float, name: Name, tokens: float) -> None:
-        """Take over a count that was made elsewhere."""
+        """Replace a count by one made elsewhere."""
         self._served.pop(name, None)
         self.number += 1
         self._served[name] = _Served(tokens, now, self.number)
-        if len(self._served) > self._most_names:
-            self._forget(now)
+        if len(self._served) > self._max_names:
+            self._drop_decayed(now)
 
     def tokens(self, now: float, name: Name) -> float:
-        """Tell the faded service."""
+        """Return the decayed service."""
         served = self._served.get(name)
-        return float(0) if served is None else _faded(now, served)
+        return float(0) if served is None else _decayed(now, served)
 
     def newest(
         self,
         now: float,
         after: int,
-        most: int,
+        maximum: int,
     ) -> list[tuple[Name, float]]:
-        """Tell what has changed last.
+        """Return the newest changes.
 
         :param after: number of a change; older ones are left out.
-        :param most: so many names at the most.
-        :return: names with their faded service, the newest first.
+        :param maximum: maximum number of names.
+        :return: names with their decayed service, the newest first.
         """
         changed = takewhile(
             lambda row: row[1].number > after,
             reversed(self._served.items()),
         )
         return [
-            (name, _faded(now, served))
-            for name, served in islice(changed, most)
+            (name, _decayed(now, served))
+            for name, served in islice(changed, maximum)
         ]
 
-    def _forget(self, now: float) -> None:
+    def _drop_decayed(self, now: float) -> None:
         self._served = {
             name: served
             for name, served in self._served.items()
-            if _faded(now, served) > _FORGET_TOKENS
+            if _decayed(now, served) > _MIN_TOKENS
         }
-        # Who is left may all have been served lately: without this every
+        # All that remain may have been served recently: without this every
         # further name would walk over all of them.
-        self._most_names = max(_MOST_NAMES, 2 * len(self._served))
+        self._max_names = max(_MAX_NAMES, 2 * len(self._served))
 
 
-class SharedService:
-    """Service over the whole fleet, from what each entry tells of its own.
+class FleetService:
+    """Service received in the whole fleet, from the reports of all entries.
 
-    An entry tells with each request what it has had served to the workspace
-    at all servers. So a workspace whose prompts are at home at one busy
-    server is not held to its share of that server alone.
+    With each request an entry reports what it has had served to the workspace
+    at all servers. So a workspace whose prompts have one busy home server is
+    not limited to its share of that server alone.
     """
 
     def __init__(self) -> None:
-        """Start with nobody served."""
         self._by_entry = RecentService[tuple[str, str]]()
-        # All counts fade alike, so the faded sum is the sum of faded counts.
+        # All counts decay alike: the decayed sum is the sum of decayed counts.
         self._sums = RecentService[str]()
 
-    def hear(
+    def update(
         self,
         now: float,
         entry: str,
         workspace: str,
         tokens: float,
     ) -> None:
-        """Take over the count of one entry, unless it is behind.
+        """Take the count of one entry, unless the own count is higher.
 
-        What was granted while the entry's word was on its way is not in it.
+        A report does not include what was granted while it was on its way.
         """
         key = (entry, workspace)
         more_tokens = tokens - self._by_entry.tokens(now, key)
@@ -126,25 +125,25 @@
         workspace: str,
         tokens: float,
     ) -> None:
-        """Count a grant until the entry tells of it."""
+        """Count a grant until the entry reports it."""
         self._by_entry.add(now, (entry, workspace), tokens)
         self._sums.add(now, workspace, tokens)
 
-    def lift(self, now: float, workspace: str, least_tokens: float) -> None:
-        """Count a workspace as served at least so much.
+    def lift(self, now: float, workspace: str, min_tokens: float) -> None:
+        """Raise the service of a workspace to a minimum.
 
-        It fades as service does.
+        The added service decays like any other.
         """
-        short_tokens = least_tokens - self.tokens(now, workspace)
+        short_tokens = min_tokens - self.tokens(now, workspace)
         if short_tokens > 0:
             self._sums.add(now, workspace, short_tokens)
 
     def tokens(self, now: float, workspace: str) -> float:
-        """Sum the faded service over all entries."""
+        """Return the decayed service of all entries."""
         return self._sums.tokens(now, workspace)
 
 
-def _faded(now: float, served: _Served) -> float:
+def _decayed(now: float, served: _Served) -> float:
     return served.tokens * math.exp2(
-        (served.since_seconds - now) / HALF_SECONDS,
+        (served.since_seconds - now) / HALF_LIFE_SECONDS,
     )
--- a/tests/admission/steps/spread_steps.py
+++ b/tests/admission/steps/spread_steps.py
@@ -13,12 +13,12 @@
     Fleet,
 )
 
-from sardinetrack.fairness.news import MOST_TOLD
+from sardinetrack.fairness.news import MAX_REPORTED_WORKSPACES
 
 
 @when('entries report as many other workspaces as the product does')
 def when_product(context):
-    context.granted = Fleet(MOST_TOLD).run()
+    context.granted = Fleet(MAX_REPORTED_WORKSPACES).run()
 
 
 @when('entries report {count:d} other workspaces with each request')
--- a/tests/fairness/shares.feature
+++ b/tests/fairness/shares.feature
@@ -6,6 +6,6 @@
     Then the product's gap is at most 3 largest requests
     And the product's gap is less than a third of the other
 
-  Scenario: No slot idles while work waits
+  Scenario: No slot idles while requests wait
     When one seed of chart-api runs with the product's policy
-    Then at most 1 percent of slot-time idles while work waits
+    Then at most 1 percent of slot-time idles while requests wait
--- a/tests/fairness/steps/fleet_steps.py
+++ b/tests/fairness/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive a small fleet through drawn histories of faults."""
+"""Steps that run a small fleet through random histories of faults."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
         self.is_cut = False
         self.started = set()
         self.start = self.world.carrier.start
-        self.world.carrier.start = self.note_start
+        self.world.carrier.start = self.check_start
 
-    def note_start(self, side, attempt_id):
-        """Check that an attempt starts once."""
+    def check_start(self, side, attempt_id):
+        """Check that an attempt starts only once."""
         assert attempt_id not in self.started, attempt_id
         self.started.add(attempt_id)
         self.start(side, attempt_id)
 
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the simulated clock."""
         self.seconds += seconds
         self.world.events.run(self.seconds)
 
@@ -65,7 +65,7 @@
         count=st.integers(1, 8),
     )
     def submit(self, number, entry, cost, factor, count):
-        """Let callers of one workspace send."""
+        """Send requests of one workspace."""
         for _ in range(count):
             demand = Demand(
                 self.seconds,
@@ -78,7 +78,7 @@
 
     @rule(seconds=st.floats(0.01, 5))
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance the simulated clock."""
         self.advance(seconds)
 
     @rule(loss=st.sampled_from((0, 0.05, 0.5)))
@@ -93,7 +93,7 @@
 
     @rule(name=st.sampled_from(('s0', 's1')))
     def toggle_side(self, name):
-        """Kill a side, or start it empty."""
+        """Kill a side, or start it again with empty state."""
         if name in self.world.links.down:
             faults.revive_side(self.world, name)
         else:
@@ -101,7 +101,7 @@
 
     @rule(name=st.sampled_from(('e1', 'e2')))
     def toggle_entry(self, name):
-        """Kill an entry, or start it empty."""
+        """Kill an entry, or start it again with empty state."""
         if name in self.world.links.down:
             self.epoch += 1
             faults.revive_entry(self.world, name, self.epoch)
@@ -111,25 +111,25 @@
     @precondition(lambda fleet: not fleet.is_cut)
     @rule()
     def cut(self):
-        """Cut the fleet into halves."""
+        """Cut the links between two halves of the fleet."""
         self.is_cut = True
         faults.cut(self.world)
 
     @precondition(lambda fleet: fleet.is_cut)
     @rule()
     def heal(self):
-        """Mend the cut."""
+        """Restore the cut links."""
         self.is_cut = False
         faults.heal(self.world)
 
     @invariant()
-    def slots_are_kept(self):
-        """No side runs more than its slots."""
+    def slots_are_respected(self):
+        """No side runs more requests than it has slots."""
         for side in self.world.sides.values():
             assert len(side.running) <= SHAPE.slots, side.name
 
     def teardown(self):
-        """End all faults; then nothing may wait or run for ever."""
+        """End all faults; afterwards no request may wait indefinitely."""
         self.lose(0)
         self.slow(0)
         if self.is_cut:
@@ -148,7 +148,7 @@
         assert not waiting, waiting
 
 
-@then('{count:d} drawn histories of {steps:d} steps keep every invariant')
+@then('{count:d} random histories of {steps:d} steps keep every invariant')
 def run_histories(context, count, steps):
     run_state_machine_as_test(
         Fleet,
--- a/tests/fairness/steps/ledger_steps.py
+++ b/tests/fairness/steps/ledger_steps.py
@@ -28,11 +28,11 @@
 
 @step('peer {entry} reports {name} at service {service:g}')
 def report(context, entry, name, service):
-    hear(context, entry, name, service, 0)
+    report_charged(context, entry, name, service, 0)
 
 
 @step('peer {entry} reports {name} at {service:g} with {more:g} charged')
-def hear(context, entry, name, service, more):
+def report_charged(context, entry, name, service, more):
     served = service - context.services.get(entry, service)
     context.services[entry] = service
     level = context.ledger.account(name).level + served
@@ -45,8 +45,10 @@
         context.first_tag = context.ledger.tag(name)
 
 
-@given('{name} runs work of cost {cost:g} while nobody waits')
-def run_work(context, name, cost):
+@given(
+    '{name} runs a request of cost {cost:g} while no other request waits',
+)
+def run_request(context, name, cost):
     context.ledger.charge(context.now, 'one', name, cost, 1)
     context.ledger.settle(context.now, 'one', cost)
 
@@ -56,19 +58,19 @@
     context.ledger.wait(context.now, name, 1)
 
 
-@when('peer {entry} is lost')
-def lose(context, entry):
+@when('peer {entry} disconnects')
+def disconnect(context, entry):
     context.ledger.lose(entry)
 
 
-@when('a side tells virtual time {time:g}')
-def meet(context, time):
+@when('a side reports virtual time {time:g}')
+def adopt(context, time):
     context.ledger.meet(time)
 
 
-@when('{name} starts work hinted at {hint:g}')
-def start(context, name, hint):
-    context.ledger.charge(context.now, 'one', name, hint, 1)
+@when('{name} starts a request estimated at {estimate:g}')
+def start(context, name, estimate):
+    context.ledger.charge(context.now, 'one', name, estimate, 1)
 
 
 @when('its cost so far is {cost:g}')
--- a/tests/fairness/steps/recent_steps.py
+++ b/tests/fairness/steps/recent_steps.py
@@ -1,4 +1,4 @@
-"""Steps for faded service, counted and told."""
+"""Steps for service that decays, counted and reported."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from sardinetrack.fairness.recent import (
-    HALF_SECONDS,
+    HALF_LIFE_SECONDS,
+    FleetService,
     RecentService,
-    SharedService,
 )
 
 ENTRIES = ('a', 'b', 'c')
@@ -31,20 +31,20 @@
 
 
 class _Reference:
-    """Each entry's count by itself, faded step by step."""
+    """The separate count of each entry, decayed step by step."""
 
     def __init__(self) -> None:
         self.counts: dict[tuple[str, str], float] = {}
 
-    def fade(self, seconds: float) -> None:
-        """Let time pass."""
+    def decay(self, seconds: float) -> None:
+        """Advance the time."""
         for key in self.counts:
-            self.counts[key] *= 0.5 ** (seconds / HALF_SECONDS)
+            self.counts[key] *= 0.5 ** (seconds / HALF_LIFE_SECONDS)
 
-    def change(self, key: tuple[str, str], tokens: float, *, told: bool):
-        """Take a word, or count a grant."""
-        held = self.counts.get(key, 0)
-        self.counts[key] = max(held, tokens) if told else held + tokens
+    def change(self, key: tuple[str, str], tokens: float, *, reported: bool):
+        """Apply a report, or count a grant."""
+        before = self.counts.get(key, 0)
+        self.counts[key] = max(before, tokens) if reported else before + tokens
 
     def total(self, workspace: str) -> float:
         """Sum over the entries."""
@@ -55,20 +55,20 @@
         )
 
 
-@then("over random words and grants each sum is that of the entries' counts")
+@then("over random reports and grants each sum is that of the entries' counts")
 def then_sums(context):
     @settings(max_examples=200, deadline=None, derandomize=True)
     @for_all(CHANGES)
     def check(changes):
         now = float(0)
         reference = _Reference()
-        service = SharedService()
-        for told, pause_seconds, entry, workspace, tokens in changes:
+        service = FleetService()
+        for reported, pause_seconds, entry, workspace, tokens in changes:
             now += pause_seconds
-            reference.fade(pause_seconds)
-            reference.change((entry, workspace), tokens, told=told)
-            take = service.hear if told else service.add
-            take(now, entry, workspace, tokens)
+            reference.decay(pause_seconds)
+            reference.change((entry, workspace), tokens, reported=reported)
+            apply = service.update if reported else service.add
+            apply(now, entry, workspace, tokens)
             for name in WORKSPACES:
                 assert math.isclose(
                     service.tokens(now, name),
@@ -80,13 +80,13 @@
     check()
 
 
-@given('entry "{entry}" told {tokens:d} tokens of "{workspace}"')
-@when('entry "{entry}" tells {tokens:d} tokens of "{workspace}"')
-def hear(context, entry, tokens, workspace):
+@given('entry "{entry}" has reported {tokens:d} tokens of "{workspace}"')
+@when('entry "{entry}" reports {tokens:d} tokens of "{workspace}"')
+def report(context, entry, tokens, workspace):
     if not hasattr(context, 'shared'):
-        context.shared = SharedService()
+        context.shared = FleetService()
         context.now = 0
-    context.shared.hear(context.now, entry, workspace, tokens)
+    context.shared.update(context.now, entry, workspace, tokens)
 
 
 @when('{seconds:d} seconds pass')
@@ -94,10 +94,10 @@
     context.now += seconds
 
 
-@then('"{workspace}" was served {tokens:d} tokens')
-def then_served(context, workspace, tokens):
-    served = context.shared.tokens(context.now, workspace)
-    assert math.isclose(served, tokens), served
+@then('"{workspace}" has received {tokens:d} tokens')
+def then_received(context, workspace, tokens):
+    received = context.shared.tokens(context.now, workspace)
+    assert math.isclose(received, tokens), received
 
 
 @when(
@@ -128,12 +128,12 @@
 
 @when('{count:d} more are served')
 def when_more(context, count):
-    with patch('math.exp2', wraps=math.exp2) as looked:
+    with patch('math.exp2', wraps=math.exp2) as decayed:
         for name in range(count):
             context.service.add(0, context.count + name, 1000)
-        context.looks = looked.call_count
+        context.calls = decayed.call_count
 
 
-@then('all names were walked over at most {times:d} times')
-def then_walked(context, times):
-    assert context.looks <= times * context.count, context.looks
+@then('all names were iterated over at most {times:d} times')
+def then_iterated(context, times):
+    assert context.calls <= times * context.count, context.calls
--- a/tests/fairness/steps/shares_steps.py
+++ b/tests/fairness/steps/shares_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the measure driver for a short time."""
+"""Steps that run the policy benchmark for a short time."""
 
 from __future__ import annotations
 
@@ -39,6 +39,6 @@
     assert 3 * gaps[0] < gaps[1], gaps
 
 
-@then('at most {most:g} percent of slot-time idles while work waits')
+@then('at most {most:g} percent of slot-time idles while requests wait')
 def check_idle(context, most):
     assert 100 * context.product.idle <= most, context.product.idle
--- a/tests/fairness/steps/textbook_steps.py
+++ b/tests/fairness/steps/textbook_steps.py
@@ -63,7 +63,7 @@
         self.entry.load(0, 's', self.side.load())
 
     def from_entry(self, effects):
-        """Carry out effects of the entry."""
+        """Apply effects of the entry."""
         for effect in effects:
             if isinstance(effect, Dispatch):
                 self._order(effect)
@@ -71,7 +71,7 @@
                 self._message(effect.message)
 
     def from_side(self, effects):
-        """Carry out effects of the side."""
+        """Apply effects of the side."""
         for effect in effects:
             if isinstance(effect, Start):
                 self.order.append(self.sent[effect.attempt_id])
@@ -83,7 +83,7 @@
                 self.from_entry(self.entry.load(self.now, 's', load))
 
     def submit(self, demand):
-        """Let a caller send a request."""
+        """Send a request of a caller."""
         self.now = demand.at_seconds
         request = str(demand.at_seconds)
         self.requests[request] = demand
@@ -98,7 +98,7 @@
         self.from_entry(self.entry.submit(self.now, work))
 
     def finish(self):
-        """End what runs; the entry hears of the end before the grant."""
+        """End the running request; the entry handles that before the grant."""
         demand = self.order[-1]
         self.now += demand.cost
         attempt = next(key for key in self.sent if self.sent[key] is demand)
@@ -180,7 +180,7 @@
     assert ours == naive, (weights, ours, naive)
 
 
-@then('{count:d} drawn loads are served in the same order by both')
+@then('{count:d} random loads are served in the same order by both')
 def compare(context, count):
     settings(
         max_examples=count,
--- a/tests/fairness/textbook.feature
+++ b/tests/fairness/textbook.feature
@@ -1,8 +1,8 @@
-Feature: The decisions equal a textbook fair queue
+Feature: The decisions equal those of a textbook fair queue
 
   Scenario: One entry, one side with one slot, exact costs
     A naive queue serves the workspace that received least per weight, among
-    equals the one that waits longest. Many drawn loads must be served in the
-    same order by the product's entry and side.
+    equals the one that waits longest. For many random loads, the product's
+    entry and side must serve the requests in the same order.
 
-    Then 200 drawn loads are served in the same order by both
+    Then 200 random loads are served in the same order by both
