--- a/src/sardinetrack/placement/__init__.py
+++ b/src/sardinetrack/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which backend server a request goes to; no I/O, no clock."""
+"""Choice of the backend server for a request; no I/O, no clock."""
--- a/src/sardinetrack/placement/choice.py
+++ b/src/sardinetrack/placement/choice.py
@@ -1,4 +1,8 @@
-"""Choose the server of a request by what it would cost there."""
+"""Choice of the server for a request by its estimated cost there.
+
+The home server of a request is the one that rendezvous hashing prefers for its
+shared prefix.
+"""
 
 from __future__ import annotations
 
@@ -20,56 +24,57 @@
 from sardinetrack.placement.prompt import Prompt
 from sardinetrack.topology.servers import BackendServer
 
-REREAD_WEIGHT: Final = 20.0
-"""How many times its own time reading a shared part again counts.
+RECOMPUTE_WEIGHT: Final = 20.0
+"""Weight of the time in which a shared prefix is prefilled again.
 
-Everybody at that server waits for it, and it drives other parts out of the
-memory. A home that can't take a request in time refuses it, and it goes
-elsewhere all the same, so no server idles.
+All requests at that server wait for it, and it evicts other prefixes from the
+KV cache. A home server that can't start a request in time refuses it, and it
+goes elsewhere all the same, so no server idles.
 """
 RANK_SECONDS: Final = 0.015
-"""Counted for each place behind the home.
+"""Cost of each rank behind the home server.
 
-Less than the load of two servers differs by, so that it only makes entries
-choose the same one among servers that are alike.
+Less than the usual difference in load between two servers, so that it only
+makes entries choose the same one among servers that are alike.
 """
-_MOST_RANKS: Final = 4
-FAR_SECONDS: Final = 0.003
-"""Counted for another failure domain: a round trip."""
-ROOM_SECONDS: Final = 0.05
-"""Work told by a side that may still be done when a guest comes there.
-
-A word is 0.15 s old at the most where an engine is busy.
+_MAX_RANKS: Final = 4
+REMOTE_DOMAIN_SECONDS: Final = 0.003
+"""Cost of another failure domain: a round trip."""
+MAX_RECOMPUTE_WAIT_SECONDS: Final = 0.05
+"""Maximum reported wait of a server that would compute the prefix again.
+
+The work may be done by the time such a request arrives there: a report is at
+most 0.15 s old where an engine is busy.
 """
-WORD_AGE_SECONDS: Final = 0.08
-"""Mean age of a word; what was told may be off by what was granted since."""
+MEAN_REPORT_AGE_SECONDS: Final = 0.08
+"""Mean age of a report; it does not include what was granted since."""
 LEAVE_SECONDS: Final = 0.1
-"""From leaving a server to the first event of another, beside its reading."""
+"""From giving up on a server to another one's first event, without prefill."""
 _UNKNOWN: Final = ServerLoad()
 _COST: Final = attrgetter('cost_seconds')
 
 
 @dataclass(slots=True, eq=False)
 class Candidate:
-    """One server and what the request would cost there.
+    """One server and the estimated cost of the request there.
 
-    Not frozen: a request makes one for each server of its pool, up to three
-    times, and a frozen one takes 2.1 us in place of 0.6 (benchmarks.placement).
+    Not frozen: a request creates one for each server of its pool, up to three
+    times, and a frozen one takes 2.1 us instead of 0.6 (benchmarks.placement).
     """
 
     server: BackendServer
     wait_seconds: float
     cost_seconds: float
     new_tokens: int
-    """Prompt tokens that it would have to read."""
+    """Prompt tokens that it would have to prefill."""
     again_tokens: int = 0
-    """Those of them that its home would not have to read."""
-    begin_seconds: float = 0
-    """Until the prompt would be read there."""
+    """Those of them that the home server would not have to prefill."""
+    prefilled_seconds: float = 0
+    """Until the prompt would be prefilled there."""
 
     @property
     def is_guest(self) -> bool:
-        """Whether a shared part would be read there once more for it."""
+        """Whether its shared prefix would be computed there once more."""
         return self.again_tokens > 0
 
 
@@ -77,36 +82,36 @@
     prompt: Prompt,
     servers: Sequence[BackendServer],
     loads: Mapping[str, ServerLoad],
-    holders: Collection[str] = (),
+    cached_at: Collection[str] = (),
 ) -> list[Candidate]:
     """Order the servers of a model pool, the best first.
 
-    A server that holds the shared part needs to read only the request's own
-    part; any other reads all of it. So a request leaves the holders just when
-    waiting there costs more than reading it all elsewhere, and then it goes
-    where other entries send the same part.
+    A server that caches the shared prefix needs to prefill only the request's
+    own block; any other prefills all of it. So a request goes to another server
+    only when waiting at those costs more than prefilling it all elsewhere, and
+    then it goes where other entries send the same prefix.
 
-    :param holders: the addresses of servers that hold the shared part. Those
-        that are not among the servers count for nothing: with the only holder
-        behind an open breaker nobody would be at home anywhere, and everybody
-        refused as a guest beside idle servers.
+    :param cached_at: the addresses of servers that cache the shared prefix.
+        Those that are not among the servers are ignored: with the only one
+        behind an open breaker, the request would otherwise have no home server
+        and be refused everywhere beside idle servers.
     """
     by_name = {server.instance: server for server in servers}
     key = shared_part(prompt)
     order = ranked(key, by_name) if key else list(by_name)
-    held = any(server.ip in holders for server in servers)
-    readings = _readings(prompt, spares=not held)
-    found = [
+    is_cached = any(server.ip in cached_at for server in servers)
+    work = _prefill_work(prompt, uncached=not is_cached)
+    candidates = [
         _model_candidate(
             by_name[name],
             loads.get(name) or _UNKNOWN,
-            readings.at(rank, holds=by_name[name].ip in holders),
+            work.at(rank, cached=by_name[name].ip in cached_at),
             rank if key else 0,
         )
         for rank, name in enumerate(order)
     ]
-    found.sort(key=_COST)
-    return found
+    candidates.sort(key=_COST)
+    return candidates
 
 
 def by_load(
@@ -115,73 +120,85 @@
     failure_domain: str,
     entries: int,
 ) -> list[Candidate]:
-    """Order the servers of a plain pool, the least loaded first.
+    """Order the servers of a pool without models, the least loaded first.
 
     :param entries: how many entries share the servers.
     """
-    found: list[Candidate] = []
+    candidates: list[Candidate] = []
     for server in servers:
         load = loads.get(server.instance) or ServerLoad()
         running = max(load.running * entries, load.reported_running)
-        far = server.failure_domain != failure_domain
-        cost = running / max(1, server.slots) + far * FAR_SECONDS
-        found.append(Candidate(server, float(0), cost, 0))
-    return sorted(found, key=_COST)
+        is_remote = server.failure_domain != failure_domain
+        cost = (
+            running / max(1, server.slots) + is_remote * REMOTE_DOMAIN_SECONDS
+        )
+        candidates.append(Candidate(server, float(0), cost, 0))
+    return sorted(candidates, key=_COST)
 
 
 def with_room(
-    found: Iterable[Candidate],
-    patience_seconds: float,
+    candidates: Iterable[Candidate],
+    max_wait_seconds: float,
 ) -> Iterator[Candidate]:
-    """Keep the servers that would take the request, by what is known of them.
+    """Yield the servers that are expected to admit the request in time.
 
-    While a home reads a very long prompt, for a second or more, the holders
-    of a part are the cheapest by far and all too late. Asked one after the
-    other they would refuse, with idle servers behind them in the order. A
-    guest is taken only where there is room at once.
+    While a home server prefills a very long prompt, for a second or more, the
+    servers that cache a prefix are the cheapest by far and all too late. One
+    after the other they would refuse the request, with idle servers behind them
+    in the order. A request whose prefix is computed again is admitted only
+    where capacity is free immediately.
 
-    :param patience_seconds: how long the request can wait at home.
+    :param max_wait_seconds: how long the request can wait at its home server.
     """
-    for one in found:
-        most_seconds = ROOM_SECONDS if one.is_guest else patience_seconds
-        if one.wait_seconds <= most_seconds:
+    for one in candidates:
+        limit_seconds = (
+            MAX_RECOMPUTE_WAIT_SECONDS if one.is_guest else max_wait_seconds
+        )
+        if one.wait_seconds <= limit_seconds:
             yield one
 
 
 def worth_waiting_seconds(
     one: Candidate,
     other: Candidate | None,
-    due_seconds: float = math.inf,
+    first_event_due_seconds: float = math.inf,
 ) -> float:
-    """Tell how long a request should wait at a server before it leaves it.
+    """Return how long a request should wait at a server before switching.
 
-    As long as waiting costs less than going to the next best, and no longer
-    than it can still be in time there. A short prompt that came to its home
-    just before a very long one was granted there would else wait until it is
-    late, beside servers that would read it at once.
+    As long as waiting costs less than going to the next best one, and no longer
+    than it can still be in time there. Otherwise a short prompt that came to
+    its home server just before a very long one was granted there would wait
+    until it is late, beside servers that would prefill it immediately.
 
-    :param other: the best of those that have room.
-    :param due_seconds: from now until the first event is late.
+    :param other: the best of those with free capacity.
+    :param first_event_due_seconds: from now until the first event is late.
     """
     if other is None:
         return math.inf
-    over_seconds = other.cost_seconds - one.cost_seconds
-    stay_seconds = one.wait_seconds + max(0, over_seconds) + WORD_AGE_SECONDS
-    spare_seconds = due_seconds - other.begin_seconds - LEAVE_SECONDS
+    extra_seconds = other.cost_seconds - one.cost_seconds
+    stay_seconds = (
+        one.wait_seconds + max(0, extra_seconds) + MEAN_REPORT_AGE_SECONDS
+    )
+    spare_seconds = (
+        first_event_due_seconds - other.prefilled_seconds - LEAVE_SECONDS
+    )
     if spare_seconds < 0:
-        # It would be late there too, and have a part read again besides.
+        # It would be late there too, and compute a prefix again besides.
         return stay_seconds
     return min(stay_seconds, spare_seconds)
 
 
 def without(
-    found: Sequence[Candidate],
+    candidates: Sequence[Candidate],
     instances: Collection[str],
 ) -> list[Candidate]:
-    """Leave out servers that the request was at."""
+    """Return the candidates without some servers.
+
+    :param instances: the instances of the servers to leave out.
+    """
     return [
         candidate
-        for candidate in found
+        for candidate in candidates
         if candidate.server.instance not in instances
     ]
 
@@ -193,64 +210,65 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Reading:
-    """What a server would have to read, the same at most servers."""
+class _PrefillWork:
+    """What a server would have to prefill, the same at most servers."""
 
-    new_tokens: int
-    again_tokens: int
+    prefill_tokens: int
+    recomputed_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Readings:
-    """What holders, the home and all others would have to read."""
+class _PrefillWorkByServer:
+    """Work of servers that cache the prefix, the home server and all others."""
 
-    holder: _Reading
-    home: _Reading
-    other: _Reading
+    caching: _PrefillWork
+    home: _PrefillWork
+    other: _PrefillWork
 
-    def at(self, rank: int, *, holds: bool) -> _Reading:
-        if holds:
-            return self.holder
+    def at(self, rank: int, *, cached: bool) -> _PrefillWork:
+        if cached:
+            return self.caching
         return self.other if rank else self.home
 
 
-def _readings(prompt: Prompt, *, spares: bool) -> _Readings:
-    """Work out what there is to read.
+def _prefill_work(prompt: Prompt, *, uncached: bool) -> _PrefillWorkByServer:
+    """Return what there is to prefill.
 
-    A short shared part is read again wherever there is room: as a guest with
-    next to no patience its request would be refused for a few milliseconds'
-    reading, while longer ones wait at their homes.
+    A short shared prefix is computed again wherever capacity is free:
+    otherwise its request would have hardly any maximum wait away from its home
+    server and be refused for a few milliseconds of prefill, while longer ones
+    wait at their home servers.
 
-    :param spares: nobody holds the shared part, so somebody has to read it
-        and the home does.
+    :param uncached: no server caches the shared prefix, so one has to prefill
+        it and the home server does.
     """
     if shared_tokens(prompt) < SHARED_TOKENS:
-        anywhere = _Reading(prompt.tokens, 0)
-        return _Readings(anywhere, anywhere, anywhere)
+        anywhere = _PrefillWork(prompt.tokens, 0)
+        return _PrefillWorkByServer(anywhere, anywhere, anywhere)
     own_tokens = _own_tokens(prompt)
-    whole = _Reading(prompt.tokens, prompt.tokens - own_tokens)
-    home = _Reading(prompt.tokens, 0) if spares else whole
-    return _Readings(_Reading(own_tokens, 0), home, whole)
+    other = _PrefillWork(prompt.tokens, prompt.tokens - own_tokens)
+    home = _PrefillWork(prompt.tokens, 0) if uncached else other
+    return _PrefillWorkByServer(_PrefillWork(own_tokens, 0), home, other)
 
 
 def _model_candidate(
     server: BackendServer,
     load: ServerLoad,
-    reading: _Reading,
+    work: _PrefillWork,
     rank: int,
 ) -> Candidate:
     rate_tokens = load.rate_tokens
     wait_seconds = load.told_wait_seconds + load.added_tokens / rate_tokens
     cost_seconds = (
         wait_seconds
-        + REREAD_WEIGHT * reading.again_tokens / rate_tokens
-        + RANK_SECONDS * min(rank, _MOST_RANKS)
+        + RECOMPUTE_WEIGHT * work.recomputed_tokens / rate_tokens
+        + RANK_SECONDS * min(rank, _MAX_RANKS)
     )
     return Candidate(
         server,
         wait_seconds,
         cost_seconds,
-        reading.new_tokens,
-        reading.again_tokens,
-        wait_seconds + reading.new_tokens / rate_tokens,
+        work.prefill_tokens,
+        work.recomputed_tokens,
+        wait_seconds + work.prefill_tokens / rate_tokens,
     )
--- a/src/sardinetrack/placement/home.py
+++ b/src/sardinetrack/placement/home.py
@@ -1,4 +1,7 @@
-"""Where a prompt is at home: the server that should hold its shared parts."""
+"""The home server of a prompt, which should cache its shared prefix.
+
+It is the server that rendezvous hashing prefers for that prefix.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +13,18 @@
 
 from sardinetrack.placement.prompt import Prompt
 
-_MOST_REMEMBERED: Final = 4096
-"""Orders that are remembered; a busy entry meets some hundred parts."""
+_MAX_CACHED_ORDERS: Final = 4096
+"""Server orders kept in memory; a busy entry sees some hundred prefixes."""
 
 
 def shared_part(prompt: Prompt) -> str:
-    """Name the deepest part of a prompt that other requests share.
+    """Return the id of the longest prefix that other requests share.
 
-    The last part belongs to the request or its session alone; the one before
-    it is the deepest that others bring again.
+    The last block belongs to the request or its session alone; the one before
+    it ends the longest prefix that other requests repeat.
 
-    :param prompt: its parts in order.
-    :return: the id, empty for a prompt without parts.
+    :param prompt: with its blocks in order.
+    :return: the id of that block, empty for a prompt without blocks.
     """
     parts = prompt.parts
     if not parts:
@@ -30,26 +33,26 @@
 
 
 def shared_tokens(prompt: Prompt) -> int:
-    """Count the tokens up to the end of the shared part."""
+    """Return the number of tokens in the shared prefix."""
     return sum(part.tokens for part in prompt.parts[:-1])
 
 
 def ranked(key: str, names: Iterable[str]) -> list[str]:
     """Order servers by rendezvous hashing.
 
-    Entries agree on the order without a word, and when a server comes or
-    goes only the prompts at home there move.
+    Entries agree on the order without communication, and when a server is
+    added or removed only the prompts with that home server move.
 
-    :param key: the shared part.
+    :param key: id of the shared prefix.
     :param names: the servers' instances.
-    :return: the home first.
+    :return: the home server first.
     """
-    return list(_ranked(key, tuple(names)))
+    return list(_rendezvous_order(key, tuple(names)))
 
 
-@lru_cache(maxsize=_MOST_REMEMBERED)
-def _ranked(key: str, names: tuple[str, ...]) -> tuple[str, ...]:
-    """Hash once for each part and set of servers."""
+@lru_cache(maxsize=_MAX_CACHED_ORDERS)
+def _rendezvous_order(key: str, names: tuple[str, ...]) -> tuple[str, ...]:
+    """Hash once for each prefix and set of servers."""
     order = sorted(
         names,
         key=lambda name: xxhash.xxh3_64_intdigest(f'{key}/{name}'.encode()),
--- a/src/sardinetrack/placement/load.py
+++ b/src/sardinetrack/placement/load.py
@@ -1,4 +1,4 @@
-"""What an entry believes of the load of one backend server."""
+"""An entry's estimate of the load of one backend server."""
 
 from __future__ import annotations
 
@@ -6,34 +6,34 @@
 from typing import Final
 
 FIRST_RATE: Final = 40_000.0
-"""Prompt tokens a second taken for a server nobody has measured yet.
+"""Prompt tokens a second assumed for a server without measurements.
 
-Engines of today read 57 and 125 tokens a millisecond when they do nothing
-else; in a full batch a third goes to decoding (platform's pages).
+Current engines prefill 57 and 125 tokens a millisecond when they do nothing
+else; in a full batch a third goes to decoding (platform's documentation).
 """
 
 
 @dataclass(slots=True)
 class ServerLoad:
-    """Load of one server: as its side told it, and what was added since."""
+    """Load of one server: its side's last report, and what was added since."""
 
     told_wait_seconds: float = 0
-    """Until a request that comes now would start to be read, or has a slot."""
+    """Wait for prefill or a slot, at the time of the report."""
     rate_tokens: float = FIRST_RATE
-    """Prompt tokens that it reads in a second."""
+    """Prompt tokens that it prefills a second."""
     added_tokens: int = 0
-    """Tokens that this entry has sent there since the last word."""
+    """Tokens to prefill, sent there by this entry since the last report."""
     running: int = 0
     """Requests of this entry at the server."""
     reported_running: int = 0
-    """Requests there by the server's own last answer."""
+    """Requests there by the server's own last response."""
 
     def wait_seconds(self) -> float:
         """Estimate how long a request that is sent now waits."""
         return self.told_wait_seconds + self.added_tokens / self.rate_tokens
 
     def restart(self) -> None:
-        """Forget all: the server has started anew, and has read nothing."""
+        """Reset the estimates: the server has restarted and is idle."""
         self.hear(0, FIRST_RATE)
         self.reported_running = 0
 
@@ -42,7 +42,7 @@
         wait_seconds: float,
         rate_tokens: float,
     ) -> None:
-        """Take over the word of a side."""
+        """Apply a load report of the side."""
         self.told_wait_seconds = wait_seconds
         self.rate_tokens = rate_tokens
         self.added_tokens = 0
--- a/src/sardinetrack/placement/prompt.py
+++ b/src/sardinetrack/placement/prompt.py
@@ -1,4 +1,4 @@
-"""What a request asks of a model engine."""
+"""The prompt of a request to a model engine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt; requests share parts."""
+    """One block of a prompt; prompts of several requests may begin alike."""
 
     part_id: str
     tokens: int
@@ -15,12 +15,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a request asks of a model engine."""
+    """Blocks and lengths of a prompt, and the length of its response."""
 
     parts: tuple[PromptPart, ...] = ()
+    """In order; the last one belongs to the request or its session alone."""
     tokens: int = 0
+    """Length of the prompt."""
     answer_tokens: int = 0
-    """Most tokens that the answer may have, or the caller's estimate."""
+    """Maximum length of the response, or the caller's estimate."""
     most_answer_tokens: int = 0
+    """Maximum length of the response."""
     is_estimated: bool = False
-    """Whether the caller has told an estimate."""
+    """Whether the caller has sent an estimate."""
--- a/tests/placement/choice.feature
+++ b/tests/placement/choice.feature
@@ -1,106 +1,112 @@
 Feature: Which server a prompt goes to
 
-  Scenario: Prompts that share a part go to one server
+  Scenario: Prompts with the same shared prefix go to one server
     Given 9 idle engines
-    When 50 prompts with 20 different shared parts are placed
-    Then each shared part is at one engine
+    When 50 prompts with 20 different shared prefixes are placed
+    Then each shared prefix is at one engine
 
-  Scenario: All entries agree on the home without a word
+  Scenario: All entries agree on the home server without communication
     Given 9 idle engines
     Then two entries that list the engines in another order agree
 
-  Scenario: A lost engine moves only what was at home there
+  Scenario: A removed engine moves only the prefixes with that home server
     Given 9 idle engines
-    When one engine is lost
-    Then only the parts at home there have moved
+    When one engine is removed
+    Then only the prefixes with that home server have moved
 
-  Scenario: A prompt leaves its home only when waiting costs more
+  Scenario: A prompt goes to another server only when waiting costs more
     Given 9 idle engines
-    When the home has 0.2 seconds to read
-    Then a prompt with 5000 shared tokens stays at home
-    And a prompt with 50 shared tokens leaves it
+    When the home server has 0.2 seconds of prefill left
+    Then a prompt with 5000 shared tokens stays at its home server
+    And a prompt with 50 shared tokens goes to another server
 
-  Scenario: A home without a free slot is left where waiting costs more
-    Its side tells how long until one comes free. A home of few slots has none
-    for a tenth of a second at a time; read anew elsewhere each time, its parts
-    would push others out of the memory of half the pool.
+  Scenario: Without a free slot at home, a prompt goes elsewhere if waiting costs more
+    The side reports how long until a slot becomes free. A home server with few
+    slots has none for a tenth of a second at a time; prefilled again elsewhere
+    each time, its prefixes would evict others from the KV caches of half the
+    pool.
 
     Given 9 idle engines
-    When the home has no free slot for 0.1 seconds
-    Then a prompt with 5000 shared tokens stays at home
-    When the home has no free slot for 30 seconds
-    Then a prompt with 5000 shared tokens leaves it
+    When the home server has no free slot for 0.1 seconds
+    Then a prompt with 5000 shared tokens stays at its home server
+    When the home server has no free slot for 30 seconds
+    Then a prompt with 5000 shared tokens goes to another server
 
-  Scenario: What this entry sent is counted before its side tells it
-    A crowd comes within one word of the side. Were only the side's word
-    counted, all of it would go to the engine that looked idle.
+  Scenario: Requests of this entry count before the side reports them
+    Many requests arrive between two reports of the side. If only the reports
+    counted, all of them would go to the engine that looked idle.
 
     Given 9 idle engines
-    When 90 prompts without shared parts are placed between two words
+    When 90 prompts without shared prefixes are placed between two reports
     Then no engine got more than 14 of them
 
-  Scenario: Plain servers get work by their load
-    Given 3 plain servers, one of them loaded
-    Then a request goes to one that is idle in the own failure domain
+  Scenario: Servers without models get requests by their load
+    Given 3 servers without models, one of them loaded
+    Then a request goes to an idle one in the own failure domain
 
-  Scenario: Servers that would be late are passed over
-    Both holders of a part read very long prompts. After the home has refused,
-    an idle server is asked, not the other holder that would refuse as well.
+  Scenario: Servers that would be late are skipped
+    Both servers that cache a prefix prefill very long prompts. After the home
+    server has refused, an idle server is next, not the other caching server
+    that would refuse as well.
 
     Given 9 idle engines
-    When both holders of a part have 1.5 seconds to read
-    Then the other holder is before the idle ones by cost
-    And it is not among those with room
-    And all that are idle are
+    When both servers that cache a prefix have 1.5 seconds of prefill left
+    Then the other caching server is before the idle ones by cost
+    And it is not among those with free capacity
+    And all idle ones are
 
-  Scenario: A part whose only holder can't be used is at home elsewhere
-    The holder's breaker is open. Were every other server a mere guest's, the
-    request would be refused after a moment beside idle servers.
+  Scenario: A prefix cached only at an unusable server gets another home server
+    The breaker of the caching server is open. If every other server counted as
+    away from home, the request would be refused after a moment beside idle
+    servers.
 
     Given 9 idle engines
-    When the only holder of a part is not among the servers
-    Then one server would read it as its home, and the others again
+    When the only server that caches a prefix is not among the servers
+    Then one server would prefill it as its home server, and the others again
 
-  Scenario: A short shared part makes nobody a guest
-    198 tokens are read in 5 ms. With a guest's 20 ms of patience at all servers
-    except its home, a short question is refused more often than a long prompt.
+  Scenario: A short shared prefix is computed again at any server
+    198 tokens are prefilled in 5 ms. If the maximum wait were 20 ms at all
+    servers except its home server, a short prompt would be refused more often
+    than a long one.
 
     Given 9 idle engines
     When a prompt with 198 shared tokens is placed
-    Then it is a guest nowhere
+    Then no server counts as computing its prefix again
     When a prompt with 5000 shared tokens is placed
-    Then it is a guest everywhere but at home
+    Then all servers except its home server compute its prefix again
 
   Scenario: A short prompt does not wait for a long one beside idle servers
-    The home looks idle, and a very long prompt is granted there in the same
-    moment. Who came after it would wait for a second, and be late, because
-    its 600 shared tokens are here: an idle server reads them in 15 ms.
+    The home server looks idle, and a very long prompt is granted there at the
+    same moment. A prompt that comes after it would wait for a second, and be
+    late, because its 600 shared tokens are cached here: an idle server prefills
+    them in 15 ms.
 
     Given 9 idle engines
     When a prompt with 600 shared tokens is placed
-    Then it is worth waiting at home for less than 0.4 seconds
+    Then it is worth waiting at its home server for less than 0.4 seconds
     When a prompt with 5000 shared tokens is placed
-    Then it is worth waiting at home for more than 2 seconds
-    When the home has 0.3 seconds to read
+    Then it is worth waiting at its home server for more than 2 seconds
+    When the home server has 0.3 seconds of prefill left
     And a prompt with 5000 shared tokens is placed
-    Then it is worth waiting at home for more than 2 seconds
+    Then it is worth waiting at its home server for more than 2 seconds
 
-  Scenario: Who would be late at home leaves while it can be in time elsewhere
-    Pattern: a calm day with some very long prompts. One of 50,000 tokens is read
-    at the home of a short one for a second; the short one's caller would see
-    its objective pass, and nobody else is hurt by reading its part again.
+  Scenario: A request that would be late at its home server leaves in time for another one
+    The case: light load with some very long prompts. One of 50,000 tokens takes
+    a second of prefill at the home server of a short one; the short one's
+    caller would miss its objective, and no other request is hurt by computing
+    its prefix again.
 
     Given 9 idle engines
     When a prompt with 5000 shared tokens is placed
-    Then due in 0.9 seconds it is worth waiting at home for less than 0.7 seconds
-    And due in 0.9 seconds it is worth waiting at home for more than 0.4 seconds
+    Then due in 0.9 seconds it is worth waiting at its home server for less than 0.7 seconds
+    And due in 0.9 seconds it is worth waiting at its home server for more than 0.4 seconds
 
-  Scenario: Who would be late there too stays at home
+  Scenario: A request that would be late at the other server too stays at its home server
     Given 9 idle engines
     When a prompt with 5000 shared tokens is placed
-    Then due in 0.15 seconds it is worth waiting at home for more than 2 seconds
+    Then due in 0.15 seconds it is worth waiting at its home server for more than 2 seconds
 
-  Scenario: A part counts as held for as long as its server keeps parts
-    Given a server that keeps parts for 3 seconds and one that says nothing
-    When both have used a part 5 seconds ago
-    Then only the one that says nothing counts as a holder
+  Scenario: A prefix counts as cached for as long as its server caches prefixes
+    Given a server that caches prefixes for 3 seconds and one that reports nothing
+    When both have used a prefix 5 seconds ago
+    Then only the one that reports nothing counts as caching it
--- a/tests/placement/steps/choice_steps.py
+++ b/tests/placement/steps/choice_steps.py
@@ -1,4 +1,4 @@
-"""Steps for placement."""
+"""Steps for the choice of a server."""
 
 from __future__ import annotations
 
@@ -54,8 +54,8 @@
     context.loads = {server.instance: _idle() for server in context.servers}
 
 
-@given('{count:d} plain servers, one of them loaded')
-def open_plain(context, count):
+@given('{count:d} servers without models, one of them loaded')
+def open_without_models(context, count):
     domains = ('asparuhovo', 'galata', 'galata')
     context.servers = [
         _server(number, domains[number]) for number in range(count)
@@ -64,27 +64,34 @@
     context.loads['i-1'].reported_running = 40
 
 
-@when('{count:d} prompts with {parts:d} different shared parts are placed')
-def place_prompts(context, count, parts):
+@when(
+    '{count:d} prompts with {prefixes:d} different shared prefixes are placed',
+)
+def place_prompts(context, count, prefixes):
     context.placed = [
-        (number % parts, _best(context, _prompt(f'part-{number % parts}')))
+        (
+            number % prefixes,
+            _best(context, _prompt(f'part-{number % prefixes}')),
+        )
         for number in range(count)
     ]
 
 
-@when('one engine is lost')
-def lose_engine(context):
-    context.before = {part: _best(context, _prompt(part)) for part in _parts()}
-    context.lost = context.servers.pop(3).instance
+@when('one engine is removed')
+def remove_engine(context):
+    context.before = {
+        prefix: _best(context, _prompt(prefix)) for prefix in _prefixes()
+    }
+    context.removed = context.servers.pop(3).instance
 
 
-@when('the home has {seconds:g} seconds to read')
+@when('the home server has {seconds:g} seconds of prefill left')
 def load_home(context, seconds):
     context.home = _best(context, _prompt('hot'))
     context.loads[context.home].told_wait_seconds = seconds
 
 
-@when('the home has no free slot for {seconds:g} seconds')
+@when('the home server has no free slot for {seconds:g} seconds')
 def fill_home(context, seconds):
     context.loads = {server.instance: _idle() for server in context.servers}
     context.home = _best(context, _prompt('hot'))
@@ -92,8 +99,10 @@
     load.hear(seconds, load.rate_tokens)
 
 
-@when('{count:d} prompts without shared parts are placed between two words')
-def place_crowd(context, count):
+@when(
+    '{count:d} prompts without shared prefixes are placed between two reports',
+)
+def place_many(context, count):
     context.placed = []
     for _ in range(count):
         prompt = Prompt((), 2000, 50)
@@ -103,50 +112,50 @@
         context.placed.append(name)
 
 
-@then('each shared part is at one engine')
+@then('each shared prefix is at one engine')
 def one_engine(context):
     homes = {}
-    for part, name in context.placed:
-        assert homes.setdefault(part, name) == name
+    for prefix, name in context.placed:
+        assert homes.setdefault(prefix, name) == name
 
 
 @then('two entries that list the engines in another order agree')
 def agree(context):
     names = [server.instance for server in context.servers]
-    for part in _parts():
-        assert ranked(part, names) == ranked(part, reversed(names))
+    for prefix in _prefixes():
+        assert ranked(prefix, names) == ranked(prefix, reversed(names))
 
 
-@then('only the parts at home there have moved')
+@then('only the prefixes with that home server have moved')
 def only_those_moved(context):
-    for part, name in context.before.items():
-        now = _best(context, _prompt(part))
-        assert (now == name) is (name != context.lost)
+    for prefix, name in context.before.items():
+        now = _best(context, _prompt(prefix))
+        assert (now == name) is (name != context.removed)
 
 
-@then('a prompt with {tokens:d} shared tokens stays at home')
+@then('a prompt with {tokens:d} shared tokens stays at its home server')
 def stays(context, tokens):
     assert _best(context, _prompt('hot', tokens)) == context.home
 
 
-@then('a prompt with {tokens:d} shared tokens leaves it')
-def leaves(context, tokens):
+@then('a prompt with {tokens:d} shared tokens goes to another server')
+def goes_elsewhere(context, tokens):
     assert _best(context, _prompt('hot', tokens)) != context.home
 
 
-@then('no engine got more than {most:d} of them')
-def spread(context, most):
+@then('no engine got more than {maximum:d} of them')
+def spread(context, maximum):
     counts = Counter(context.placed)
-    assert max(counts.values()) <= most, counts
+    assert max(counts.values()) <= maximum, counts
 
 
-@then('a request goes to one that is idle in the own failure domain')
+@then('a request goes to an idle one in the own failure domain')
 def near_and_idle(context):
     found = by_load(context.servers, context.loads, 'galata', 5)
     assert found[0].server.instance == 'i-2'
 
 
-def _parts():
+def _prefixes():
     return [f'part-{number}' for number in range(200)]
 
 
@@ -155,34 +164,36 @@
     return found[0].server.instance
 
 
-@when('both holders of a part have {seconds:g} seconds to read')
-def load_holders(context, seconds):
+@when(
+    'both servers that cache a prefix have {seconds:g} seconds of prefill left'
+)
+def load_caching(context, seconds):
     prompt = _prompt('hot')
     order = by_prompt(prompt, context.servers, context.loads)
-    context.holders = [one.server for one in order[:2]]
-    for holder in context.holders:
-        context.loads[holder.instance].told_wait_seconds = seconds
-    ips = {one.ip for one in context.holders}
+    context.caching = [one.server for one in order[:2]]
+    for busy in context.caching:
+        context.loads[busy.instance].told_wait_seconds = seconds
+    ips = {one.ip for one in context.caching}
     context.found = by_prompt(prompt, context.servers, context.loads, ips)
 
 
-@then('the other holder is before the idle ones by cost')
-def holder_before(context):
+@then('the other caching server is before the idle ones by cost')
+def caching_before(context):
     first = [one.server for one in context.found[:2]]
-    assert set(first) == set(context.holders)
+    assert set(first) == set(context.caching)
 
 
-@then('it is not among those with room')
-def holder_late(context):
+@then('it is not among those with free capacity')
+def caching_late(context):
     kept = list(with_room(context.found[1:], 0.4))
     assert kept
-    assert all(one.server not in context.holders for one in kept)
+    assert all(one.server not in context.caching for one in kept)
 
 
-@then('all that are idle are')
+@then('all idle ones are')
 def idle_kept(context):
     kept = list(with_room(context.found, 0.4))
-    assert len(kept) == len(context.servers) - len(context.holders)
+    assert len(kept) == len(context.servers) - len(context.caching)
 
 
 @when('a prompt with {tokens:d} shared tokens is placed')
@@ -191,74 +202,78 @@
     context.found = by_prompt(prompt, context.servers, context.loads)
 
 
-def _worth_waiting(context, due_seconds=math.inf):
+def _worth_waiting(context, first_event_due_seconds=math.inf):
     home, *others = context.found
     other = next(with_room(others, 0.4), None)
-    return worth_waiting_seconds(home, other, due_seconds)
+    return worth_waiting_seconds(home, other, first_event_due_seconds)
 
 
-@then('it is worth waiting at home for less than {seconds:g} seconds')
+@then(
+    'it is worth waiting at its home server for less than {seconds:g} seconds'
+)
 def leaves_soon(context, seconds):
     assert _worth_waiting(context) < seconds, _worth_waiting(context)
 
 
-@then('it is worth waiting at home for more than {seconds:g} seconds')
+@then(
+    'it is worth waiting at its home server for more than {seconds:g} seconds'
+)
 def stays_long(context, seconds):
     assert _worth_waiting(context) > seconds, _worth_waiting(context)
 
 
-@then('it is a guest nowhere')
-def guest_nowhere(context):
+@then('no server counts as computing its prefix again')
+def recomputed_nowhere(context):
     assert not any(one.is_guest for one in context.found)
 
 
-@then('it is a guest everywhere but at home')
-def guest_elsewhere(context):
+@then('all servers except its home server compute its prefix again')
+def recomputed_elsewhere(context):
     home, *others = context.found
     assert not home.is_guest
     assert all(one.is_guest for one in others)
 
 
-@when('the only holder of a part is not among the servers')
-def lose_holder(context):
+@when('the only server that caches a prefix is not among the servers')
+def remove_caching(context):
     context.found = by_prompt(
         _prompt('hot'),
         context.servers,
         context.loads,
-        holders={'10.0.0.99'},
+        cached_at={'10.0.0.99'},
     )
 
 
-@then('one server would read it as its home, and the others again')
+@then('one server would prefill it as its home server, and the others again')
 def one_home(context):
-    again = [one.again_tokens for one in context.found]
-    assert again[0] == 0, again
-    assert set(again[1:]) == {5000}, again
+    recomputed = [one.again_tokens for one in context.found]
+    assert recomputed[0] == 0, recomputed
+    assert set(recomputed[1:]) == {5000}, recomputed
 
 
 @given(
-    'a server that keeps parts for {seconds:g} seconds '
-    'and one that says nothing',
+    'a server that caches prefixes for {seconds:g} seconds '
+    'and one that reports nothing',
 )
 def open_holdings(context, seconds):
     context.holdings = Holdings()
     context.holdings.keeps('10.0.0.1', seconds)
 
 
-@when('both have used a part {seconds:g} seconds ago')
+@when('both have used a prefix {seconds:g} seconds ago')
 def both_used(context, seconds):
     for ip in ('10.0.0.1', '10.0.0.2'):
         context.holdings.note(100, ip, ('p7',))
-    context.held = context.holdings.of(100 + seconds, 'p7')
+    context.cached = context.holdings.of(100 + seconds, 'p7')
 
 
-@then('only the one that says nothing counts as a holder')
-def one_holder(context):
-    assert list(context.held) == ['10.0.0.2'], context.held
+@then('only the one that reports nothing counts as caching it')
+def one_caching(context):
+    assert list(context.cached) == ['10.0.0.2'], context.cached
 
 
 @then(
-    'due in {due:g} seconds it is worth waiting at home'
+    'due in {due:g} seconds it is worth waiting at its home server'
     ' for less than {seconds:g} seconds',
 )
 def worth_less_when_due(context, due, seconds):
@@ -266,7 +281,7 @@
 
 
 @then(
-    'due in {due:g} seconds it is worth waiting at home'
+    'due in {due:g} seconds it is worth waiting at its home server'
     ' for more than {seconds:g} seconds',
 )
 def worth_more_when_due(context, due, seconds):
--- a/tests/placement/steps/crowd_steps.py
+++ b/tests/placement/steps/crowd_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the crowd of prompts."""
+"""Steps for many prompts with shared prefixes."""
 
 from __future__ import annotations
 
@@ -13,57 +13,64 @@
 
 
 @when(
-    '{rate:d} requests a second come for {seconds:d} seconds with seed {seed:d}'
+    '{rate:d} requests a second arrive for {seconds:d} seconds '
+    'with seed {seed:d}',
 )
-def play(context, rate, seconds, seed):
+def run(context, rate, seconds, seed):
     shape = Shape()
-    context.crowds = {}
+    context.outcomes = {}
     for order in ORDERS:
         requests = draw(shape, rate, seconds, seed)
         outcome = Crowd(shape, order()).play(requests, seconds)
-        context.crowds[order.name] = outcome
+        context.outcomes[order.name] = outcome
 
 
-def _assert_at_most(most, refused, crowd):
-    """Hold refusals to a part in a hundred of what was asked."""
-    assert 100 * refused <= most * crowd.asked, (refused, crowd.asked)
+def _assert_at_most(maximum, refused, outcome):
+    """Check that refusals are at most a percentage of the requests."""
+    assert 100 * refused <= maximum * outcome.asked, (refused, outcome.asked)
 
 
 @when(
-    '{rate:d} requests a second come before engines of few slots '
+    '{rate:d} requests a second arrive at engines with few slots '
     'with seed {seed:d}'
 )
-def play_few_slots(context, rate, seed):
+def run_few_slots(context, rate, seed):
     shape = FewSlots()
     requests = draw(shape, rate, _FEW_SLOTS_SECONDS, seed)
     crowd = Crowd(shape, HomeOrder())
-    context.crowds = {'home': crowd.play(requests, _FEW_SLOTS_SECONDS)}
+    context.outcomes = {'home': crowd.play(requests, _FEW_SLOTS_SECONDS)}
 
 
-@then('at most {most:d} in 100 are refused when they come')
-def few_refused(context, most):
-    crowd = context.crowds['home']
-    _assert_at_most(most, crowd.refused_first, crowd)
+@then('at most {maximum:d} percent are refused on arrival')
+def few_refused(context, maximum):
+    outcome = context.outcomes['home']
+    _assert_at_most(maximum, outcome.refused_first, outcome)
 
 
-@then('homes read at most {part:g} of the shared tokens that naive orders read')
-def read_less(context, part):
-    homes = context.crowds['home'].again_tokens
+@then(
+    'home servers prefill at most {fraction:g} of the shared tokens '
+    'that naive orders prefill',
+)
+def prefill_less(context, fraction):
+    homes = context.outcomes['home'].again_tokens
     for name in _NAIVE:
-        naive = context.crowds[name].again_tokens
-        assert homes <= part * naive, (homes, name, naive)
+        naive = context.outcomes[name].again_tokens
+        assert homes <= fraction * naive, (homes, name, naive)
 
 
-@then('homes serve at least {times:g} times as many in time as naive orders')
+@then(
+    'home servers serve at least {times:g} times as many in time '
+    'as naive orders',
+)
 def serve_more(context, times):
-    homes = context.crowds['home'].in_time
+    homes = context.outcomes['home'].in_time
     for name in _NAIVE:
-        naive = context.crowds[name].in_time
+        naive = context.outcomes[name].in_time
         assert homes >= times * naive, (homes, name, naive)
 
 
-@then('at most {most:d} in 100 is refused beside an idle engine')
-@then('at most {most:d} in 100 are refused beside an idle engine')
-def none_beside_idle(context, most):
-    crowd = context.crowds['home']
-    _assert_at_most(most, crowd.refused_beside_idle, crowd)
+@then('at most {maximum:d} percent is refused beside an idle engine')
+@then('at most {maximum:d} percent are refused beside an idle engine')
+def none_beside_idle(context, maximum):
+    outcome = context.outcomes['home']
+    _assert_at_most(maximum, outcome.refused_beside_idle, outcome)
