--- a/src/sardinetrack/admission/order.py
+++ b/src/sardinetrack/admission/order.py
@@ -64,12 +64,12 @@
     def join(self, now: float, workspace: str) -> None:
         """Let a workspace that starts to wait begin near those that wait.
 
-        Service that another workspace received while no other asked for any
-        counts little. Were the newcomer at zero, only it would be served until
-        it had received as much, and the workspaces that used the idle engines
-        before would starve for seconds. Newcomers of one moment start equal:
-        were each a tenth below the last one, the eighth would start from less
-        than half.
+        Service that another workspace received while no other requested any is
+        not owed to the newcomer. Were the newcomer at zero, only it would be
+        served until it had received as much, and the workspaces that used the
+        idle engines before would starve for seconds. Newcomers of one moment
+        start equal: were each a tenth below the last one, the eighth would
+        start from less than half.
         """
         if self._queue.of(workspace):
             return
--- a/src/sardinetrack/admission/reading.py
+++ b/src/sardinetrack/admission/reading.py
@@ -107,7 +107,7 @@
 
     def hold_seconds(self, now: float) -> float:
         """Estimate how long the engine caches a prefix after its last use."""
-        return self._running.hold_seconds(now)
+        return self._running.retention_seconds(now)
 
     @property
     def batch(self) -> BatchLimit:
@@ -226,7 +226,7 @@
 
         :param whole: its caller has the complete response.
         """
-        if not self._running.ended(now, ask_id, whole=whole):
+        if not self._running.ended(now, ask_id, complete=whole):
             return ()
         self.estimator.ended(now, ask_id)
         return self._grant_next(now)
--- a/src/sardinetrack/admission/running.py
+++ b/src/sardinetrack/admission/running.py
@@ -45,7 +45,7 @@
         self._occupancy = SlotOccupancy()
         self._turnover = RecentService[str]()
         self._running: dict[str, RunningRequest] = {}
-        self._kept_tokens = 0
+        self._kv_cache_tokens = 0
         self.resize(slots, memory_tokens)
 
     def resize(self, slots: int, memory_tokens: int) -> None:
@@ -90,13 +90,13 @@
             return 0
         return short * self.held_seconds / self.limit
 
-    def hold_seconds(self, now: float) -> float:
+    def retention_seconds(self, now: float) -> float:
         """Estimate how long the engine caches a prefix after its last use.
 
         It evicts what was used least recently when new tokens need the space
         that running requests leave.
         """
-        free_tokens = max(0, self._memory_tokens - self._kept_tokens)
+        free_tokens = max(0, self._memory_tokens - self._kv_cache_tokens)
         recent_tokens = self._turnover.tokens(now, _ENGINE)
         rate_tokens = recent_tokens * math.log(2) / HALF_LIFE_SECONDS
         if rate_tokens <= 0:
@@ -105,7 +105,7 @@
 
     def has_memory(self, request: Ask) -> bool:
         """Whether the tokens that a request adds fit into the KV cache."""
-        kept = self._kept_tokens + request.kept_tokens
+        kept = self._kv_cache_tokens + request.kept_tokens
         return kept <= self._memory_tokens * MEMORY_FRACTION
 
     def add(self, now: float, request: Ask, expected_seconds: float) -> None:
@@ -117,7 +117,7 @@
             request, now, expected_seconds
         )
         self._turnover.add(now, _ENGINE, request.kept_tokens)
-        self._kept_tokens += request.kept_tokens
+        self._kv_cache_tokens += request.kept_tokens
 
     def first_event(self, now: float, ask_id: str) -> RunningRequest | None:
         """Record a first event.
@@ -130,19 +130,19 @@
         running.first_event_seconds = now
         return running
 
-    def ended(self, now: float, ask_id: str, *, whole: bool) -> bool:
+    def ended(self, now: float, ask_id: str, *, complete: bool) -> bool:
         """Free the slot and the KV cache of a request.
 
-        :param whole: its caller has the complete response.
+        :param complete: its caller has the complete response.
         :return: whether it was here.
         """
         running = self._running.pop(ask_id, None)
         if running is None:
             return False
-        self._kept_tokens -= running.request.kept_tokens
+        self._kv_cache_tokens -= running.request.kept_tokens
         if running.first_event_seconds is not None:
             self._occupancy.ended(now - running.granted_seconds)
-            if whole:
+            if complete:
                 decode_seconds = now - running.first_event_seconds
                 self.batch.completed(
                     decode_seconds, running.request.answer_tokens
@@ -152,4 +152,4 @@
     def clear(self) -> None:
         """Drop all requests: the engine has restarted."""
         self._running.clear()
-        self._kept_tokens = 0
+        self._kv_cache_tokens = 0
--- a/src/sardinetrack/fairness/account.py
+++ b/src/sardinetrack/fairness/account.py
@@ -11,7 +11,7 @@
 class Account:
     """Service and requests of one workspace, in cost units per weight."""
 
-    level: float = 0
+    settled_service: float = 0
     """Virtual time by settled service, at all entries."""
     service: float = 0
     """Settled service received through this entry; never falls."""
@@ -32,7 +32,7 @@
     @property
     def tag(self) -> float:
         """Virtual start time of the workspace's next request."""
-        return self.level + self.outstanding + self.peer_outstanding
+        return self.settled_service + self.outstanding + self.peer_outstanding
 
     @property
     def backlogged(self) -> bool:
--- a/src/sardinetrack/fairness/ledger.py
+++ b/src/sardinetrack/fairness/ledger.py
@@ -64,7 +64,7 @@
         """
         account = self._accounts.get(workspace)
         if account is None:
-            account = Account(level=self.virtual_time)
+            account = Account(settled_service=self.virtual_time)
             self._accounts[workspace] = account
         return account
 
@@ -93,7 +93,7 @@
             return
         self.virtual_time = virtual_time
         for account in self._accounts.values():
-            account.level = max(account.level, virtual_time)
+            account.settled_service = max(account.settled_service, virtual_time)
 
     def wait(self, now: float, workspace: str, waiting: int) -> None:
         """Set how many requests of a workspace wait here.
@@ -147,9 +147,9 @@
             return
         account = self.account(charge.workspace)
         grown = max(0, cost / charge.weight - charge.settled)
-        ensure(grown >= 0, 'settled service never falls')
+        ensure(grown >= 0, 'progress never lowers settled service')
         charge.settled += grown
-        account.level += grown
+        account.settled_service += grown
         account.service += grown
         self._set_outstanding(account, charge, charge.target(self.charge_ahead))
         account.changed_seconds = now
@@ -172,7 +172,8 @@
         ensure(account.running >= 0, 'a charge is settled only once')
         if not account.running:
             ensure(
-                abs(account.outstanding) <= _ROUNDING * (1 + account.level),
+                abs(account.outstanding)
+                <= _ROUNDING * (1 + account.settled_service),
                 'nothing is outstanding when nothing runs',
             )
             account.outstanding = 0
@@ -208,7 +209,7 @@
         peer.live = False
         for name, row in peer.rows.items():
             account = self.account(name)
-            account.level += row.outstanding
+            account.settled_service += row.outstanding
             settled = ServiceRow(name, row.service + row.outstanding, 0, 0)
             self._replace(account, row, settled)
             peer.rows[name] = settled
@@ -233,7 +234,7 @@
             account.service,
             account.running,
             account.waiting,
-            account.level,
+            account.settled_service,
             account.outstanding,
         )
 
@@ -274,11 +275,11 @@
         account = self._accounts.get(row.workspace)
         if account is None:
             account = self.account(row.workspace)
-            account.level = max(account.level, row.level)
+            account.settled_service = max(account.settled_service, row.level)
         was_backlogged = account.backlogged
         earlier = peer.rows.get(row.workspace)
         if earlier is not None:
-            account.level += max(0, row.service - earlier.service)
+            account.settled_service += max(0, row.service - earlier.service)
         self._replace(account, earlier, row)
         peer.rows[row.workspace] = row
         if report.synced:
@@ -307,11 +308,15 @@
         account.peer_waiting += row.waiting
         account.peers_waiting += row.waiting > 0
 
-    def _align(self, account: Account, level: float) -> None:
+    def _align(self, account: Account, settled_service: float) -> None:
         if not self.synced:
-            account.level = max(account.level, level)
+            account.settled_service = max(
+                account.settled_service, settled_service
+            )
             return
-        account.level += DRIFT_GAIN * (level - account.level)
+        account.settled_service += DRIFT_GAIN * (
+            settled_service - account.settled_service
+        )
 
     def _lift(self, account: Account) -> None:
         """Lift an account that becomes backlogged, so idle time earns nothing.
@@ -322,14 +327,16 @@
         """
         others = (one for one in self.backlogged() if one is not account)
         self.virtual_time = min(
-            (one.level for one in others),
+            (one.settled_service for one in others),
             default=self.virtual_time,
         )
-        account.level = max(account.level, self.virtual_time)
+        account.settled_service = max(
+            account.settled_service, self.virtual_time
+        )
 
     def _advance(self, account: Account) -> None:
-        levels = [one.level for one in self.backlogged()]
+        levels = [one.settled_service for one in self.backlogged()]
         if levels:
             self.virtual_time = min(levels)
         else:
-            self.virtual_time = max(self.virtual_time, account.level)
+            self.virtual_time = max(self.virtual_time, account.settled_service)
--- a/tests/fairness/steps/ledger_steps.py
+++ b/tests/fairness/steps/ledger_steps.py
@@ -35,7 +35,7 @@
 def report_charged(context, entry, name, service, more):
     served = service - context.services.get(entry, service)
     context.services[entry] = service
-    level = context.ledger.account(name).level + served
+    level = context.ledger.account(name).settled_service + served
     row = ServiceRow(name, service, 0, 0, level, more)
     context.ledger.hear(
         context.now,
