--- a/src/sardinetrack/http/__init__.py
+++ b/src/sardinetrack/http/__init__.py
@@ -1,3 +1,3 @@
-"""HTTP plumbing over uvicorn (servers) and httpcore (clients)."""
+"""HTTP servers on uvicorn and HTTP clients on httpcore."""
 
 from __future__ import annotations
--- a/src/sardinetrack/http/asgi.py
+++ b/src/sardinetrack/http/asgi.py
@@ -1,4 +1,4 @@
-"""A thin typed layer over ASGI: requests, answers, body bounds."""
+"""A thin typed layer over ASGI: requests, responses, body limits."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
 HeaderPairs = Iterable[tuple[str, str]]
 
-_JSON: Final = (('content-type', 'application/json'),)
+_JSON_HEADERS: Final = (('content-type', 'application/json'),)
 _LATIN: Final = 'latin-1'
-_CLOSE: Final = ('connection', 'close')
+_CLOSE_HEADER: Final = ('connection', 'close')
 
 
-def _is_not_last() -> bool:
+def _does_not_close() -> bool:
     return False
 
 
 class CallerGoneError(Exception):
-    """The peer closed its connection before the exchange was over."""
+    """The client closed its connection before the exchange was complete."""
 
 
 class Exchange:
-    """One HTTP request and its answer."""
+    """One HTTP request and its response."""
 
     def __init__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Wrap the three parts of an ASGI call."""
+        """Wrap the three arguments of an ASGI call."""
         self.scope = scope
         self._receive = receive
         self._send = send
         self.started = False
-        self.is_last: Callable[[], bool] = _is_not_last
-        """Whether the answer says that its connection ends."""
+        self.is_last: Callable[[], bool] = _does_not_close
+        """Whether the response announces that its connection closes."""
 
     @property
     def method(self) -> str:
@@ -60,7 +60,7 @@
 
     @property
     def target(self) -> str:
-        """The path and query as the peer sent them."""
+        """The path and query as the client sent them."""
         path = self.scope['raw_path'].decode(_LATIN)
         query = self.scope['query_string'].decode(_LATIN)
         return f'{path}?{query}' if query else path
@@ -69,7 +69,7 @@
         """Find a header.
 
         :param name: in lower case.
-        :return: the first value, ``None`` when it is missing.
+        :return: the first value, ``None`` if the header is missing.
         """
         wanted = name.encode(_LATIN)
         for key, text in self.scope['headers']:
@@ -85,9 +85,10 @@
         ]
 
     async def body_chunks(self) -> AsyncIterator[bytes]:
-        """Read the body piece by piece.
+        """Read the body chunk by chunk.
 
-        :raises CallerGoneError: the peer closed before the body's end.
+        :raises CallerGoneError: the client closed the connection before the
+            end of the body.
         """
         more = True
         while more:
@@ -97,28 +98,28 @@
             yield message.get('body', b'')
             more = message.get('more_body', False)
 
-    async def body(self, max_bytes: int, within_seconds: float) -> bytes:
-        """Read the whole body.
+    async def body(self, max_bytes: int, timeout_seconds: float) -> bytes:
+        """Read the complete body.
 
-        :raises AnsweredError: it is too large or too slow.
+        :raises AnsweredError: the body is too large or arrives too slowly.
         """
         try:
-            with anyio.fail_after(within_seconds):
+            with anyio.fail_after(timeout_seconds):
                 return await self._bounded_body(max_bytes)
         except TimeoutError as error:
             raise AnsweredError(ErrorKind.BODY_TIMEOUT) from error
 
     async def gone(self) -> None:
-        """Return when the peer has closed; call after reading the body."""
+        """Wait until the client disconnects; call after reading the body."""
         message = await self._receive()
         while message['type'] != 'http.disconnect':
             message = await self._receive()
 
     async def start(self, status: int, headers: HeaderPairs) -> None:
-        """Send status and headers."""
+        """Send the status and the headers."""
         self.started = True
         if self.is_last():
-            headers = [*headers, _CLOSE]
+            headers = [*headers, _CLOSE_HEADER]
         await self._send(
             {
                 'type': 'http.response.start',
@@ -131,7 +132,7 @@
         )
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a chunk of the body."""
         await self._send(
             {
                 'type': 'http.response.body',
@@ -141,10 +142,10 @@
         )
 
     async def finish(self, chunk: bytes = b'') -> None:
-        """Send the last piece; the answer is whole from here on.
+        """Send the last chunk, which completes the response.
 
-        A handler that leaves without this, by an exception, makes uvicorn
-        close the connection, so that the peer sees a broken answer.
+        If a handler raises before it calls this, uvicorn closes the
+        connection, so that the client sees a truncated response.
         """
         await self._send({'type': 'http.response.body', 'body': chunk})
 
@@ -154,7 +155,7 @@
         body: bytes = b'',
         headers: HeaderPairs = (),
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         pairs = [*headers, ('content-length', str(len(body)))]
         await self.start(status, pairs)
         await self.finish(body)
@@ -165,11 +166,11 @@
         content: object,
         headers: HeaderPairs = (),
     ) -> None:
-        """Send a whole answer as JSON."""
+        """Send a complete response as JSON."""
         await self.answer(
             status,
             msgspec.json.encode(content),
-            [*_JSON, *headers],
+            [*_JSON_HEADERS, *headers],
         )
 
     async def _bounded_body(self, max_bytes: int) -> bytes:
--- a/src/sardinetrack/http/client.py
+++ b/src/sardinetrack/http/client.py
@@ -1,4 +1,4 @@
-"""HTTP calls over a pool of kept connections."""
+"""HTTP client over a pool of keep-alive connections."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 import httpcore
 
-from sardinetrack.http.connections import Connections
+from sardinetrack.http.connections import ClientConnectionPool
 
 _LATIN: Final = 'latin-1'
 
 
 class NotSentError(Exception):
-    """No connection: not one byte of the request left."""
+    """No connection could be opened; not one byte of the request was sent."""
 
 
 class BrokenError(Exception):
-    """The exchange broke after the request may have arrived."""
+    """The exchange failed after the request may have arrived."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -37,7 +37,7 @@
 
 
 class StreamedReply:
-    """An answer whose body is still arriving."""
+    """A response whose body is still arriving."""
 
     def __init__(self, response: httpcore.Response) -> None:
         """Wrap a response whose headers have arrived."""
@@ -53,14 +53,14 @@
         return next((text for key, text in self.headers if key == name), None)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Read the body piece by piece.
+        """Read the body chunk by chunk.
 
-        :raises BrokenError: it ended before the protocol's own end.
+        :raises BrokenError: the connection ended before the body did.
         """
         try:
             async for chunk in self._response.aiter_stream():
                 yield chunk
-        except _BROKEN as error:
+        except _EXCHANGE_ERRORS as error:
             raise BrokenError(str(error)) from error
 
     async def read(self) -> bytes:
@@ -68,35 +68,35 @@
         return b''.join([chunk async for chunk in self.chunks()])
 
 
-_BROKEN: Final = (
+_EXCHANGE_ERRORS: Final = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
 )
-_NOT_SENT: Final = (
+_CONNECT_ERRORS: Final = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
 )
 
 
 class HttpClient:
-    """Calls by IP and port over kept connections."""
+    """Sends requests to an IP and port over keep-alive connections."""
 
     def __init__(
         self,
         *,
-        connect_seconds: float = 2.0,
-        connections: Connections | None = None,
+        connect_timeout_seconds: float = 2.0,
+        connections: ClientConnectionPool | None = None,
     ) -> None:
         """Build a client; use it as a context manager.
 
-        :param connections: where connections are kept.
+        :param connections: pool of idle connections, by default a new one.
         """
-        self._connect_seconds = connect_seconds
-        self._connections = connections or Connections()
+        self._connect_timeout_seconds = connect_timeout_seconds
+        self._connections = connections or ClientConnectionPool()
 
     async def __aenter__(self) -> Self:
-        """Hand out the client."""
+        """Return the client."""
         return self
 
     async def __aexit__(
@@ -118,11 +118,12 @@
         body: bytes = b'',
         read_seconds: float | None = None,
     ) -> AsyncIterator[StreamedReply]:
-        """Send a request and hand out its answer while it arrives.
+        """Send a request and yield its response while it arrives.
 
-        :param read_seconds: longest silence, ``None`` for no bound.
-        :raises NotSentError: not one byte left.
-        :raises BrokenError: the exchange broke later.
+        :param read_seconds: timeout of each read and write, ``None`` for no
+            limit.
+        :raises NotSentError: not one byte of the request was sent.
+        :raises BrokenError: the exchange failed after that.
         """
         request = self._request(method, url, headers, body, read_seconds)
         async with AsyncExitStack() as stack:
@@ -130,9 +131,9 @@
                 response = await stack.enter_async_context(
                     self._connections.exchange(request),
                 )
-            except _NOT_SENT as error:
+            except _CONNECT_ERRORS as error:
                 raise NotSentError(str(error)) from error
-            except _BROKEN as error:
+            except _EXCHANGE_ERRORS as error:
                 raise BrokenError(str(error)) from error
             yield StreamedReply(response)
 
@@ -145,15 +146,19 @@
         body: bytes = b'',
         read_seconds: float | None = None,
     ) -> Reply:
-        """Send a request and read its whole answer; raises as ``stream``."""
+        """Send a request and read its complete response; see ``stream``."""
         async with self.stream(
             method,
             url,
             headers=headers,
             body=body,
             read_seconds=read_seconds,
-        ) as reply:
-            return Reply(reply.status, reply.headers, await reply.read())
+        ) as response:
+            return Reply(
+                response.status,
+                response.headers,
+                await response.read(),
+            )
 
     def _request(
         self,
@@ -171,7 +176,7 @@
         if body or method not in {'GET', 'HEAD', 'DELETE', 'OPTIONS'}:
             pairs.append((b'content-length', str(len(body)).encode()))
         timeouts: dict[str, Any] = {
-            'connect': self._connect_seconds,
+            'connect': self._connect_timeout_seconds,
             'read': read_seconds,
             'write': read_seconds,
         }
--- a/src/sardinetrack/http/connections.py
+++ b/src/sardinetrack/http/connections.py
@@ -1,8 +1,8 @@
-"""Kept connections by origin, over the connections of httpcore.
+"""Pool of idle client connections by origin, on httpcore's connections.
 
-httpcore's own pool looks at every connection that it holds, and asks the
-kernel about every idle one, twice in each request. A router holds one to
-every other process that it has talked to in the last half minute.
+httpcore's own pool visits each of its connections, and polls the socket of
+each idle one, twice for each request. A router has a connection to every
+other process that it has exchanged requests with in the last half minute.
 """
 
 from __future__ import annotations
@@ -15,103 +15,106 @@
 import anyio
 import httpcore
 
-_MAX_KEPT: Final = 256
-_KEEP_SECONDS: Final = 30.0
+_MAX_IDLE: Final = 256
+_IDLE_TIMEOUT_SECONDS: Final = 30.0
 
 
-class Connections:
-    """Takes the newest idle connection to an origin, or opens one."""
+class ClientConnectionPool:
+    """Reuses the newest idle connection to an origin, or opens one."""
 
     def __init__(
         self,
         *,
-        max_kept: int = _MAX_KEPT,
-        keep_seconds: float = _KEEP_SECONDS,
+        max_idle: int = _MAX_IDLE,
+        idle_timeout_seconds: float = _IDLE_TIMEOUT_SECONDS,
     ) -> None:
-        """Start with none.
+        """Create an empty pool.
 
-        :param max_kept: idle connections to all origins together.
-        :param keep_seconds: how long a connection may be idle.
+        :param max_idle: maximum of idle connections to all origins together.
+        :param idle_timeout_seconds: how long a connection may be idle.
         """
-        self._max_kept = max_kept
-        self._keep_seconds = keep_seconds
-        self._by_origin: defaultdict[
+        self._max_idle = max_idle
+        self._idle_timeout_seconds = idle_timeout_seconds
+        self._idle_by_origin: defaultdict[
             str,
             list[httpcore.AsyncHTTPConnection],
         ] = defaultdict(list)
-        self._oldest: dict[httpcore.AsyncHTTPConnection, str] = {}
+        self._idle: dict[httpcore.AsyncHTTPConnection, str] = {}
         self._in_use: set[httpcore.AsyncHTTPConnection] = set()
 
     @property
-    def kept(self) -> int:
-        """Count the idle connections."""
-        return len(self._oldest)
+    def idle_count(self) -> int:
+        """The number of idle connections."""
+        return len(self._idle)
 
     @asynccontextmanager
     async def exchange(
         self,
         request: httpcore.Request,
     ) -> AsyncIterator[httpcore.Response]:
-        """Send a request; the connection is free again on leaving."""
+        """Send a request; leaving the context releases the connection."""
         origin = request.url.origin
-        connection = await self._take(origin)
+        connection = await self._acquire(origin)
         self._in_use.add(connection)
         try:
             async with _response(connection, request) as response:
                 yield response
         finally:
             self._in_use.discard(connection)
-            await self._give(str(origin), connection)
+            await self._release(str(origin), connection)
 
     async def aclose(self) -> None:
         """Close all connections, also those in use."""
-        for connection in list(self._oldest):
-            await self._close(connection)
+        for connection in list(self._idle):
+            await self._close_idle(connection)
         for connection in list(self._in_use):
             await connection.aclose()
 
-    async def _take(
+    async def _acquire(
         self,
         origin: httpcore.Origin,
     ) -> httpcore.AsyncHTTPConnection:
-        kept = self._by_origin.get(str(origin), [])
-        while kept:
-            connection = kept[-1]
+        idle = self._idle_by_origin.get(str(origin), [])
+        while idle:
+            connection = idle[-1]
             if not connection.has_expired():
-                self._forget(connection)
+                self._remove_idle(connection)
                 return connection
-            await self._close(connection)
+            await self._close_idle(connection)
         # No transport retries: only the decision code may repeat a request.
         return httpcore.AsyncHTTPConnection(
             origin,
-            keepalive_expiry=self._keep_seconds,
+            keepalive_expiry=self._idle_timeout_seconds,
             retries=0,
         )
 
-    async def _give(
+    async def _release(
         self,
         origin: str,
         connection: httpcore.AsyncHTTPConnection,
     ) -> None:
         if connection.is_closed() or not connection.is_idle():
             return
-        self._by_origin[origin].append(connection)
-        self._oldest[connection] = origin
-        oldest = next(iter(self._oldest))
-        if self.kept > self._max_kept or oldest.has_expired():
-            await self._close(oldest)
-
-    async def _close(self, connection: httpcore.AsyncHTTPConnection) -> None:
-        self._forget(connection)
+        self._idle_by_origin[origin].append(connection)
+        self._idle[connection] = origin
+        oldest = next(iter(self._idle))
+        if self.idle_count > self._max_idle or oldest.has_expired():
+            await self._close_idle(oldest)
+
+    async def _close_idle(
+        self,
+        connection: httpcore.AsyncHTTPConnection,
+    ) -> None:
+        self._remove_idle(connection)
         with anyio.CancelScope(shield=True):
             await connection.aclose()
 
-    def _forget(self, connection: httpcore.AsyncHTTPConnection) -> None:
-        origin = self._oldest.pop(connection)
-        kept = self._by_origin[origin]
-        kept.remove(connection)
-        if not kept:
-            self._by_origin.pop(origin)
+    def _remove_idle(self, connection: httpcore.AsyncHTTPConnection) -> None:
+        origin = self._idle.pop(connection)
+        idle = self._idle_by_origin[origin]
+        idle.remove(connection)
+        if not idle:
+            self._idle_by_origin.pop(origin)
 
 
 @asynccontextmanager
@@ -123,7 +126,7 @@
     try:
         yield response
     finally:
-        # An answer that was not read to its end closes the connection, also
-        # when its reader was cancelled.
+        # Closes the connection of a response that was not read to its end,
+        # also when its reader was cancelled.
         with anyio.CancelScope(shield=True):
             await response.aclose()
--- a/src/sardinetrack/http/guard.py
+++ b/src/sardinetrack/http/guard.py
@@ -1,4 +1,4 @@
-"""An HTTP protocol that bounds what strangers can make a listener hold."""
+"""An HTTP protocol that limits the resources which clients can occupy."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from sardinetrack.http.ending import EndingProtocol
 from sardinetrack.http.idle import IdleConnections
 
-_MAX_HEAD_BYTES: Final = 262_144
-"""An order's header holds the caller's headers and the entry's bids."""
+_MAX_HEADER_BYTES: Final = 262_144
+"""A run request's header holds the caller's headers and the entry's bids."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerBounds:
-    """What connections may make a server hold."""
+    """Limits on the connections of a server."""
 
     max_connections: int = 4096
     keep_alive_seconds: int = 60
-    max_head_bytes: int = _MAX_HEAD_BYTES
+    max_header_bytes: int = _MAX_HEADER_BYTES
     head_seconds: float = 10.0
-    """From a connection's begin, or a head's first byte, to the head's end."""
+    """Timeout of a header, from the connection's start or its first byte on."""
     linger_seconds: float = 2.0
-    """How long a body is thrown away after an early answer."""
+    """How long the rest of a body is discarded after an early response."""
 
 
 class GuardedProtocol(EndingProtocol):
-    """Closes connections whose head is too large or too slow.
+    """Closes connections whose HTTP header is too large or too slow.
 
-    The server's own protocol has no such bound: whoever reaches the port
-    could fill the memory with one header without an end, or lock the peers
-    out by some thousands of connections that send nothing.
+    uvicorn's protocol has no such limit: any client that reaches the port
+    could fill the memory with one endless header, or lock the peers out with
+    some thousands of connections that send nothing.
     """
 
     bounds: ClassVar[ServerBounds]
@@ -41,62 +41,65 @@
     def __init__(self, *positional: Any, **named: Any) -> None:
         """Build a protocol as uvicorn does."""
         super().__init__(*positional, **named)
-        self._head_bytes = 0
-        self._in_head = True
+        self._header_bytes = 0
+        self._expects_header = True
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(  # type: ignore[override] # as uvicorn's own
         self,
         transport: asyncio.Transport,
     ) -> None:
-        """Find room for a connection."""
+        """Accept a connection; evict idle ones above the limit."""
         super().connection_made(transport)
         self.idle.make_room(len(self.connections))
-        self._wait_for_head()
+        self._start_header_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
-        self._work()
+        """Remove the connection from the idle ones."""
+        self._leave_idle()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Count the bytes of a head that is not complete."""
-        if self._in_head:
-            self._head_bytes += len(data)
+        """Count the bytes of a header that is not complete."""
+        if self._expects_header:
+            self._header_bytes += len(data)
             if self._timer is None:
                 self._start_timer(self.bounds.head_seconds)
         super().data_received(data)
-        if self._in_head and self._head_bytes > self.bounds.max_head_bytes:
+        if (
+            self._expects_header
+            and self._header_bytes > self.bounds.max_header_bytes
+        ):
             self.transport.abort()
 
     def on_headers_complete(self) -> None:
-        """Take up a request, or a link."""
-        self._in_head = False
-        self._head_bytes = 0
-        self._work()
+        """Start a request, or a link."""
+        self._expects_header = False
+        self._header_bytes = 0
+        self._leave_idle()
         super().on_headers_complete()
 
     def on_message_complete(self) -> None:
-        """Expect the next head."""
+        """Expect the next header."""
         super().on_message_complete()
-        self._in_head = True
+        self._expects_header = True
         self._stop_timer()
         if self.cycle is not None and self.cycle.response_complete:
             self.idle.add(self, self.close_idle)
 
     def on_response_complete(self) -> None:
-        """Throw the rest of the body away for a while, or wait idle."""
+        """Discard the rest of the body for a limited time, or become idle."""
         super().on_response_complete()
-        if not self._in_head:
+        if not self._expects_header:
             self._start_timer(self.bounds.linger_seconds)
         elif not self.pipeline:
             self.idle.add(self, self.close_idle)
 
-    def _wait_for_head(self) -> None:
+    def _start_header_timer(self) -> None:
         self.idle.add(self, self.close_idle)
         self._start_timer(self.bounds.head_seconds)
 
-    def _work(self) -> None:
+    def _leave_idle(self) -> None:
         self.idle.remove(self)
         self._stop_timer()
 
@@ -112,12 +115,12 @@
 
 
 def guarded_protocol(bounds: ServerBounds) -> type[GuardedProtocol]:
-    """Make the protocol class of one listener.
+    """Build the protocol class of one listener.
 
-    :param bounds: of the listener.
+    :param bounds: limits of the listener.
     :return: a class for uvicorn to build.
     """
     idle = IdleConnections(bounds.max_connections - 1)
     members = {'bounds': bounds, 'idle': idle}
-    made = type('BoundGuardedProtocol', (GuardedProtocol,), members)
-    return cast('type[GuardedProtocol]', made)
+    protocol_class = type('BoundGuardedProtocol', (GuardedProtocol,), members)
+    return cast('type[GuardedProtocol]', protocol_class)
--- a/src/sardinetrack/http/idle.py
+++ b/src/sardinetrack/http/idle.py
@@ -1,4 +1,4 @@
-"""Connections without a request, oldest first."""
+"""Connections without a request, longest idle first."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class IdleConnections:
-    """Bounds the connections of a listener.
+    """Limits the connections of a listener.
 
-    Whoever opens thousands of connections and sends nothing would otherwise
-    fill the table and lock out everybody else. The connection that has been
-    idle for longest makes room, so that only requests in progress can fill
-    it.
+    A client that opens thousands of connections and sends nothing would
+    otherwise use up the limit and lock out all others. The connection that
+    has been idle longest is closed first, so that only requests in progress
+    can use up the limit.
     """
 
-    def __init__(self, most: int) -> None:
-        """Start with none.
+    def __init__(self, max_connections: int) -> None:
+        """Create an empty set.
 
-        :param most: connections that the listener holds in all.
+        :param max_connections: limit of the listener's open connections.
         """
-        self._most = most
+        self._max_connections = max_connections
         self._idle: dict[Hashable, Callable[[], bool]] = {}
         self._closing: set[Hashable] = set()
 
@@ -27,26 +27,26 @@
         return len(self._idle)
 
     def add(self, connection: Hashable, close: Callable[[], bool]) -> None:
-        """Note that a connection has no request.
+        """Add a connection that has no request.
 
-        :param close: closes it, and tells whether it did: a request that is
-            not read yet may be on its way.
+        :param close: closes the connection and returns whether it did; it
+            does not if data of a request has not been read yet.
         """
         self._idle[connection] = close
 
     def remove(self, connection: Hashable) -> None:
-        """Note that a connection has a request or is gone."""
+        """Remove a connection that has a request or is closed."""
         self._idle.pop(connection, None)
         self._closing.discard(connection)
 
-    def make_room(self, held: int) -> bool:
-        """Close the oldest idle connections when there are too many.
+    def make_room(self, open_count: int) -> bool:
+        """Close the longest idle connections above the limit.
 
-        :param held: connections that the listener holds now, those among them
+        :param open_count: open connections of the listener now, with those
             that are closing.
-        :return: whether there is room for the newest one.
+        :return: whether the newest connection is within the limit.
         """
-        excess = held - len(self._closing) - self._most
+        excess = open_count - len(self._closing) - self._max_connections
         for connection in list(self._idle):
             if excess <= 0:
                 break
--- a/src/sardinetrack/http/server.py
+++ b/src/sardinetrack/http/server.py
@@ -19,16 +19,16 @@
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves signals to the daemon that owns it."""
+    """A uvicorn server that leaves signals to the daemon that owns it."""
 
     def __init__(self, config: uvicorn.Config) -> None:
-        """Build a server that tells when it listens."""
+        """Build a server with events for its start and its end."""
         super().__init__(config)
         self.listening = anyio.Event()
         self.closed = anyio.Event()
 
     async def serve(self, sockets: list[socket.socket] | None = None) -> None:
-        """Serve, then tell that every connection is closed."""
+        """Serve, then set ``closed`` once every connection is closed."""
         try:
             await super().serve(sockets=sockets)
         finally:
@@ -38,7 +38,7 @@
         self,
         sockets: list[socket.socket] | None = None,
     ) -> None:
-        """Listen, then tell."""
+        """Start to listen, then set ``listening``."""
         await super().startup(sockets=sockets)
         self.listening.set()
 
@@ -46,10 +46,14 @@
         self,
         sockets: list[socket.socket] | None = None,
     ) -> None:
-        """Take in who has connected, then close."""
-        accepted = [one for each in sockets or () for one in accept_all(each)]
-        for listening in self.servers:
-            listening.close()
+        """Accept the pending connections, then close."""
+        accepted = [
+            pending
+            for listener in sockets or ()
+            for pending in accept_all(listener)
+        ]
+        for server in self.servers:
+            server.close()
         for connection in accepted:
             await asyncio.get_running_loop().connect_accepted_socket(
                 self._protocol,
@@ -58,12 +62,12 @@
         await super().shutdown(sockets)
 
     def _protocol(self) -> asyncio.Protocol:
-        made = cast('type[Any]', self.config.http_protocol_class)(
+        protocol = cast('type[Any]', self.config.http_protocol_class)(
             config=self.config,
             server_state=self.server_state,
             app_state=self.lifespan.state,
         )
-        return cast(asyncio.Protocol, made)
+        return cast(asyncio.Protocol, protocol)
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -75,7 +79,7 @@
     """A running server."""
 
     def __init__(self, server: _Server, address: str) -> None:
-        """Remember the server.
+        """Wrap a server that listens.
 
         :param address: ``IP:port`` where it listens.
         """
@@ -84,7 +88,7 @@
 
     @property
     def port(self) -> int:
-        """The port that the system chose or was told."""
+        """The port that was configured or that the system chose."""
         return int(self.address.rpartition(':')[2])
 
     @property
@@ -93,15 +97,15 @@
         return f'http://{self.address}'
 
     def stop(self) -> None:
-        """Close the listener; running exchanges finish."""
+        """Close the listener; exchanges in progress finish."""
         self._server.should_exit = True
 
     async def closed(self) -> None:
-        """Return when every connection is closed after ``stop``."""
+        """Wait until every connection is closed after ``stop``."""
         await self._server.closed.wait()
 
     def abort(self) -> None:
-        """Close everything at once."""
+        """Close everything immediately."""
         self._server.should_exit = True
         self._server.force_exit = True
 
@@ -109,7 +113,7 @@
 def bind(ip: str, port: int) -> socket.socket:
     """Open a listening socket.
 
-    :param ip: an IP number.
+    :param ip: an IP address.
     :param port: 0 lets the system choose.
     :return: the bound socket.
     """
@@ -133,19 +137,20 @@
     """Serve while the context lasts.
 
     :param application: an ASGI application.
-    :param ip: an IP number to listen at.
+    :param ip: the IP address to listen on.
     :param port: 0 lets the system choose.
-    :param bounds: what connections may make the server hold.
-    :param protocol: class of the HTTP protocol, by default a guarded one.
+    :param bounds: limits on the connections of the server.
+    :param protocol: class of the HTTP protocol, by default one that
+        ``guarded_protocol`` builds.
     :return: the running server.
     """
-    held = bounds or ServerBounds()
+    limits = bounds or ServerBounds()
     listener = bind(ip, port)
     host, bound_port = listener.getsockname()[:2]
     server = _Server(
         uvicorn.Config(
             application,
-            http=protocol or guarded_protocol(held),
+            http=protocol or guarded_protocol(limits),
             ws='websockets-sansio',
             loop='asyncio',
             lifespan='off',
@@ -154,8 +159,8 @@
             proxy_headers=False,
             server_header=False,
             date_header=False,
-            limit_concurrency=held.max_connections,
-            timeout_keep_alive=held.keep_alive_seconds,
+            limit_concurrency=limits.max_connections,
+            timeout_keep_alive=limits.keep_alive_seconds,
         ),
     )
     bound = BoundServer(server, f'{host}:{bound_port}')
@@ -169,7 +174,7 @@
 
 
 async def _serve_shielded(server: _Server, listener: socket.socket) -> None:
-    # uvicorn stops serving in its own loop; a cancellation that reaches the
-    # loop leaves the listener open and answering. The owner's exit ends it.
+    # uvicorn shuts down in its own loop: a cancellation that reaches the loop
+    # would leave the listener open and serving. The owner's exit stops it.
     with anyio.CancelScope(shield=True):
         await server.serve([listener])
--- a/src/sardinetrack/http/sockets.py
+++ b/src/sardinetrack/http/sockets.py
@@ -1,4 +1,4 @@
-"""What the kernel holds for a listener or a connection."""
+"""Access to the kernel's state of a listener or a connection."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from typing import Final
 
 LAST_REQUEST_SECONDS: Final = 0.3
-"""How long a connection that waits for a request stays open at the end."""
+"""How long an idle connection stays open for a last request at shutdown."""
 
 
 def descriptor(transport: asyncio.BaseTransport | None) -> int:
-    """Tell the descriptor of a transport; negative if there is none."""
+    """Return the file descriptor of a transport; negative if there is none."""
     if transport is None or transport.is_closing():
         return -1
     sock = transport.get_extra_info('socket')
@@ -21,10 +21,10 @@
 
 
 def has_unread(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether bytes, or an end, have arrived and are not read yet.
+    """Whether data or the end of the stream has arrived but is not read yet.
 
-    A late loop that closed such a connection would reset it. Its caller could
-    not tell whether the request has run.
+    Closing such a connection, as an event loop that is late could do, resets
+    it. Its client could not tell whether the request has run.
     """
     fileno = descriptor(transport)
     if fileno < 0:
@@ -35,12 +35,12 @@
 
 
 def accept_all(listener: socket.socket) -> Iterator[socket.socket]:
-    """Accept the connections that wait at a listener.
+    """Accept the connections that are pending at a listener.
 
-    A listener that is closed resets them; while the loop is late these are
-    many, and their requests are on the way.
+    Closing a listener resets its pending connections. When the event loop is
+    late there are many, and their requests are on the way.
 
-    :param listener: does not block.
+    :param listener: a non-blocking socket.
     """
     while True:
         try:
@@ -48,7 +48,7 @@
         except ConnectionAbortedError:
             continue
         except OSError:
-            # None waits, or there is no descriptor for one more.
+            # No connection is pending, or no file descriptor is free.
             return
         connection.setblocking(False)
         yield connection
--- a/tests/http/client.feature
+++ b/tests/http/client.feature
@@ -1,32 +1,32 @@
-Feature: an HTTP client keeps its connections
+Feature: an HTTP client reuses its connections
 
-  Scenario: calls one after the other share a connection
-    Given a server that tells callers apart by their port
-    When a client makes 3 calls one after the other
+  Scenario: consecutive calls share a connection
+    Given a server that counts its connections
+    When a client makes 3 consecutive calls
     Then the server has seen 1 connection
 
-  Scenario: calls at once each have a connection
-    Given a server that tells callers apart by their port
-    When a client makes 3 calls at once
+  Scenario: concurrent calls each have a connection
+    Given a server that counts its connections
+    When a client makes 3 concurrent calls
     Then the server has seen 3 connections
 
-  Scenario: a kept connection that the server has closed is not used
-    A server closes connections that were idle for long, or restarts. A call
-    on such a connection would break although it never arrived, and the caller
-    would hear that its outcome is unknown.
-    Given a server that tells callers apart by their port
+  Scenario: an idle connection that the server has closed is not used
+    A server closes connections after its keep-alive timeout, or restarts. A
+    call on such a connection would fail although it never arrived, and would
+    be reported with an unknown outcome.
+    Given a server that counts its connections
     When a client makes a call, the server restarts, and it makes another
-    Then both calls are answered
+    Then both calls succeed
 
-  Scenario: an answer that nobody reads to its end frees nothing for others
-    A reader is cancelled in the middle of an answer. The rest of that answer
-    still comes on the connection: the next call there would receive it as its
-    own.
-    Given a server whose answers never end
-    When a client is cancelled in the middle of an answer
-    Then the client keeps no connection
+  Scenario: a connection is not reused after a response that was not read
+    A reader is cancelled in the middle of a response. The rest of the response
+    still arrives on the connection: the next call on it would receive it as
+    its own.
+    Given a server whose responses never end
+    When a client is cancelled in the middle of a response
+    Then the client has no idle connections
 
-  Scenario: idle connections are bounded
-    Given a server that tells callers apart by their port
-    When a client that keeps 2 connections makes 4 calls at once
-    Then the client keeps 2 connections
+  Scenario: the number of idle connections is limited
+    Given a server that counts its connections
+    When a client with at most 2 idle connections makes 4 concurrent calls
+    Then the client has 2 idle connections
--- a/tests/http/guard.feature
+++ b/tests/http/guard.feature
@@ -1,46 +1,46 @@
-Feature: a stranger at a listener costs little, and only for a while
+Feature: a client can occupy only limited resources of a listener
 
-  Without these bounds anybody who reaches a peers' or operators' port could
-  fill the memory by one header, or lock the fleet out by idle connections.
+  Without these limits any client that reaches a port for peers or operators
+  could fill the memory with one header, or lock the fleet out with idle
+  connections.
 
   Background:
-    Given a guarded server with 20 connections and short bounds
+    Given a guarded server with 20 connections and short limits
 
-  Scenario: a head without an end is cut
-    A stranger sends one header on and on. The bytes are not kept: the
-    connection is cut soon, and others are served as before.
-    When a stranger sends a header without an end
-    Then the stranger's connection is cut
-    And another call is answered
+  Scenario: an endless header closes its connection
+    A client sends one header without an end. The bytes are not stored: the
+    connection is closed soon, and others are served as before.
+    When a client sends an endless header
+    Then the client's connection is closed
+    And another call succeeds
 
-  Scenario Outline: a head that is late is cut
-    When a stranger <does>
-    Then the stranger's connection is cut
-    And another call is answered
+  Scenario Outline: a late header closes its connection
+    When a client <does>
+    Then the client's connection is closed
+    And another call succeeds
 
     Examples:
-      | does                              |
-      | sends nothing                     |
-      | sends a byte of a head at a time  |
-      | is answered, then sends half a head |
-
-  Scenario: a body without an end is cut after its answer
-    When a stranger is answered and sends its body on and on
-    Then the stranger's connection is cut
-    And another call is answered
-
-  Scenario: idle connections give way
-    When strangers open 60 connections and send nothing
-    Then another call is answered
-
-  Scenario: connections with half a head give way like idle ones
-    Guards against strangers who keep everybody out by a few bytes on each of
+      | does                                      |
+      | sends nothing                             |
+      | sends a header byte by byte               |
+      | gets a response, then sends half a header |
+
+  Scenario: an endless body closes its connection after the response
+    When a client gets a response and sends an endless body
+    Then the client's connection is closed
+    And another call succeeds
+
+  Scenario: idle connections are evicted
+    When clients open 60 connections and send nothing
+    Then another call succeeds
+
+  Scenario: connections with half a header are evicted like idle ones
+    Guards against clients that lock out all others with a few bytes on each of
     many connections.
-    When strangers open 60 connections and send half a head on each
-    Then another call is answered
-
-  Scenario: a slow body of a request under way is not cut
-    The bounds are on heads. A request whose body takes longer is the
-    application's to bound.
-    When a peer sends a body that takes longer than a head may
-    Then the peer gets its answer
+    When clients open 60 connections and send half a header on each
+    Then another call succeeds
+
+  Scenario: the slow body of a request in progress is not interrupted
+    The limits are on headers. The application limits how long a body may take.
+    When a client sends a body that takes longer than a header may
+    Then the client gets its response
--- a/tests/http/steps/client_steps.py
+++ b/tests/http/steps/client_steps.py
@@ -9,15 +9,15 @@
 
 from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
 from sardinetrack.http.client import HttpClient
-from sardinetrack.http.connections import Connections
+from sardinetrack.http.connections import ClientConnectionPool
 from sardinetrack.http.server import BoundServer, serving
 
 _IP = '127.0.0.1'
-_ANSWER_SECONDS = 0.05
+_DELAY_SECONDS = 0.05
 
 
-class _Seen:
-    """A server's memory of its connections."""
+class _ConnectionCounter:
+    """A server that records the client ports of its connections."""
 
     def __init__(self) -> None:
         self.ports: set[int] = set()
@@ -26,7 +26,7 @@
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
         self.ports.add(scope['client'][1])
-        await anyio.sleep(_ANSWER_SECONDS)
+        await anyio.sleep(_DELAY_SECONDS)
         await Exchange(scope, receive, send).answer_json(200, {})
 
 
@@ -35,10 +35,10 @@
     await exchange.start(200, ())
     while True:
         await exchange.write(b'more')
-        await anyio.sleep(_ANSWER_SECONDS)
+        await anyio.sleep(_DELAY_SECONDS)
 
 
-async def _call_at_once(
+async def _call_concurrently(
     client: HttpClient,
     server: BoundServer,
     calls: int,
@@ -53,22 +53,22 @@
     server: BoundServer,
     scope: anyio.CancelScope,
 ) -> None:
-    async with client.stream('GET', server.url) as reply:
-        async for _ in reply.chunks():
+    async with client.stream('GET', server.url) as response:
+        async for _ in response.chunks():
             scope.cancel()
 
 
-@given('a server that tells callers apart by their port')
-def given_seen(context):
-    context.application = _Seen()
+@given('a server that counts its connections')
+def given_counter(context):
+    context.application = _ConnectionCounter()
 
 
-@given('a server whose answers never end')
+@given('a server whose responses never end')
 def given_endless(context):
     context.application = _endless
 
 
-@when('a client makes {calls:d} calls one after the other')
+@when('a client makes {calls:d} consecutive calls')
 def when_sequence(context, calls):
     async def run() -> None:
         async with (
@@ -81,14 +81,14 @@
     anyio.run(run)
 
 
-@when('a client makes {calls:d} calls at once')
-def when_at_once(context, calls):
+@when('a client makes {calls:d} concurrent calls')
+def when_concurrent(context, calls):
     async def run() -> None:
         async with (
             serving(context.application, _IP, 0) as server,
             HttpClient() as client,
         ):
-            await _call_at_once(client, server, calls)
+            await _call_concurrently(client, server, calls)
 
     anyio.run(run)
 
@@ -107,33 +107,36 @@
     context.statuses = anyio.run(run)
 
 
-@when('a client is cancelled in the middle of an answer')
+@when('a client is cancelled in the middle of a response')
 def when_cancelled_midway(context):
     async def run() -> int:
-        connections = Connections()
+        connections = ClientConnectionPool()
         async with (
             serving(context.application, _IP, 0) as server,
             HttpClient(connections=connections) as client,
         ):
             with anyio.CancelScope() as scope:
                 await _cancel_midway(client, server, scope)
-            return connections.kept
+            return connections.idle_count
 
-    context.kept = anyio.run(run)
+    context.idle_count = anyio.run(run)
 
 
-@when('a client that keeps {kept:d} connections makes {calls:d} calls at once')
-def when_bounded(context, kept, calls):
+@when(
+    'a client with at most {idle:d} idle connections'
+    ' makes {calls:d} concurrent calls'
+)
+def when_bounded(context, idle, calls):
     async def run() -> int:
-        connections = Connections(max_kept=kept)
+        connections = ClientConnectionPool(max_idle=idle)
         async with (
             serving(context.application, _IP, 0) as server,
             HttpClient(connections=connections) as client,
         ):
-            await _call_at_once(client, server, calls)
-            return connections.kept
+            await _call_concurrently(client, server, calls)
+            return connections.idle_count
 
-    context.kept = anyio.run(run)
+    context.idle_count = anyio.run(run)
 
 
 @then('the server has seen {count:d} connection')
@@ -142,16 +145,16 @@
     assert len(context.application.ports) == count, context.application.ports
 
 
-@then('both calls are answered')
-def then_answered(context):
+@then('both calls succeed')
+def then_succeeded(context):
     assert context.statuses == [200, 200], context.statuses
 
 
-@then('the client keeps no connection')
-def then_none_kept(context):
-    assert context.kept == 0, context.kept
+@then('the client has no idle connections')
+def then_none_idle(context):
+    assert context.idle_count == 0, context.idle_count
 
 
-@then('the client keeps {count:d} connections')
-def then_kept(context, count):
-    assert context.kept == count, context.kept
+@then('the client has {count:d} idle connections')
+def then_idle(context, count):
+    assert context.idle_count == count, context.idle_count
--- a/tests/http/steps/server_steps.py
+++ b/tests/http/steps/server_steps.py
@@ -20,19 +20,19 @@
 
 _IP = '127.0.0.1'
 _CALL = b'GET / HTTP/1.1\r\nhost: h\r\n\r\n'
-_HALF = len(_CALL) // 2
+_HALF_LENGTH = len(_CALL) // 2
 _LATE_SECONDS = 0.5
 _SLOW_SECONDS = 0.4
-_MOST = 20
+_CLIENTS = 20
 
 
 def _protocol(listener):
     if listener == 'callers':
-        return caller_protocol(HeadBounds(), _MOST)
-    return guarded_protocol(ServerBounds(max_connections=_MOST))
+        return caller_protocol(HeadBounds(), _CLIENTS)
+    return guarded_protocol(ServerBounds(max_connections=_CLIENTS))
 
 
-async def _answer(scope: Scope, receive: Receive, send: Send) -> None:
+async def _respond(scope: Scope, receive: Receive, send: Send) -> None:
     await Exchange(scope, receive, send).answer_json(200, {})
 
 
@@ -45,7 +45,7 @@
 
 @given('a server inside a cancel scope')
 def given_scope(context):
-    context.application = _answer
+    context.application = _respond
 
 
 @when('the scope is cancelled')
@@ -71,7 +71,7 @@
         anyio.run(run)
     except NotSentError:
         return
-    raise AssertionError('the server still answers')
+    raise AssertionError('the server still accepts connections')
 
 
 @given('a server whose handler fails after part of the body')
@@ -79,7 +79,7 @@
     context.application = _fail_midway
 
 
-@when('a client reads the answer')
+@when('a client reads the response')
 def when_read(context):
     async def run() -> bool:
         async with (
@@ -136,19 +136,19 @@
     assert context.no_delay == 1
 
 
-@given('a server that answers every call')
-def given_answering(context):
-    context.application = _answer
+@given('a server that responds to every call')
+def given_responding(context):
+    context.application = _respond
     context.protocol = None
 
 
-@given('a server of {listener} that answers every call')
-def given_listener_answering(context, listener):
-    context.application = _answer
+@given('a server of {listener} that responds to every call')
+def given_listener_responding(context, listener):
+    context.application = _respond
     context.protocol = _protocol(listener)
 
 
-async def _answer_slowly(scope: Scope, receive: Receive, send: Send) -> None:
+async def _respond_slowly(scope: Scope, receive: Receive, send: Send) -> None:
     exchange = Exchange(scope, receive, send)
     await exchange.start(200, [('content-length', '2')])
     await exchange.write(b'o')
@@ -156,17 +156,19 @@
     await exchange.finish(b'k')
 
 
-@given('a server of {listener} that answers slowly')
+@given('a server of {listener} that responds slowly')
 def given_listener_slow(context, listener):
-    context.application = _answer_slowly
+    context.application = _respond_slowly
     context.protocol = _protocol(listener)
 
 
-async def _stop_under(context, call, before=b''):
-    """Stop a server to which a caller has just connected."""
+async def _stop_after_connect(context, call, before=b''):
+    """Stop a server to which a client has just connected."""
     loop = asyncio.get_running_loop()
-    serves = serving(context.application, _IP, 0, protocol=context.protocol)
-    async with serves as server:
+    server_context = serving(
+        context.application, _IP, 0, protocol=context.protocol
+    )
+    async with server_context as server:
         reader, writer = await asyncio.open_connection(_IP, server.port)
         writer.write(before)
         await anyio.sleep(0.05)
@@ -177,55 +179,61 @@
             await anyio.sleep(_LATE_SECONDS)
         writer.write(call)
         with anyio.fail_after(5):
-            answer = await reader.read()
+            response = await reader.read()
             await server.closed()
         writer.close()
-        return answer, loop.time() - stopped_seconds
+        return response, loop.time() - stopped_seconds
 
 
-@when('a caller connects, the server stops, and the caller sends a call')
-def when_stopped_under(context):
-    context.told = anyio.run(_stop_under, context, _CALL)
+@when('a client connects, the server stops, and the client sends a call')
+def when_stopped_after_connect(context):
+    context.outcome = anyio.run(_stop_after_connect, context, _CALL)
 
 
-@when('a caller connects, and the server stops')
+@when('a client connects, and the server stops')
 def when_stopped(context):
-    context.told = anyio.run(_stop_under, context, b'')
+    context.outcome = anyio.run(_stop_after_connect, context, b'')
 
 
-@when('a caller sends half a head, the server stops, and the rest follows')
-def when_stopped_in_head(context):
-    context.told = anyio.run(_stop_under, context, _CALL[_HALF:], _CALL[:_HALF])
+@when('a client sends half a header, the server stops, and the rest follows')
+def when_stopped_in_header(context):
+    context.outcome = anyio.run(
+        _stop_after_connect, context, _CALL[_HALF_LENGTH:], _CALL[:_HALF_LENGTH]
+    )
 
 
-def _hold_up():
+def _block_loop():
     time.sleep(_LATE_SECONDS)
 
 
-def _ask(port):
+def _call_once(port):
     """Send a call on a new connection and read to the end."""
-    with socket.create_connection((_IP, port), timeout=5) as link:
-        link.sendall(_CALL)
+    with socket.create_connection((_IP, port), timeout=5) as connection:
+        connection.sendall(_CALL)
         try:
-            return b''.join(iter(lambda: link.recv(4096), b''))
+            return b''.join(iter(lambda: connection.recv(4096), b''))
         except ConnectionError as error:
             return repr(error).encode()
 
 
 async def _stop_late(context):
-    """Let callers connect while the loop is held up just before the end."""
-    serves = serving(context.application, _IP, 0, protocol=context.protocol)
+    """Let clients connect while the loop is blocked just before shutdown."""
+    server_context = serving(
+        context.application, _IP, 0, protocol=context.protocol
+    )
     main_loop = _Server.main_loop
-    with ThreadPoolExecutor(_MOST) as threads:
+    with ThreadPoolExecutor(_CLIENTS) as threads:
         futures = []
 
         async def late(server):
             await main_loop(server)
-            futures.extend(threads.submit(_ask, port) for _ in range(_MOST))
-            _hold_up()
+            futures.extend(
+                threads.submit(_call_once, port) for _ in range(_CLIENTS)
+            )
+            _block_loop()
 
         with patch.object(_Server, 'main_loop', late):
-            async with serves as server:
+            async with server_context as server:
                 port = server.port
                 server.stop()
                 await server.closed()
@@ -233,29 +241,31 @@
 
 
 @when(
-    '{count:d} callers connect and ask while the loop is late'
-    ' and the server ends'
+    '{count:d} clients connect and call while the loop is late'
+    ' and the server stops'
 )
 def when_backlog(context, count):
-    assert count == _MOST
-    context.answers = anyio.run(_stop_late, context)
+    assert count == _CLIENTS
+    context.responses = anyio.run(_stop_late, context)
 
 
-@then('all callers are answered')
-def then_all_answered(context):
+@then('all clients get a response')
+def then_all_responses(context):
     wrong = [
-        answer
-        for answer in context.answers
-        if not answer.startswith(b'HTTP/1.1 200')
+        response
+        for response in context.responses
+        if not response.startswith(b'HTTP/1.1 200')
     ]
-    assert len(context.answers) == _MOST
+    assert len(context.responses) == _CLIENTS
     assert not wrong, (len(wrong), wrong[:3])
 
 
-async def _stop_in_answer(context):
+async def _stop_in_response(context):
     loop = asyncio.get_running_loop()
-    serves = serving(context.application, _IP, 0, protocol=context.protocol)
-    async with serves as server:
+    server_context = serving(
+        context.application, _IP, 0, protocol=context.protocol
+    )
+    async with server_context as server:
         reader, writer = await asyncio.open_connection(_IP, server.port)
         writer.write(_CALL)
         first = await reader.readuntil(b'\r\n\r\n')
@@ -270,51 +280,53 @@
     return first, second, loop.time() - stopped_seconds
 
 
-@when('an answer has begun, the server stops, and a second call follows it')
-def when_stopped_in_answer(context):
-    first, second, seconds = anyio.run(_stop_in_answer, context)
-    context.answers = [first, second]
-    context.told = (second, seconds)
+@when('a response has begun, the server stops, and a second call follows it')
+def when_stopped_in_response(context):
+    first, second, seconds = anyio.run(_stop_in_response, context)
+    context.responses = [first, second]
+    context.outcome = (second, seconds)
 
 
-@then('the caller has both answers and the connection is closed')
+@then('the client gets both responses and the connection is closed')
 def then_both(context):
-    first, second = context.answers
+    first, second = context.responses
     assert b'connection: close' not in first.lower(), first
-    assert first.endswith(b'ok'), context.answers
-    assert second.startswith(b'HTTP/1.1 200'), context.answers
-    assert second.endswith(b'ok'), context.answers
+    assert first.endswith(b'ok'), context.responses
+    assert second.startswith(b'HTTP/1.1 200'), context.responses
+    assert second.endswith(b'ok'), context.responses
 
 
-async def _make_room(context):
-    serves = serving(context.application, _IP, 0, protocol=context.protocol)
-    async with serves as server:
+async def _evict_idle(context):
+    server_context = serving(
+        context.application, _IP, 0, protocol=context.protocol
+    )
+    async with server_context as server:
         reader, writer = await asyncio.open_connection(_IP, server.port)
         await anyio.sleep(0.05)
         writer.write(_CALL)
-        # The loop has no turn between the request's arrival and the cut.
-        context.protocol.idle.make_room(_MOST + 1)
+        # The loop does not run between the request's arrival and the eviction.
+        context.protocol.idle.make_room(_CLIENTS + 1)
         with anyio.fail_after(5):
-            answer = await reader.read(4096)
+            response = await reader.read(4096)
         writer.close()
-    return answer
+    return response
 
 
-@when('room is made while a request waits unread on the idle connection')
-def when_room(context):
-    context.told = (anyio.run(_make_room, context), 0)
+@when('idle connections are evicted while one has an unread request')
+def when_evicted(context):
+    context.outcome = (anyio.run(_evict_idle, context), 0)
 
 
-@then('the caller is answered')
-def then_told(context):
-    assert context.told[0].startswith(b'HTTP/1.1 200'), context.told
+@then('the client gets a response')
+def then_response(context):
+    assert context.outcome[0].startswith(b'HTTP/1.1 200'), context.outcome
 
 
-@then('the caller is answered and the connection is closed')
-def then_answered(context):
-    assert context.told[0].startswith(b'HTTP/1.1 200'), context.told
+@then('the client gets a response and the connection is closed')
+def then_response_and_closed(context):
+    assert context.outcome[0].startswith(b'HTTP/1.1 200'), context.outcome
 
 
-@then('the server has ended within {seconds:g} seconds')
-def then_ended(context, seconds):
-    assert context.told[1] < seconds, context.told
+@then('the server has stopped within {seconds:g} seconds')
+def then_stopped(context, seconds):
+    assert context.outcome[1] < seconds, context.outcome
