--- a/src/sardinetrack/http/client.py
+++ b/src/sardinetrack/http/client.py
@@ -55,7 +55,7 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Read the body chunk by chunk.
 
-        :raises BrokenError: the connection ended before the body did.
+        :raises BrokenError: the body was interrupted before its end.
         """
         try:
             async for chunk in self._response.aiter_stream():
--- a/src/sardinetrack/links/api.py
+++ b/src/sardinetrack/links/api.py
@@ -1,4 +1,4 @@
-"""Types of the control links: hello, link, events, bounds."""
+"""Types of the control links: hello, link, events, limits."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class PeerRole(StrEnum):
-    """What kind of process is at the other end."""
+    """The kind of process at the other end."""
 
     ENTRY = 'entry'
     SIDE = 'side'
 
 
 class Hello(Struct, frozen=True):
-    """Who a process is; both ends tell it while the link opens."""
+    """Identity of a process; both ends send it while the link opens."""
 
     instance: str
     role: PeerRole
@@ -36,13 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkBounds:
-    """What a link may hold and how long it may stay silent."""
+    """Timeouts and size limits of a link."""
 
     beat_seconds: float = 1.0
-    """An end that has sent nothing for so long sends an empty frame."""
+    """An end that has sent nothing for this time sends an empty frame."""
     silence_seconds: float = 2.8
-    """An end that has heard nothing for so long closes the link."""
-    open_seconds: float = 2.0
+    """An end that has received nothing for this time closes the link."""
+    open_timeout_seconds: float = 2.0
     max_frame_bytes: int = 4_000_000
     outbox_messages: int = 1024
     longest_retry_seconds: float = 1.0
@@ -60,23 +60,23 @@
     def post(self, message: LinkMessage) -> None:
         """Queue a message; never blocks.
 
-        A full outbox closes the link: every message states the whole of what
-        it speaks of, and the newest state is sent again on the next link, so
-        nothing is lost that still matters. A message to a closed link is
+        A full outbox closes the link: each message holds the complete state
+        that it is about, and the newest state is sent again on the next link,
+        so nothing is lost that is still needed. A message to a closed link is
         dropped for the same reason.
         """
 
     @abstractmethod
     def post_encoded(self, text: bytes) -> None:
-        """Queue a message that ``messages.codec`` has already encoded."""
+        """Queue a message that ``messages.codec`` has encoded."""
 
     @abstractmethod
     def messages(self) -> AsyncIterator[LinkMessage]:
-        """Yield messages until the link closes; a bad frame closes it."""
+        """Yield messages until the link closes; an invalid frame closes it."""
 
     @abstractmethod
     def close(self) -> None:
-        """Close at once; posted messages may be lost."""
+        """Close immediately; posted messages may be lost."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,8 +108,8 @@
 class LinkDown:
     """A link has closed; no event of this link follows.
 
-    The peer's next link may be up already: compare ``link`` before forgetting
-    the peer, or let a ``LinkTable`` do so.
+    The peer's next link may be up already: compare ``link`` before removing
+    the peer's state, or let a ``LinkTable`` do so.
     """
 
     link: Link
--- a/src/sardinetrack/links/client.py
+++ b/src/sardinetrack/links/client.py
@@ -1,4 +1,4 @@
-"""Keep one link up to an address."""
+"""Keep one link open to an address."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 from sardinetrack.logs.lines import Part, PartLogger
 
 _LOG: Final = PartLogger(Part.LINK)
-_FIRST_RETRY_SECONDS: Final = 0.05
-_LEAST_PART: Final = 0.5
-_MOST_DOUBLINGS: Final = 16
-_FAILURES: Final = (
+_INITIAL_BACKOFF_SECONDS: Final = 0.05
+_MIN_JITTER_FRACTION: Final = 0.5
+_MAX_DOUBLINGS: Final = 16
+_LINK_ERRORS: Final = (
     OSError,
     TimeoutError,
     WebSocketException,
@@ -36,7 +36,7 @@
 
 
 class DialState(StrEnum):
-    """Where a dialer stands."""
+    """State of a dialer."""
 
     CONNECTING = 'connecting'
     UP = 'up'
@@ -44,7 +44,7 @@
 
 
 class DialEvent(StrEnum):
-    """What moves a dialer."""
+    """Event that changes a dialer's state."""
 
     OPENED = 'opened'
     FAILED = 'failed'
@@ -57,7 +57,7 @@
 
 class _ClientSocket(FrameSocket):
     def __init__(self, connection: ClientConnection) -> None:
-        """Wrap a connection of the library."""
+        """Wrap a connection of the websockets library."""
         self._connection = connection
 
     async def send(self, frame: bytes) -> None:
@@ -80,7 +80,7 @@
 
 
 class LinkDialer:
-    """A task that opens a link to an address, again and again."""
+    """A task that opens a link to an address, and reopens it when it closes."""
 
     def __init__(
         self,
@@ -90,43 +90,46 @@
         events: LinkEvents,
         *,
         bounds: LinkBounds | None = None,
-        random: Random | None = None,
+        rng: Random | None = None,
     ) -> None:
-        """Remember where to.
+        """Build a dialer; ``run`` opens the link.
 
-        :param address: ``IP:port`` of the other's peer endpoint.
+        :param address: ``IP:port`` of the peer's link server.
+        :param hello: identity of this process.
+        :param secret: the shared secret of the peers.
         :param events: one stream that all links of the daemon share.
-        :param random: spreads the retries of many dialers.
+        :param rng: source of the jitter that spreads the retries of many
+            dialers.
         """
         self.address = address
         self._headers = [secret.header(), hello_header(hello)]
         self._events = events
         self._bounds = bounds or LinkBounds()
-        self._random = random or Random()
+        self._rng = rng or Random()
         self._chart = _CHART.start()
-        self._failures = 0
+        self._consecutive_failures = 0
 
     @property
     def state(self) -> DialState:
-        """Where the dialer stands on its chart."""
+        """The state of the dialer on its state chart."""
         return self._chart.state
 
     async def run(self) -> None:
-        """Keep the link up until cancelled."""
+        """Keep the link open until cancelled."""
         while True:
             try:
-                await self._one_link()
-            except _FAILURES as error:
-                self._note_failure(error)
+                await self._run_link()
+            except _LINK_ERRORS as error:
+                self._record_failure(error)
             was_up = self.state is DialState.UP
             self._chart.fire(DialEvent.BROKEN if was_up else DialEvent.FAILED)
-            await anyio.sleep(self._retry_seconds())
+            await anyio.sleep(self._backoff_seconds())
             self._chart.fire(DialEvent.RETRY)
 
-    async def _one_link(self) -> None:
+    async def _run_link(self) -> None:
         connection = await self._open()
         try:
-            peer = read_hello(self._answered_hello(connection))
+            peer = read_hello(self._response_hello(connection))
         except BaseException:
             connection.transport.abort()
             raise
@@ -134,13 +137,14 @@
         opened_at = anyio.current_time()
         link = FrameLink(_ClientSocket(connection), peer, self._bounds)
         await link.run(self._events)
-        # A link that ends at once counts as a failure: a peer that keeps
-        # breaking its links would otherwise be dialled without a pause.
+        # A link that closes soon after it opened counts as a failure: a peer
+        # that keeps closing its links would otherwise be dialled without a
+        # backoff.
         lasted_seconds = anyio.current_time() - opened_at
         if lasted_seconds > self._bounds.longest_retry_seconds:
-            self._failures = 0
+            self._consecutive_failures = 0
         else:
-            self._failures += 1
+            self._consecutive_failures += 1
 
     async def _open(self) -> ClientConnection:
         return await connect(
@@ -149,26 +153,27 @@
             user_agent_header=None,
             compression=None,
             proxy=None,
-            open_timeout=self._bounds.open_seconds,
-            # The link has its own heartbeat, which traffic replaces.
+            open_timeout=self._bounds.open_timeout_seconds,
+            # The link has its own heartbeat, which other frames replace.
             ping_interval=None,
             max_size=self._bounds.max_frame_bytes,
         )
 
-    def _answered_hello(self, connection: ClientConnection) -> str | None:
+    def _response_hello(self, connection: ClientConnection) -> str | None:
         response = connection.response
         return response.headers.get(HELLO_HEADER) if response else None
 
-    def _note_failure(self, error: Exception) -> None:
-        # Once for each outage: a peer that is gone is dialled for long.
-        tell = _LOG.debug if self._failures else _LOG.warning
-        tell('no link', address=self.address, error=str(error))
-        self._failures += 1
+    def _record_failure(self, error: Exception) -> None:
+        # One warning for each outage: a peer that is stopped is dialled for a
+        # long time.
+        log = _LOG.debug if self._consecutive_failures else _LOG.warning
+        log('link failed', address=self.address, error=str(error))
+        self._consecutive_failures += 1
 
-    def _retry_seconds(self) -> float:
-        doublings = min(self._failures, _MOST_DOUBLINGS)
-        longest = min(
+    def _backoff_seconds(self) -> float:
+        doublings = min(self._consecutive_failures, _MAX_DOUBLINGS)
+        limit_seconds = min(
             self._bounds.longest_retry_seconds,
-            _FIRST_RETRY_SECONDS * (1 << doublings),
+            _INITIAL_BACKOFF_SECONDS * (1 << doublings),
         )
-        return longest * self._random.uniform(_LEAST_PART, 1)
+        return limit_seconds * self._rng.uniform(_MIN_JITTER_FRACTION, 1)
--- a/src/sardinetrack/links/link.py
+++ b/src/sardinetrack/links/link.py
@@ -23,14 +23,14 @@
 from sardinetrack.messages.codec import decode, encode
 
 _LOG: Final = PartLogger(Part.LINK)
-_BEAT: Final = b''
-_LAST_EVENT_SECONDS: Final = 1.0
+_HEARTBEAT: Final = b''
+_DOWN_EVENT_TIMEOUT_SECONDS: Final = 1.0
 
 
 class FrameLink(Link):
-    """A link whose frames each hold one or more messages, one a line.
+    """A link whose frames each hold one or more messages, one per line.
 
-    Messages posted in one turn of the event loop share a frame: one write
+    Messages posted in one iteration of the event loop share a frame: one write
     carries them all. The empty frame is a heartbeat.
     """
 
@@ -40,18 +40,18 @@
         peer: Hello,
         bounds: LinkBounds,
     ) -> None:
-        """Wrap an open connection; ``run`` makes it work."""
+        """Wrap an open connection; ``run`` sends and receives."""
         self._connection = connection
         self._peer = peer
         self._bounds = bounds
         streams = anyio.create_memory_object_stream[bytes](
             bounds.outbox_messages,
         )
-        self._posted = streams[0]
-        self._outbox = streams[1]
+        self._outbox_sender = streams[0]
+        self._outbox_receiver = streams[1]
         self._scope = anyio.CancelScope()
         self._sent_at = anyio.current_time()
-        self._heard_at = self._sent_at
+        self._received_at = self._sent_at
 
     @property
     def peer(self) -> Hello:
@@ -65,26 +65,34 @@
     def post_encoded(self, text: bytes) -> None:
         """Queue an encoded message; a full outbox closes the link."""
         if len(text) > self._bounds.max_frame_bytes:
-            _LOG.error('message is too large', peer=self._peer.instance)
+            _LOG.error(
+                'message is too large, dropped', peer=self._peer.instance
+            )
             return
         try:
-            self._posted.send_nowait(text)
+            self._outbox_sender.send_nowait(text)
         except anyio.WouldBlock:
-            _LOG.warning('outbox is full', peer=self._peer.instance)
+            _LOG.warning(
+                'outbox is full, closing the link',
+                peer=self._peer.instance,
+            )
             self.close()
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            _LOG.debug('peer is gone, dropped', peer=self._peer.instance)
+            _LOG.debug(
+                'link is closed, message dropped',
+                peer=self._peer.instance,
+            )
 
     async def messages(self) -> AsyncIterator[LinkMessage]:
         """Yield messages until the link closes."""
         while True:
             try:
-                batch = await self._next_batch()
+                batch = await self._receive_batch()
             except LinkLostError:
                 return
             except (msgspec.DecodeError, UnicodeDecodeError) as error:
                 _LOG.warning(
-                    'bad frame',
+                    'invalid frame, closing the link',
                     peer=self._peer.instance,
                     error=str(error),
                 )
@@ -93,86 +101,91 @@
                 yield message
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         self._scope.cancel()
 
     async def run(self, events: LinkEvents) -> None:
-        """Work until the link closes.
+        """Send and receive until the link closes.
 
-        :param events: where the up, message and down events go.
+        :param events: receives the up, message and down events.
         """
         _LOG.info('up', peer=self._peer.instance)
         try:
             with self._scope:
-                await self._work(events)
+                await self._exchange_messages(events)
         finally:
-            self._release()
-            await self._tell_down(events)
+            self._close_connection()
+            await self._send_down_event(events)
 
-    async def _work(self, events: LinkEvents) -> None:
+    async def _exchange_messages(self, events: LinkEvents) -> None:
         await events.send(LinkUp(self))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_posted)
-            tasks.start_soon(self._watch)
+            tasks.start_soon(self._monitor_heartbeats)
             async for message in self.messages():
                 await events.send(LinkMessageReceived(self, message))
             self.close()
 
-    def _release(self) -> None:
-        self._posted.close()
-        self._outbox.close()
+    def _close_connection(self) -> None:
+        self._outbox_sender.close()
+        self._outbox_receiver.close()
         self._connection.abort()
         _LOG.info('down', peer=self._peer.instance)
 
-    async def _tell_down(self, events: LinkEvents) -> None:
-        # Shielded: an owner that misses the event would keep bids and grants
-        # of a peer that is gone. Bounded: the owner may be gone itself.
-        with anyio.move_on_after(_LAST_EVENT_SECONDS, shield=True):
+    async def _send_down_event(self, events: LinkEvents) -> None:
+        # Shielded: an owner that misses the event would keep the bids and
+        # grants of a disconnected peer. With a timeout: the owner may have
+        # stopped itself.
+        with anyio.move_on_after(_DOWN_EVENT_TIMEOUT_SECONDS, shield=True):
             try:
                 await events.send(LinkDown(self))
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-                _LOG.debug('nobody listens any more')
+                _LOG.debug('the owner has stopped, down event dropped')
 
-    async def _next_batch(self) -> list[LinkMessage]:
+    async def _receive_batch(self) -> list[LinkMessage]:
         frame = await self._connection.receive()
-        self._heard_at = anyio.current_time()
+        self._received_at = anyio.current_time()
         if len(frame) > self._bounds.max_frame_bytes:
-            raise msgspec.DecodeError('frame too large')
+            raise msgspec.DecodeError('the frame is too large')
         return [decode(line) for line in frame.splitlines()]
 
     async def _send_posted(self) -> None:
         try:
-            async for text in self._outbox:
-                await self._connection.send(self._batch(text))
+            async for text in self._outbox_receiver:
+                await self._connection.send(self._join_queued(text))
                 self._sent_at = anyio.current_time()
         except LinkLostError:
             self.close()
 
-    def _batch(self, first: bytes) -> bytes:
+    def _join_queued(self, first: bytes) -> bytes:
         lines = [first]
         size_bytes = len(first)
         limit_bytes = self._bounds.max_frame_bytes // 2
-        waiting = self._outbox.statistics().current_buffer_used
+        waiting = self._outbox_receiver.statistics().current_buffer_used
         while waiting and size_bytes < limit_bytes:
-            lines.append(self._outbox.receive_nowait())
+            lines.append(self._outbox_receiver.receive_nowait())
             size_bytes += len(lines[-1]) + 1
             waiting -= 1
         return b'\n'.join(line for line in lines if line)
 
-    async def _watch(self) -> None:
-        # A frozen peer, or a cut without a reset, leaves the connection open
-        # and silent; the owner would wait for it for minutes. Each end speaks
-        # at least once a beat, so silence can only mean one of the two.
+    async def _monitor_heartbeats(self) -> None:
+        # A frozen peer, or a network failure without a reset, leaves the
+        # connection open and silent; the owner would wait for minutes. Each
+        # end sends at least one frame per heartbeat interval, so silence can
+        # only mean one of the two.
         while True:
             now = anyio.current_time()
-            silent_at = self._heard_at + self._bounds.silence_seconds
-            beat_at = self._sent_at + self._bounds.beat_seconds
-            if now >= silent_at:
-                _LOG.warning('peer is silent', peer=self._peer.instance)
+            timeout_at = self._received_at + self._bounds.silence_seconds
+            heartbeat_at = self._sent_at + self._bounds.beat_seconds
+            if now >= timeout_at:
+                _LOG.warning(
+                    'heartbeat timeout, closing the link',
+                    peer=self._peer.instance,
+                )
                 self.close()
                 return
-            if now >= beat_at:
+            if now >= heartbeat_at:
                 self._sent_at = now
-                self.post_encoded(_BEAT)
-                beat_at = now + self._bounds.beat_seconds
-            await anyio.sleep(min(silent_at, beat_at) - now)
+                self.post_encoded(_HEARTBEAT)
+                heartbeat_at = now + self._bounds.beat_seconds
+            await anyio.sleep(min(timeout_at, heartbeat_at) - now)
--- a/src/sardinetrack/links/run_reply.py
+++ b/src/sardinetrack/links/run_reply.py
@@ -1,4 +1,4 @@
-"""A side's answer to an order, as the entry reads it."""
+"""A side's response to a run request, as the entry reads it."""
 
 from __future__ import annotations
 
@@ -16,27 +16,30 @@
 
 
 class RunReply:
-    """The backend server's answer while it arrives through a side.
+    """The backend server's response while it arrives through a side.
 
-    Status and headers are the backend server's, and mean something only when
-    the result's fate is ``RUNNING``.
+    The status and headers are the backend server's, and are meaningful only
+    if the attempt status in the result is ``RUNNING``.
     """
 
-    def __init__(self, reply: StreamedReply) -> None:
-        """Read the side's word from the headers.
+    def __init__(self, response: StreamedReply) -> None:
+        """Read the side's result from the headers.
 
-        :raises BrokenError: there is none, so that the fate is not known.
+        :raises BrokenError: there is no valid result, so the status of the
+            attempt is unknown.
         """
-        self._reply = reply
+        self._response = response
         try:
             self.run_result: RunResult = read_result(
-                reply.header(RESULT_HEADER) or '',
+                response.header(RESULT_HEADER) or '',
             )
             self.headers = read_server_headers(
-                reply.header(SERVER_HEADERS_HEADER) or '[]',
+                response.header(SERVER_HEADERS_HEADER) or '[]',
             )
         except msgspec.DecodeError as error:
-            raise BrokenError(f'no word of the side: {error}') from error
+            raise BrokenError(
+                f'the side sent no valid result: {error}'
+            ) from error
         self.status = self.run_result.status
 
     def header(self, name: str) -> str | None:
@@ -44,8 +47,8 @@
         return next((text for key, text in self.headers if key == name), None)
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Read the body piece by piece.
+        """Read the body chunk by chunk.
 
-        :raises BrokenError: it ended before the protocol's own end.
+        :raises BrokenError: the body was interrupted before its end.
         """
-        return self._reply.chunks()
+        return self._response.chunks()
--- a/src/sardinetrack/links/secret.py
+++ b/src/sardinetrack/links/secret.py
@@ -1,4 +1,4 @@
-"""The secret that peers show each other, and their hello."""
+"""Headers that open a link: the shared secret and the hello."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class PeerSecret:
-    """The secret of the fleet; its text never shows in a log line."""
+    """The shared secret of the fleet; its text never appears in a log line."""
 
     def __init__(self, secret: str) -> None:
-        """Remember the secret."""
+        """Build the header text that peers compare."""
         self._header = f'{_SCHEME}{secret}'
         self._expected = self._header.encode()
 
@@ -26,25 +26,25 @@
         return 'PeerSecret(***)'
 
     def header(self) -> tuple[str, str]:
-        """Build the header that shows the secret."""
+        """Build the header that carries the secret."""
         return AUTHORIZATION_HEADER, self._header
 
     def matches(self, header: str | None) -> bool:
         """Compare in constant time.
 
-        :param header: text of the authorization header.
+        :param header: text of the authorization header, ``None`` if missing.
         """
         return hmac.compare_digest((header or '').encode(), self._expected)
 
 
 def hello_header(hello: Hello) -> tuple[str, str]:
-    """Build the header that says who a process is."""
+    """Build the header that carries the identity of a process."""
     return HELLO_HEADER, msgspec.json.encode(hello).decode('ascii')
 
 
 def read_hello(header: str | None) -> Hello:
-    """Read the other end's hello.
+    """Decode the hello of the other end.
 
-    :raises msgspec.DecodeError: it is missing or not valid.
+    :raises msgspec.DecodeError: the header is missing or not valid.
     """
     return msgspec.json.decode(header or '', type=Hello)
--- a/src/sardinetrack/links/server.py
+++ b/src/sardinetrack/links/server.py
@@ -1,4 +1,4 @@
-"""Accept links at an ASGI server."""
+"""Accept links on an ASGI server."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class LinkAcceptor:
-    """An ASGI application for WebSockets at the link's path."""
+    """An ASGI application for WebSockets on the link's path."""
 
     def __init__(
         self,
@@ -61,8 +61,13 @@
         *,
         bounds: LinkBounds | None = None,
     ) -> None:
-        """Remember who answers and where events go."""
-        self._answer = [_encoded(*hello_header(hello))]
+        """Build an acceptor.
+
+        :param hello: identity of this process.
+        :param secret: the shared secret that peers must send.
+        :param events: one stream that all links of the daemon share.
+        """
+        self._response_headers = [_encode_header(*hello_header(hello))]
         self._secret = secret
         self._events = events
         self._bounds = bounds or LinkBounds()
@@ -73,34 +78,39 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Check the peer, then work until the link closes."""
+        """Authenticate the peer, then serve the link until it closes."""
         await receive()
-        peer = self._admitted(scope)
+        peer = self._authenticate(scope)
         if peer is None:
-            # Before the accept this is answered with status 403.
+            # Before the accept this makes the server respond with status 403.
             await send({_TYPE: 'websocket.close'})
             return
-        await send({_TYPE: 'websocket.accept', 'headers': self._answer})
+        await send(
+            {_TYPE: 'websocket.accept', 'headers': self._response_headers}
+        )
         link = FrameLink(_ServerSocket(receive, send), peer, self._bounds)
         await link.run(self._events)
 
-    def _admitted(self, scope: Scope) -> Hello | None:
+    def _authenticate(self, scope: Scope) -> Hello | None:
         if not self._secret.matches(_header(scope, AUTHORIZATION_HEADER)):
-            _LOG.warning('refused, wrong secret', client=_client(scope))
+            _LOG.warning(
+                'link rejected: wrong peer secret',
+                client=_client_address(scope),
+            )
             return None
         try:
             return read_hello(_header(scope, HELLO_HEADER))
         except msgspec.DecodeError as error:
-            _LOG.warning('refused, bad hello', error=str(error))
+            _LOG.warning('link rejected: invalid hello', error=str(error))
             return None
 
 
-def _client(scope: Scope) -> str:
+def _client_address(scope: Scope) -> str:
     host, port = scope['client']
     return f'{host}:{port}'
 
 
-def _encoded(name: str, text: str) -> tuple[bytes, bytes]:
+def _encode_header(name: str, text: str) -> tuple[bytes, bytes]:
     return name.encode(_LATIN), text.encode(_LATIN)
 
 
--- a/src/sardinetrack/links/table.py
+++ b/src/sardinetrack/links/table.py
@@ -1,4 +1,4 @@
-"""The newest link to each peer."""
+"""Registry of the newest link to each peer."""
 
 from __future__ import annotations
 
@@ -10,10 +10,9 @@
 
 
 class LinkTable:
-    """Links by the peer's instance; one task owns it."""
+    """Links by the peer's instance; used by one task only."""
 
     def __init__(self) -> None:
-        """Start with no links."""
         self._links: dict[str, Link] = {}
 
     def __iter__(self) -> Iterator[Link]:
@@ -24,10 +23,10 @@
         return len(self._links)
 
     def add(self, link: Link) -> Link | None:
-        """Note a link that has opened.
+        """Add a link that has opened.
 
-        A peer that lost its link dials again before this end has noticed:
-        the older link is closed and handed back as replaced.
+        A peer whose link broke may dial again before this end has noticed:
+        the older link is closed and returned as replaced.
 
         :return: the link that this one replaces.
         """
@@ -38,7 +37,7 @@
         return replaced
 
     def remove(self, link: Link) -> bool:
-        """Note a link that has closed.
+        """Remove a link that has closed.
 
         :return: whether it was the peer's newest link.
         """
@@ -48,11 +47,11 @@
         return True
 
     def get(self, instance: str) -> Link | None:
-        """Find the link to a peer."""
+        """Return the newest link to a peer."""
         return self._links.get(instance)
 
     def post_all(self, message: LinkMessage) -> None:
-        """Post one message to every peer; it is encoded once."""
+        """Post one message to every peer, encoded once."""
         text = encode(message)
         for link in self:
             link.post_encoded(text)
--- a/tests/links/link_ends.py
+++ b/tests/links/link_ends.py
@@ -1,4 +1,4 @@
-"""Two ends of control links, for the steps."""
+"""Both ends of control links, for the steps."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 BOUNDS: Final = LinkBounds(
     beat_seconds=0.1,
     silence_seconds=0.5,
-    open_seconds=1.0,
+    open_timeout_seconds=1.0,
     longest_retry_seconds=0.2,
     outbox_messages=8,
 )
@@ -39,47 +39,50 @@
     return Hello(instance, role, f'{instance}-first', 'galata')
 
 
-class End:
-    """One daemon's end of its links: collects the events."""
+class LinkEnd:
+    """One daemon's end of its links; collects their events."""
 
     def __init__(self) -> None:
         streams = anyio.create_memory_object_stream[Any](1000)
         self.sink = streams[0]
         self._events = streams[1]
-        self.kinds: list[type] = []
+        self.event_types: list[type] = []
         self.dialer: LinkDialer | None = None
 
-    async def count(self) -> int:
-        """Count the events that nobody has read."""
+    async def unread_count(self) -> int:
+        """Return the number of events that are not read yet."""
         return self._events.statistics().current_buffer_used
 
-    async def next(self, kind: type) -> Any:
-        """Skip events up to the next one of a kind."""
+    async def next_event(self, event_type: type) -> Any:
+        """Return the next event of a type; skip the others."""
         with anyio.fail_after(WAIT_SECONDS):
             while True:
                 event = await self._events.receive()
-                self.kinds.append(type(event))
-                if isinstance(event, kind):
+                self.event_types.append(type(event))
+                if isinstance(event, event_type):
                     return event
 
     async def up(self) -> LinkUp:
-        """Wait for a link."""
-        return await self.next(LinkUp)
+        """Wait until a link opens."""
+        return await self.next_event(LinkUp)
 
     async def down(self) -> LinkDown:
-        """Wait for the end of a link."""
-        return await self.next(LinkDown)
+        """Wait until a link closes."""
+        return await self.next_event(LinkDown)
 
     async def messages(self, count: int) -> list[Any]:
-        """Wait for messages."""
+        """Wait for a number of messages."""
         return [
-            (await self.next(LinkMessageReceived)).message for _ in range(count)
+            (await self.next_event(LinkMessageReceived)).message
+            for _ in range(count)
         ]
 
 
 @asynccontextmanager
-async def accepting(end: End, bounds: LinkBounds = BOUNDS) -> AsyncIterator:
-    """Serve links of a side."""
+async def accept_links(
+    end: LinkEnd, bounds: LinkBounds = BOUNDS
+) -> AsyncIterator:
+    """Accept links as a side."""
     acceptor = LinkAcceptor(
         hello('side-1', PeerRole.SIDE),
         PeerSecret(SECRET),
@@ -91,20 +94,20 @@
 
 
 @asynccontextmanager
-async def dialling(
-    end: End,
+async def dial_side(
+    end: LinkEnd,
     address: str,
     secret: str = SECRET,
     bounds: LinkBounds = BOUNDS,
 ) -> AsyncIterator[None]:
-    """Keep an entry's link up."""
+    """Keep an entry's link to the side open."""
     dialer = LinkDialer(
         address,
         hello('entry-1', PeerRole.ENTRY),
         PeerSecret(secret),
         end.sink,
         bounds=bounds,
-        random=Random(7),
+        rng=Random(7),
     )
     end.dialer = dialer
     async with anyio.create_task_group() as tasks:
@@ -114,7 +117,7 @@
 
 
 class SideProcess:
-    """A process that accepts links; it can be frozen."""
+    """A process that accepts links, and that signals can freeze."""
 
     def __init__(self) -> None:
         self.process = subprocess.Popen(
@@ -126,17 +129,17 @@
         self.address = self.process.stdout.readline().strip()
 
     def close(self) -> None:
-        """End the process."""
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
 
-async def _accept_for_ever() -> None:
-    async with accepting(End()) as server:
+async def _accept_until_killed() -> None:
+    async with accept_links(LinkEnd()) as server:
         sys.stdout.write(f'{server.address}\n')
         sys.stdout.flush()
         await anyio.sleep_forever()
 
 
 if __name__ == '__main__':
-    anyio.run(_accept_for_ever)
+    anyio.run(_accept_until_killed)
