--- a/src/sardinetrack/once/__init__.py
+++ b/src/sardinetrack/once/__init__.py
@@ -1,3 +1,3 @@
-"""Claims of idempotency keys: at most one execution per key."""
+"""Claims of idempotency keys: at most one execution for each key."""
 
 from __future__ import annotations
--- a/src/sardinetrack/once/claims.py
+++ b/src/sardinetrack/once/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys, many to one write in the platform."""
+"""Claims of idempotency keys; one write to the store holds many."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     Claims,
     ClaimsDownError,
 )
-from sardinetrack.once.log import HEAD_BYTES, ShardLog
+from sardinetrack.once.log import MAX_HEAD_BYTES, ShardLog
 from sardinetrack.once.operations import (
     ClaimOperation,
     EndOperation,
@@ -34,7 +34,7 @@
     ClaimState,
     Layout,
 )
-from sardinetrack.once.shard import Pace, Shard
+from sardinetrack.once.shard import BatchDelays, Shard
 from sardinetrack.store.api import (
     ConflictError,
     Platform,
@@ -45,31 +45,32 @@
 )
 
 _LOG: Final = logging.getLogger('sardinetrack.once')
-KEEP_SECONDS: Final = 86_400.0
-SHARDS: Final = 4
-_CLAIM_SECONDS: Final = 3.0
-_FLUSH_SECONDS: Final = 2.0
-_HEX: Final = 16
+DEFAULT_RETENTION_SECONDS: Final = 86_400.0
+DEFAULT_SHARDS: Final = 4
+_CLAIM_TIMEOUT_SECONDS: Final = 3.0
+_FLUSH_TIMEOUT_SECONDS: Final = 2.0
+_HEX_BASE: Final = 16
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimSettings:
-    """How claims are kept."""
+    """How claims are stored."""
 
-    shards: int = SHARDS
-    """Used by the first entry ever; later ones take what stands there."""
-    keep_seconds: float = KEEP_SECONDS
-    """How long a record outlives the longest run of its request."""
-    head_bytes: int = HEAD_BYTES
-    pace: Pace = field(default_factory=Pace)
+    shards: int = DEFAULT_SHARDS
+    """Used by the first entry ever; later ones read the stored layout."""
+    keep_seconds: float = DEFAULT_RETENTION_SECONDS
+    """How long a record is kept after the longest run of its request."""
+    max_head_bytes: int = MAX_HEAD_BYTES
+    batch_delays: BatchDelays = field(default_factory=BatchDelays)
 
 
 class ShardedClaims(Claims):
-    """Conditional writes make the claims; nothing is kept in the process.
+    """Makes claims by conditional writes to the store.
 
-    All claims of a shard pass through one object. Of two entries that write
-    it at the same version one fails and looks again, so that a key is
-    claimed once, through any partition or restart.
+    All claims of a shard pass through one stored object. If two entries write
+    it at the same version, one fails and reads it again, so that a key is
+    claimed once, through any partition or restart: no claim depends on the
+    state of a process.
     """
 
     def __init__(
@@ -80,22 +81,23 @@
         wall_clock: Callable[[], float] = time.time,
         chance: random.Random | None = None,
     ) -> None:
-        """Prepare; use it as a context manager.
+        """Build a claim store; use it as a context manager.
 
-        :param wall_clock: seconds since the epoch, about equal everywhere.
+        :param wall_clock: returns seconds since the epoch, about equal in all
+            processes.
         :param chance: source of the jitter after errors.
         """
         self._platform = platform
         self._settings = settings or ClaimSettings()
         self._wall_clock = wall_clock
-        self._chance = chance or random.Random()
+        self._rng = chance or random.Random()
         self._shards: dict[int, Shard] = {}
         self._layout: Layout | None = None
         self._stack = AsyncExitStack()
         self._tasks: TaskGroup
 
     async def __aenter__(self) -> Self:
-        """Open the task group of the shards."""
+        """Start the task group of the shards."""
         self._tasks = await self._stack.enter_async_context(
             anyio.create_task_group(),
         )
@@ -107,11 +109,11 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Write what is left, for a bounded time."""
+        """Write the remaining operations, for a limited time."""
         for shard in self._shards.values():
             shard.close()
         self._tasks.cancel_scope.deadline = (
-            anyio.current_time() + _FLUSH_SECONDS
+            anyio.current_time() + _FLUSH_TIMEOUT_SECONDS
         )
         await self._stack.aclose()
 
@@ -119,41 +121,42 @@
         """Claim a key before its request is dispatched."""
         operation = ClaimOperation(request)
         try:
-            with anyio.move_on_after(_CLAIM_SECONDS):
-                await self._claim(operation)
+            with anyio.move_on_after(_CLAIM_TIMEOUT_SECONDS):
+                await self._post_claim(operation)
         except PlatformError as error:
             raise ClaimsDownError from error
         except BaseException:
-            await self._take_back(operation)
+            await self._withdraw(operation)
             raise
-        if operation.answer is None:
+        if operation.result is None:
             operation.abandoned = True
             raise ClaimsDownError(operation.retry_after_seconds)
-        return operation.answer
+        return operation.result
 
     async def finish(self, claimed: Claimed, end: ClaimEnd) -> None:
-        """Hand in the end of a request that ran or may have run."""
-        await self._end(claimed, ClaimState(end.value))
+        """Post the outcome of a request that ran or may have run."""
+        await self._post_end(claimed, ClaimState(end.value))
 
     async def release(self, claimed: Claimed) -> None:
-        """Forget the claim; returns when that is written."""
-        operation = await self._end(claimed, ClaimState.FREE)
+        """Release the claim; returns when the release is written."""
+        operation = await self._post_end(claimed, ClaimState.FREE)
         if operation is not None:
             await operation.done.wait()
 
-    async def _claim(self, operation: ClaimOperation) -> None:
-        shard = await self._shard(operation)
+    async def _post_claim(self, operation: ClaimOperation) -> None:
+        shard = await self._shard_for(operation)
         if shard.post(operation):
             await operation.done.wait()
 
-    async def _take_back(self, operation: ClaimOperation) -> None:
-        # A claim that stands although its caller has hung up would answer
-        # the caller's resend with "in progress" for a request that never ran.
+    async def _withdraw(self, operation: ClaimOperation) -> None:
+        # If the claim of a caller that has disconnected stayed, the caller's
+        # resend would be rejected as "in progress", for a request that never
+        # ran.
         operation.abandoned = True
-        if isinstance(operation.answer, Claimed):
-            await self._end(operation.answer, ClaimState.FREE)
+        if isinstance(operation.result, Claimed):
+            await self._post_end(operation.result, ClaimState.FREE)
 
-    async def _end(
+    async def _post_end(
         self,
         claimed: Claimed,
         state: ClaimState,
@@ -164,26 +167,26 @@
             claimed.valid_until_seconds,
         )
         with anyio.CancelScope(shield=True):
-            shard = await self._shard(operation)
+            shard = await self._shard_for(operation)
         return operation if shard.post(operation) else None
 
-    async def _shard(self, operation: Operation) -> Shard:
+    async def _shard_for(self, operation: Operation) -> Shard:
         if self._layout is None:
             self._layout = await self._read_layout()
-        number = int(operation.key, _HEX) % self._layout.shards
+        number = int(operation.key, _HEX_BASE) % self._layout.shards
         if number not in self._shards:
-            self._shards[number] = self._open(number)
+            self._shards[number] = self._open_shard(number)
         return self._shards[number]
 
-    def _open(self, number: int) -> Shard:
+    def _open_shard(self, number: int) -> Shard:
         log = ShardLog(
             self._platform,
             number,
-            keep_seconds=self._settings.keep_seconds,
-            head_bytes=self._settings.head_bytes,
+            retention_seconds=self._settings.keep_seconds,
+            max_head_bytes=self._settings.max_head_bytes,
             wall_clock=self._wall_clock,
         )
-        shard = Shard(log, self._settings.pace, self._chance)
+        shard = Shard(log, self._settings.batch_delays, self._rng)
         self._tasks.start_soon(shard.run)
         return shard
 
@@ -208,5 +211,5 @@
             )
         except ConflictError as error:
             if error.current is None:
-                raise UncertainError('the layout changes') from error
+                raise UncertainError('the layout is changing') from error
             return error.current
--- a/src/sardinetrack/once/log.py
+++ b/src/sardinetrack/once/log.py
@@ -1,4 +1,4 @@
-"""The log of one shard in the platform: read it, write a batch into it."""
+"""The stored log of one shard: reads it and writes batches to it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,19 @@
 
 import msgspec
 
-from sardinetrack.once.draft import Draft, KnownHead, encode_head, surely_stands
+from sardinetrack.once.draft import (
+    CachedHead,
+    Draft,
+    encode_head,
+    is_definitely_valid,
+)
 from sardinetrack.once.operations import (
     ClaimOperation,
     EndOperation,
     Operation,
 )
 from sardinetrack.once.record import ClaimState, Head, Segment, head_key
-from sardinetrack.once.segments import Segments, is_over
+from sardinetrack.once.segments import Segments, is_expired
 from sardinetrack.store.api import (
     ConflictError,
     Platform,
@@ -23,17 +28,17 @@
     UncertainError,
 )
 
-HEAD_BYTES: Final = 65_536
-_CONTENDED: Final = 0.25
-_MEMORY: Final = 0.8
-_TRIES: Final = 64
+MAX_HEAD_BYTES: Final = 65_536
+_CONTENTION_THRESHOLD: Final = 0.25
+_CONTENTION_DECAY: Final = 0.8
+_MAX_ATTEMPTS: Final = 64
 
 
 class ShardLog:
-    """One shard of the record of claims, as this process knows it.
+    """One shard of the log of claims, as this process has cached it.
 
-    Whoever writes the head at a version decides what follows that version.
-    What is cached here only saves reads: a stale head fails the write.
+    The head is written conditionally, so only one write can follow a version.
+    The cache only saves reads: a write on a stale head fails.
     """
 
     def __init__(
@@ -41,161 +46,179 @@
         platform: Platform,
         shard: int,
         *,
-        keep_seconds: float,
-        head_bytes: int,
+        retention_seconds: float,
+        max_head_bytes: int,
         wall_clock: Callable[[], float],
     ) -> None:
-        """Know nothing yet."""
+        """Start with an empty cache.
+
+        :param shard: number of the shard.
+        :param retention_seconds: how long a record is kept after the longest
+            run of its request.
+        :param max_head_bytes: a larger head has its records sealed.
+        :param wall_clock: returns seconds since the epoch.
+        """
         self._platform = platform
         self._shard = shard
-        self._keep_seconds = keep_seconds
-        self._head_bytes = head_bytes
+        self._retention_seconds = retention_seconds
+        self._max_head_bytes = max_head_bytes
         self._wall_clock = wall_clock
         self._segments = Segments(platform, shard)
-        self._known: KnownHead | None = None
-        self._fresh = False
-        self._foreign_share: float = 0
+        self._cached: CachedHead | None = None
+        self._is_fresh = False
+        self._foreign_fraction: float = 0
         self._uncertain_version: int | None = None
 
     async def commit(self, operations: Sequence[Operation]) -> Draft:
         """Write a batch.
 
-        :return: the draft whose answers now hold.
-        :raises PlatformError: nothing is known to be written; after
-            ``UncertainError`` something may be.
+        :return: the draft whose results are now valid.
+        :raises PlatformError: the batch is not known to be written; after
+            ``UncertainError`` it may be.
         """
-        self._fresh = False
-        if self._foreign_share > _CONTENDED:
+        self._is_fresh = False
+        if self._foreign_fraction > _CONTENTION_THRESHOLD:
             await self._refresh()
-        for _ in range(_TRIES):
-            known = await self._head()
-            draft = await self._draft(known, operations)
+        for _ in range(_MAX_ATTEMPTS):
+            cached = await self._current_head()
+            draft = await self._draft(cached, operations)
             if not self._needs_write(draft):
-                if self._fresh:
+                if self._is_fresh:
                     return draft
-                # A refusal must not rest on what stood there some time ago.
+                # A claim must not be rejected because of a stale head.
                 await self._refresh()
-            elif await self._write(known, draft):
+            elif await self._write(cached, draft):
                 return draft
-        raise UnavailableError('the head kept changing')
+        raise UnavailableError('the head changed at each attempt to write it')
 
     async def _draft(
         self,
-        known: KnownHead,
+        cached: CachedHead,
         operations: Sequence[Operation],
     ) -> Draft:
         now = self._wall_clock()
-        asked = {
+        sealed_keys = {
             operation.key
             for operation in operations
-            if _asks_sealed(operation, known, now)
+            if _needs_sealed(operation, cached, now)
         }
-        sealed = await self._segments.find(known.head.segments, asked, now)
-        draft = Draft(known, sealed, now, self._keep_seconds)
+        sealed = await self._segments.find(
+            cached.head.segments, sealed_keys, now
+        )
+        draft = Draft(cached, sealed, now, self._retention_seconds)
         draft.apply(operations)
         return draft
 
     def _needs_write(self, draft: Draft) -> bool:
-        # A write whose reply was lost may still be on its way. Another write
-        # at its version, even of nothing new, keeps it from taking effect
-        # after its claims were answered "not claimed".
-        return bool(draft.changes) or self._uncertain_version is not None
+        # A write whose response was lost may still be on its way. Another
+        # write at its version, even without changes, keeps it from taking
+        # effect after its claims were reported as "not claimed".
+        return (
+            bool(draft.changed_records) or self._uncertain_version is not None
+        )
 
-    async def _head(self) -> KnownHead:
-        if self._known is None:
+    async def _current_head(self) -> CachedHead:
+        if self._cached is None:
             await self._refresh()
-        assert self._known is not None
-        return self._known
+        assert self._cached is not None
+        return self._cached
 
     async def _refresh(self) -> None:
-        self._adopt(await self._platform.get(head_key(self._shard)))
+        self._update_cached(await self._platform.get(head_key(self._shard)))
 
-    def _adopt(self, stored: StoredObject | None) -> None:
+    def _update_cached(self, stored: StoredObject | None) -> None:
         version = stored.version if stored else 0
-        self._fresh = True
+        self._is_fresh = True
         if self._uncertain_version not in {None, version}:
             self._uncertain_version = None
-        if self._known is None or self._known.version != version:
-            if self._known is not None:
-                self._note_foreign(1)
-            head = _head_of(stored)
-            self._known = KnownHead.build(version, head)
+        if self._cached is None or self._cached.version != version:
+            if self._cached is not None:
+                self._record_foreign(1)
+            head = _decode_head(stored)
+            self._cached = CachedHead.build(version, head)
         else:
-            self._note_foreign(0)
+            self._record_foreign(0)
 
-    def _note_foreign(self, seen: int) -> None:
-        kept = self._foreign_share * _MEMORY
-        self._foreign_share = kept + seen * (1 - _MEMORY)
+    def _record_foreign(self, seen: int) -> None:
+        decayed = self._foreign_fraction * _CONTENTION_DECAY
+        self._foreign_fraction = decayed + seen * (1 - _CONTENTION_DECAY)
 
-    async def _write(self, known: KnownHead, draft: Draft) -> bool:
-        """Try to write the head that follows a known one.
+    async def _write(self, cached: CachedHead, draft: Draft) -> bool:
+        """Try to write the head that follows a cached one.
 
-        :return: whether it was written; if not, a newer head is known.
+        :return: whether it was written; if not, a newer head is cached.
         """
-        over = await self._remove_over(known)
-        kept = tuple(row for row in known.head.segments if row not in over)
+        expired = await self._remove_expired(cached)
+        remaining = tuple(
+            listed for listed in cached.head.segments if listed not in expired
+        )
         head = msgspec.structs.replace(
-            known.head,
-            segments=kept,
-            records=draft.merged(),
+            cached.head,
+            segments=remaining,
+            records=draft.merged_records(),
         )
-        if len(encode_head(head)) > self._head_bytes and known.records:
-            head = await self._sealing(known, draft, kept)
-        return await self._put(known, head)
+        if len(encode_head(head)) > self._max_head_bytes and cached.records:
+            head = await self._seal_head(cached, draft, remaining)
+        return await self._put(cached, head)
 
-    async def _put(self, known: KnownHead, head: Head) -> bool:
+    async def _put(self, cached: CachedHead, head: Head) -> bool:
         try:
             stored = await self._platform.put(
                 head_key(self._shard),
                 encode_head(head),
-                expected_version=known.version,
+                expected_version=cached.version,
             )
         except ConflictError as error:
-            self._adopt(error.current)
+            self._update_cached(error.current)
             return False
         except UncertainError:
-            self._uncertain_version = known.version
-            self._known = None
+            self._uncertain_version = cached.version
+            self._cached = None
             raise
-        if not self._fresh:
-            self._note_foreign(0)
+        if not self._is_fresh:
+            self._record_foreign(0)
         self._uncertain_version = None
-        self._known = KnownHead.build(stored.version, head)
+        self._cached = CachedHead.build(stored.version, head)
         return True
 
-    async def _sealing(
+    async def _seal_head(
         self,
-        known: KnownHead,
+        cached: CachedHead,
         draft: Draft,
-        kept: tuple[Segment, ...],
+        remaining: tuple[Segment, ...],
     ) -> Head:
-        number = known.head.next_segment
-        records = known.head.records
+        number = cached.head.next_segment
+        records = cached.head.records
         segment = await self._segments.seal(number, records)
         if segment is None:
-            # Somebody stopped between the segment and the head that lists
-            # it. Listed as long over, it is deleted like any other.
+            # Another writer stopped after it wrote the segment and before it
+            # wrote the head that lists it. The orphan is listed as expired, so
+            # that it is deleted like any other.
             version = await self._segments.version_of(number)
-            left = Segment(number, version, 0)
-            return Head(number + 1, (*kept, left), draft.merged())
-        self._segments.sealed(segment, records)
-        changed = tuple(draft.changes.values())
-        return Head(number + 1, (*kept, segment), changed)
+            orphan = Segment(number, version, 0)
+            return Head(
+                number + 1, (*remaining, orphan), draft.merged_records()
+            )
+        self._segments.add_index(segment, records)
+        changed = tuple(draft.changed_records.values())
+        return Head(number + 1, (*remaining, segment), changed)
 
-    async def _remove_over(self, known: KnownHead) -> tuple[Segment, ...]:
+    async def _remove_expired(self, cached: CachedHead) -> tuple[Segment, ...]:
         now = self._wall_clock()
-        over = tuple(row for row in known.head.segments if is_over(row, now))
-        for segment in over:
+        expired = tuple(
+            listed for listed in cached.head.segments if is_expired(listed, now)
+        )
+        for segment in expired:
             await self._segments.remove(segment)
-        return over
+        return expired
 
 
-def _asks_sealed(operation: Operation, known: KnownHead, now: float) -> bool:
-    if operation.key in known.records:
-        # A release must know whether it uncovers an older record of the key.
+def _needs_sealed(operation: Operation, cached: CachedHead, now: float) -> bool:
+    if operation.key in cached.records:
+        # A release must know whether it exposes an older sealed record.
         return _is_release(operation)
     if isinstance(operation, EndOperation):
-        return not surely_stands(operation, now)
+        return not is_definitely_valid(operation, now)
     return True
 
 
@@ -205,7 +228,7 @@
     return operation.state is ClaimState.FREE
 
 
-def _head_of(stored: StoredObject | None) -> Head:
+def _decode_head(stored: StoredObject | None) -> Head:
     if stored is None or stored.deleted:
         return Head()
     try:
--- a/src/sardinetrack/once/operations.py
+++ b/src/sardinetrack/once/operations.py
@@ -1,4 +1,4 @@
-"""What entries ask of a shard: claims, and the ends of claims."""
+"""Operations on a shard: claims, and the ends of claims."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 @dataclass(eq=False, slots=True)
 class ClaimOperation:
-    """Wants to be the only one with its key."""
+    """Claims a key for one request."""
 
     request: ClaimRequest
     done: anyio.Event = field(default_factory=anyio.Event)
-    answer: ClaimAnswer | None = None
-    """Set before ``done``; ``None`` then means that no answer can be had."""
+    result: ClaimAnswer | None = None
+    """Set before ``done``; ``None`` then means that the claim has failed."""
     retry_after_seconds: float | None = None
     abandoned: bool = False
-    """Nobody waits any more: what was claimed must be released."""
+    """No request waits for it any more: a claim must be released."""
     maybe_written: bool = False
-    """A write that holds it was tried and its reply was lost."""
+    """A write that holds it was sent and its response was lost."""
 
     @property
     def key(self) -> str:
-        """The key's digest."""
+        """Digest of the key."""
         return digest_key(self.request.workspace, self.request.key)
 
-    def settle(self, answer: ClaimAnswer) -> None:
-        """Answer the one who waits."""
-        self.answer = answer
+    def resolve(self, result: ClaimAnswer) -> None:
+        """Return a result to the waiting request."""
+        self.result = result
         self.done.set()
 
     def fail(self, retry_after_seconds: float | None) -> None:
-        """Tell the one who waits that nothing is claimed."""
+        """Report to the waiting request that nothing is claimed."""
         self.abandoned = True
         self.retry_after_seconds = retry_after_seconds
         self.done.set()
@@ -43,24 +43,25 @@
 
 @dataclass(eq=False, slots=True)
 class EndOperation:
-    """Ends a claim; kept until it is written."""
+    """Ends a claim; retried until it is written."""
 
     request: ClaimRequest
     state: ClaimState
-    """``FREE`` for a request that surely did not run."""
+    """``FREE`` for a request that definitely did not run."""
     valid_until_seconds: float = 0
-    """Until then the claim surely stands; 0 when it may not have come about."""
+    """Until then (seconds since the epoch) the claim is definitely valid; 0 if
+    it may not have been written."""
     done: anyio.Event = field(default_factory=anyio.Event)
 
     @property
     def key(self) -> str:
-        """The key's digest."""
+        """Digest of the key."""
         return digest_key(self.request.workspace, self.request.key)
 
 
 Operation = ClaimOperation | EndOperation
 
 
-def release_of(operation: ClaimOperation) -> EndOperation:
-    """Take back a claim that nobody waits for."""
+def build_release(operation: ClaimOperation) -> EndOperation:
+    """Build the release of a claim that no request waits for."""
     return EndOperation(operation.request, ClaimState.FREE)
--- a/src/sardinetrack/once/record.py
+++ b/src/sardinetrack/once/record.py
@@ -1,4 +1,4 @@
-"""The stored form of claims: records, and the head of a shard's log."""
+"""The stored form of claims: records, segments and head of a shard's log."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class ClaimState(StrEnum):
-    """What the record says about the request."""
+    """State of the request that a record is about."""
 
     RUNNING = 'running'
     FINISHED = 'finished'
     UNKNOWN = 'unknown'
     FREE = 'free'
-    """Released; hides an older record of the key in a sealed segment."""
+    """Released; supersedes an older record of the key in a sealed segment."""
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -31,42 +31,42 @@
     attempt_id: str
     request_hash: str
     settled_at_seconds: int
-    """Nothing runs under this claim any longer after this time."""
+    """After this time the claimed request no longer runs."""
     expires_at_seconds: int
-    """The key is free again after this time."""
+    """After this time the key is free again."""
 
 
 class Segment(msgspec.Struct, frozen=True, array_like=True):
-    """A sealed part of a shard's log; it never changes."""
+    """An immutable part of a shard's log, as the head lists it."""
 
     number: int
     object_version: int
     expires_at_seconds: int
-    """No record in it is of use after this time."""
+    """After this time all its records have expired."""
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The open part of a shard's log; every claim passes through it."""
+    """The mutable part of a shard's log; every claim passes through it."""
 
     next_segment: int = 1
     segments: tuple[Segment, ...] = ()
     """Oldest first."""
     records: tuple[ClaimRecord, ...] = ()
-    """Newer than all that is sealed; one for each key."""
+    """Newer than all sealed records; one for each key."""
 
 
 class Layout(msgspec.Struct, frozen=True):
-    """How the keys are spread over shards, fixed by the first entry.
+    """How the keys are distributed over shards, fixed by the first entry.
 
-    Were it a setting of each process, two entries that disagree would claim
-    the same key in two places, and both would run the request.
+    If it were a setting of each process, two entries that disagree would claim
+    the same key in two shards, and both would run the request.
     """
 
     shards: int
 
 
 def digest_key(workspace: str, key: str) -> str:
-    """Name a key; keys of different workspaces never meet.
+    """Return the digest of a key; it differs between workspaces.
 
     :param key: the caller's idempotency key.
     """
@@ -74,16 +74,16 @@
     return hashlib.sha256(named.encode()).hexdigest()[:_DIGEST_CHARACTERS]
 
 
-def short_hash(request_hash: str) -> str:
-    """Cut the hash of a request to what tells two requests apart."""
+def shorten_hash(request_hash: str) -> str:
+    """Shorten the hash of a request; two requests still differ in it."""
     return request_hash[:_DIGEST_CHARACTERS]
 
 
 def head_key(shard: int) -> str:
-    """Name the object that holds a shard's head."""
+    """Return the key of the object that holds a shard's head."""
     return f'{CLAIM_PREFIX}{shard}/head'
 
 
 def segment_key(shard: int, number: int) -> str:
-    """Name the object that holds a sealed segment."""
+    """Return the key of the object that holds a sealed segment."""
     return f'{CLAIM_PREFIX}{shard}/segment/{number}'
--- a/src/sardinetrack/once/segments.py
+++ b/src/sardinetrack/once/segments.py
@@ -1,4 +1,4 @@
-"""The sealed segments of a shard: read once, then known by short hashes."""
+"""The sealed segments of a shard, indexed in memory by short hashes."""
 
 from __future__ import annotations
 
@@ -18,35 +18,37 @@
     UnavailableError,
 )
 
-_SHORT_CHARACTERS: Final = 16
-_HEX: Final = 16
+_HASH_CHARACTERS: Final = 16
+_HEX_BASE: Final = 16
 
 
-class _Index:
-    """Eight bytes for each key; a hit is checked in the segment itself."""
+class _KeyIndex:
+    """Holds eight bytes for each key; the segment itself confirms a hit."""
 
     def __init__(self, records: Iterable[ClaimRecord]) -> None:
-        """Sort the short hashes of the keys."""
+        """Index the keys of some records."""
         self._hashes = array(
             'Q',
-            sorted(_short(record.key) for record in records),
+            sorted(_key_hash(record.key) for record in records),
         )
 
-    def may_hold(self, key: str) -> bool:
-        """Tell whether the key may be in the segment."""
-        short = _short(key)
-        place = bisect_left(self._hashes, short)
-        return place < len(self._hashes) and self._hashes[place] == short
+    def may_contain(self, key: str) -> bool:
+        """Return whether the key may be in the segment."""
+        key_hash = _key_hash(key)
+        position = bisect_left(self._hashes, key_hash)
+        return (
+            position < len(self._hashes) and self._hashes[position] == key_hash
+        )
 
 
 class Segments:
     """Finds records in the sealed segments of one shard."""
 
     def __init__(self, platform: Platform, shard: int) -> None:
-        """Know no segment yet."""
+        """Start without indexes."""
         self._platform = platform
         self._shard = shard
-        self._indexes: dict[int, _Index] = {}
+        self._indexes: dict[int, _KeyIndex] = {}
 
     async def find(
         self,
@@ -59,11 +61,13 @@
         :param segments: as the head lists them, oldest first.
         :raises PlatformError: a segment can't be read.
         """
-        live = [segment for segment in segments if not is_over(segment, now)]
-        await self._learn(live)
+        unexpired = [
+            segment for segment in segments if not is_expired(segment, now)
+        ]
+        await self._load_indexes(unexpired)
         found: dict[str, ClaimRecord] = {}
         for key in keys:
-            record = await self._find(live, key)
+            record = await self._find(unexpired, key)
             if record is not None:
                 found[key] = record
         return found
@@ -75,8 +79,8 @@
     ) -> Segment | None:
         """Write a segment that no head lists yet.
 
-        :return: ``None`` when another writer has left an object there.
-        :raises PlatformError: it may or may not have been written.
+        :return: ``None`` if another writer has left an object there.
+        :raises PlatformError: the segment may or may not be written.
         """
         try:
             stored = await self._platform.put(
@@ -88,20 +92,23 @@
             return None
         return Segment(number, stored.version, _latest_expiry(records))
 
-    def sealed(self, segment: Segment, records: Sequence[ClaimRecord]) -> None:
-        """Remember a segment of one's own, now that a head lists it."""
-        self._indexes[segment.number] = _Index(records)
+    def add_index(
+        self, segment: Segment, records: Sequence[ClaimRecord]
+    ) -> None:
+        """Index a segment that this process has sealed."""
+        self._indexes[segment.number] = _KeyIndex(records)
 
     async def version_of(self, number: int) -> int:
-        """Tell the version of an object that another writer left."""
+        """Return the version of an object that another writer has left."""
         stored = await self._platform.get(segment_key(self._shard, number))
         return stored.version if stored else 0
 
     async def remove(self, segment: Segment) -> None:
-        """Delete a segment whose time is over, before it is unlisted.
+        """Delete an expired segment, before the head stops listing it.
 
         In this order a crash in between leaves it listed, and the next
-        writer deletes it again; the other order would leave it for ever.
+        writer deletes it again; in the other order it would stay stored
+        indefinitely.
         """
         try:
             await self._platform.delete(
@@ -113,11 +120,11 @@
         finally:
             self._indexes.pop(segment.number, None)
 
-    async def _learn(self, segments: Iterable[Segment]) -> None:
+    async def _load_indexes(self, segments: Iterable[Segment]) -> None:
         for segment in segments:
             if segment.number not in self._indexes:
                 records = await self._read(segment)
-                self._indexes[segment.number] = _Index(records)
+                self._indexes[segment.number] = _KeyIndex(records)
 
     async def _find(
         self,
@@ -125,7 +132,7 @@
         key: str,
     ) -> ClaimRecord | None:
         for segment in reversed(segments):
-            if not self._indexes[segment.number].may_hold(key):
+            if not self._indexes[segment.number].may_contain(key):
                 continue
             for record in await self._read(segment):
                 if record.key == key:
@@ -136,22 +143,24 @@
         stored = await self._platform.get(
             segment_key(self._shard, segment.number),
         )
-        return _records_of(stored, segment)
+        return _decode_records(stored, segment)
 
 
-def is_over(segment: Segment, now: float) -> bool:
-    """Tell whether a segment's time is over by everybody's clock."""
+def is_expired(segment: Segment, now: float) -> bool:
+    """Return whether a segment has expired by every entry's clock."""
     return segment.expires_at_seconds + CLOCK_SKEW_SECONDS < now
 
 
-def _records_of(
+def _decode_records(
     stored: StoredObject | None,
     segment: Segment,
 ) -> Sequence[ClaimRecord]:
-    # Without its records a key would look free that has been used: refusing
-    # claims is the lesser harm.
+    # Without the segment's records a used key would look free: to reject
+    # claims does less harm.
     if stored is None or stored.version != segment.object_version:
-        raise UnavailableError(f'segment {segment.number} is not there')
+        raise UnavailableError(
+            f'segment {segment.number} is missing or replaced'
+        )
     try:
         return msgspec.json.decode(stored.value, type=tuple[ClaimRecord, ...])
     except msgspec.DecodeError as error:
@@ -162,5 +171,5 @@
     return max(record.expires_at_seconds for record in records)
 
 
-def _short(key: str) -> int:
-    return int(key[:_SHORT_CHARACTERS], _HEX)
+def _key_hash(key: str) -> int:
+    return int(key[:_HASH_CHARACTERS], _HEX_BASE)
--- a/src/sardinetrack/once/shard.py
+++ b/src/sardinetrack/once/shard.py
@@ -1,4 +1,4 @@
-"""The task of one shard: gathers operations and writes them together."""
+"""The task of one shard: writes operations in batches."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     ClaimOperation,
     EndOperation,
     Operation,
-    release_of,
+    build_release,
 )
 from sardinetrack.once.record import ClaimState
 from sardinetrack.store.api import (
@@ -28,9 +28,9 @@
 from sardinetrack.store.backoff import Backoff
 
 _LOG: Final = logging.getLogger('sardinetrack.once')
-_MOST_WAITING: Final = 10_000
-_MOST_TOGETHER: Final = 200
-_NOT_TAKEN: Final = (
+_MAX_QUEUED: Final = 10_000
+_MAX_BATCH: Final = 200
+_QUEUE_ERRORS: Final = (
     anyio.WouldBlock,
     anyio.ClosedResourceError,
     anyio.BrokenResourceError,
@@ -38,85 +38,88 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
-    """How long operations wait for others to share their write."""
+class BatchDelays:
+    """How long operations wait for others that join their batch."""
 
-    gather_seconds: float = 0.02
-    """For a claim or a release: somebody waits for it."""
-    linger_seconds: float = 0.5
-    """For an end that nobody waits for; a claim takes it along earlier."""
+    claim_delay_seconds: float = 0.02
+    """For a claim or a release, which a request waits for."""
+    end_delay_seconds: float = 0.5
+    """For another end, which no request waits for; a claim's batch includes it
+    earlier."""
 
-    def patience_seconds(self, operation: Operation) -> float:
-        """Tell how long an operation may wait."""
+    def max_wait_seconds(self, operation: Operation) -> float:
+        """Return how long an operation may wait for others."""
         if isinstance(operation, ClaimOperation):
-            return self.gather_seconds
+            return self.claim_delay_seconds
         if operation.state is ClaimState.FREE:
-            return self.gather_seconds
-        return self.linger_seconds
+            return self.claim_delay_seconds
+        return self.end_delay_seconds
 
 
 class Shard:
-    """Takes operations over a stream; one write is under way at a time.
+    """Receives operations over a stream; one write is in progress at a time.
 
-    An end is kept until it is written. One that is lost with its process
+    An end is retried until it is written. The loss of one with its process
     does no harm: the claim counts as running, later as "outcome unknown",
     and nothing runs twice.
     """
 
-    def __init__(self, log: ShardLog, pace: Pace, chance: random.Random):
-        """Prepare the task.
+    def __init__(
+        self, log: ShardLog, batch_delays: BatchDelays, rng: random.Random
+    ):
+        """Build a shard; ``run`` is its task.
 
-        :param chance: source of the jitter after errors.
+        :param rng: source of the jitter after errors.
         """
         self._log = log
-        self._pace = pace
-        self._backoff = Backoff(chance)
-        streams = anyio.create_memory_object_stream[Operation](_MOST_WAITING)
+        self._batch_delays = batch_delays
+        self._backoff = Backoff(rng)
+        streams = anyio.create_memory_object_stream[Operation](_MAX_QUEUED)
         self._sender = streams[0]
         self._receiver = streams[1]
         self._backlog: list[Operation] = []
         self._closing = False
-        self._down_until = -math.inf
+        self._retry_at = -math.inf
 
     def post(self, operation: Operation) -> bool:
-        """Hand in an operation; never blocks.
+        """Queue an operation; never blocks.
 
-        :return: whether it was taken.
+        :return: whether it was queued.
         """
         try:
             self._sender.send_nowait(operation)
-        except _NOT_TAKEN as error:
-            _LOG.warning('once: an operation is dropped: %r', error)
+        except _QUEUE_ERRORS as error:
+            _LOG.warning('once: cannot queue an operation, dropped: %r', error)
             return False
         return True
 
     def close(self) -> None:
-        """Take no more; ``run`` returns when all is written."""
+        """Accept no more operations; ``run`` returns when all are written."""
         self._sender.close()
 
     async def run(self) -> None:
-        """Work until closed or cancelled."""
+        """Write batches until closed or cancelled."""
         with self._receiver:
             while not self._closing or self._backlog:
-                batch = await self._gather()
-                await self._work(batch)
+                batch = await self._receive_batch()
+                await self._write(batch)
 
-    async def _gather(self) -> list[Operation]:
+    async def _receive_batch(self) -> list[Operation]:
         batch = self._backlog
         self._backlog = []
-        deadline = self._down_until if batch else math.inf
-        while len(batch) < _MOST_TOGETHER:
-            operation = await self._next_by(deadline)
+        deadline = self._retry_at if batch else math.inf
+        while len(batch) < _MAX_BATCH:
+            operation = await self._receive_by(deadline)
             if operation is None:
                 break
             batch.append(operation)
-            patience_seconds = self._pace.patience_seconds(operation)
-            deadline = min(deadline, anyio.current_time() + patience_seconds)
+            wait_seconds = self._batch_delays.max_wait_seconds(operation)
+            deadline = min(deadline, anyio.current_time() + wait_seconds)
         return batch
 
-    async def _next_by(self, deadline: float) -> Operation | None:
+    async def _receive_by(self, deadline: float) -> Operation | None:
         if self._closing:
-            await anyio.sleep_until(min(deadline, self._down_until))
+            await anyio.sleep_until(min(deadline, self._retry_at))
             return None
         try:
             with anyio.CancelScope(deadline=deadline):
@@ -125,79 +128,79 @@
             self._closing = True
         return None
 
-    async def _work(self, batch: Sequence[Operation]) -> None:
-        operations = _still_wanted(batch)
+    async def _write(self, batch: Sequence[Operation]) -> None:
+        operations = _drop_abandoned(batch)
         if not operations:
             return
-        pause_seconds = self._down_until - anyio.current_time()
-        if pause_seconds > 0:
-            self._keep(operations, pause_seconds)
+        backoff_seconds = self._retry_at - anyio.current_time()
+        if backoff_seconds > 0:
+            self._fail_claims(operations, backoff_seconds)
             return
         try:
             draft = await self._log.commit(operations)
         except UncertainError as error:
-            self._maybe_written(operations, error)
-            await anyio.sleep(self._pace.gather_seconds)
+            self._handle_uncertain(operations, error)
+            await anyio.sleep(self._batch_delays.claim_delay_seconds)
         except PlatformError as error:
-            self._failed(operations, error)
+            self._handle_failure(operations, error)
         else:
             self._backoff.reset()
-            self._done(operations, draft)
+            self._complete(operations, draft)
 
-    def _done(self, operations: Sequence[Operation], draft: Draft) -> None:
+    def _complete(self, operations: Sequence[Operation], draft: Draft) -> None:
         for operation in operations:
             if isinstance(operation, EndOperation):
                 operation.done.set()
             elif operation.abandoned:
-                self._backlog.append(release_of(operation))
+                self._backlog.append(build_release(operation))
             else:
-                operation.settle(draft.answers[operation])
+                operation.resolve(draft.results[operation])
 
-    def _maybe_written(
+    def _handle_uncertain(
         self,
         operations: Sequence[Operation],
         error: UncertainError,
     ) -> None:
-        # The reply is lost; the next round reads what stands there. Only
-        # when that fails too are the claims told that they can't be had.
-        _LOG.info('once: a write may have taken effect: %s', error)
+        # The response is lost; the next commit reads the stored head. Only if
+        # that fails too, the claims fail.
+        _LOG.info('once: the outcome of a write is unknown: %s', error)
         for operation in operations:
             if isinstance(operation, ClaimOperation):
                 operation.maybe_written = True
         self._backlog.extend(operations)
-        self._down_until = -math.inf
+        self._retry_at = -math.inf
 
-    def _failed(
+    def _handle_failure(
         self,
         operations: Sequence[Operation],
         error: PlatformError,
     ) -> None:
-        pause_seconds = self._backoff.wait_seconds(error)
-        _LOG.info('once: not written yet: %s', error)
-        self._down_until = anyio.current_time() + pause_seconds
+        backoff_seconds = self._backoff.wait_seconds(error)
+        _LOG.info('once: a write failed: %s', error)
+        self._retry_at = anyio.current_time() + backoff_seconds
         retry_after_seconds: float | None = None
         if isinstance(error, ThrottledError):
             retry_after_seconds = error.retry_after_seconds
-        self._keep(operations, retry_after_seconds)
+        self._fail_claims(operations, retry_after_seconds)
 
-    def _keep(
+    def _fail_claims(
         self,
         operations: Sequence[Operation],
         retry_after_seconds: float | None,
     ) -> None:
-        """Keep the ends; tell the claims that nothing is claimed."""
+        """Fail the claims, as nothing is claimed; keep the ends queued."""
         for operation in operations:
             if isinstance(operation, ClaimOperation):
                 operation.fail(retry_after_seconds)
-        self._backlog.extend(_still_wanted(operations))
+        self._backlog.extend(_drop_abandoned(operations))
 
 
-def _still_wanted(operations: Sequence[Operation]) -> list[Operation]:
-    """Drop abandoned claims, or take back those that may be written."""
-    wanted: list[Operation] = []
+def _drop_abandoned(operations: Sequence[Operation]) -> list[Operation]:
+    """Drop abandoned claims, or release those that may be written."""
+    remaining: list[Operation] = []
     for operation in operations:
         if isinstance(operation, EndOperation) or not operation.abandoned:
-            wanted.append(operation)
+            remaining.append(operation)
         elif operation.maybe_written:
-            wanted.append(release_of(operation))
-    return wanted
+            remaining.append(build_release(operation))
+    return remaining
--- a/tests/once/claims.feature
+++ b/tests/once/claims.feature
@@ -6,28 +6,28 @@
     And the claim of "k" through "a" is <end>
     And 1 s passes
     And "b" claims "k"
-    Then the answers are "Claimed, <answer>"
+    Then the results are "Claimed, <result>"
     Examples:
-      | end      | answer          |
+      | end      | result          |
       | finished | AlreadyFinished |
       | unknown  | OutcomeLost     |
       | released | Claimed         |
 
-  Scenario: the same key at the same instant through two entries
+  Scenario: the same key at the same moment through two entries
     Given entries "a" and "b"
-    When "k" is claimed through "a" and "b" at the same instant
-    Then the answers are "AlreadyRunning, Claimed" in any order
+    When "k" is claimed through "a" and "b" at the same moment
+    Then the results are "AlreadyRunning, Claimed" in any order
 
   Scenario: the same key with another request
     Given entries "a" and "b"
     When "a" claims "k"
     And "b" claims "k" for another request
-    Then the answers are "Claimed, Mismatch"
+    Then the results are "Claimed, Mismatch"
 
-  Scenario: the claimant dies and nobody ends its claim
-    The entry is killed with its claim. As long as the request may run a
-    resend is told that it runs, later that nobody knows, and when the record's
-    time is over the key is free.
+  Scenario: the claiming entry crashes and its claim is never ended
+    The entry is killed with its claim. As long as the request may run, a
+    resend is rejected as running, later with an unknown outcome. When the
+    record has expired the key is free.
     Given entries "a" and "b"
     When "a" claims "k"
     And "a" is killed
@@ -36,140 +36,143 @@
     And "b" claims "k"
     And 600 s pass
     And "b" claims "k"
-    Then the answers are "Claimed, AlreadyRunning, OutcomeLost, Claimed"
+    Then the results are "Claimed, AlreadyRunning, OutcomeLost, Claimed"
 
-  Scenario: the reply of the claiming write is lost
-    The write takes effect, its reply is lost. The entry reads back, finds its
-    own attempt and runs the request; a resend elsewhere is refused.
+  Scenario: the response to the claiming write is lost
+    The write takes effect, but its response is lost. The entry reads the head
+    again, finds its own attempt and runs the request; a resend through another
+    entry is rejected.
     Given entries "a" and "b"
-    And the next write of "a" loses its reply
+    And the response to the next write of "a" is lost
     When "a" claims "k"
     And "b" claims "k"
-    Then the answers are "Claimed, AlreadyRunning"
+    Then the results are "Claimed, AlreadyRunning"
 
-  Scenario: a claim that was answered "not run" arrives late
-    The entry gives up on a write that is still on its way and tells its caller
-    "not run". The late write must not take effect after that: the caller's
-    resend would be told for a day that its request runs. Another write at the
-    same version keeps it out.
+  Scenario: a claim that was reported as "not run" arrives late
+    The entry gives up on a write that is still on its way and responds "not
+    run" to its caller. If the late write took effect after that, the caller's
+    resend would be rejected as running for a day. Another write at the same
+    version keeps it from taking effect.
     Given entries "a" and "b"
     And "b" has claimed "other"
-    And the next write of "a" is late by 3 s and its way is cut for 2.5 s
+    And the next write of "a" arrives 3 s late and its store is unreachable for 2.5 s
     When "a" claims "k"
     And 10 s pass
     And "b" claims "k"
-    Then the answers are "Claimed, not claimed, Claimed"
+    Then the results are "Claimed, not claimed, Claimed"
     And late writes took no effect
 
-  Scenario: a caller hangs up while its claim is written
-    Nothing has run for it, but its claim stands. It is taken back, or the
-    caller's resend would find it "in progress".
+  Scenario: a caller disconnects while its claim is written
+    Its request has not run, but its claim is stored. The claim is released;
+    otherwise the caller's resend would be rejected as "in progress".
     Given entries "a" and "b"
-    When a caller of "a" hangs up while "k" is claimed
+    When a caller of "a" disconnects while "k" is claimed
     And 1 s passes
     And "b" claims "k"
-    Then the answers are "Claimed"
+    Then the results are "Claimed"
 
-  Scenario Outline: an order leaves <late> s after the claim, at most 75 s
-    The entry is frozen with a claimed request and thaws. An order that left
-    too late would run after its claim was taken for lost; the caller is told
-    "not run" and the key is free.
+  Scenario Outline: a run request <late> s after the claim, allowed for 75 s
+    The entry is frozen with a claimed request and resumes. A run request sent
+    too late would run after its claim is treated as lost. The entry responds
+    "not run" to its caller instead, and the key is free.
     Given entries "a" and "b"
-    When "a" claims "k" and is about to order after <late> s
+    When "a" claims "k" and is ready to run it after <late> s
     And "b" claims "k"
-    Then the order <leaves> and "b" is told "<answer>"
+    Then the run request is <sending> and "b" gets "<result>"
     Examples:
-      | late | leaves        | answer          |
-      | 74   | leaves        | AlreadyFinished |
-      | 76   | is held back  | Claimed         |
+      | late | sending  | result          |
+      | 74   | sent     | AlreadyFinished |
+      | 76   | withheld | Claimed         |
 
-  Scenario: during an outage nothing is claimed and ends are kept
+  Scenario: during an outage nothing is claimed and ends are retried
     Given entries "a" and "b"
     When "a" claims "k"
-    And the platform goes down
+    And the store becomes unreachable
     And the claim of "k" through "a" is finished
     And "a" claims "other"
-    And the platform comes back
+    And the store is reachable again
     And 3 s pass
     And "b" claims "k"
     And "b" claims "other"
-    Then the answers are "Claimed, not claimed, AlreadyFinished, Claimed"
-    And the caller is told when to come back
+    Then the results are "Claimed, not claimed, AlreadyFinished, Claimed"
+    And the caller gets a retry-after time
 
-  Scenario: claims that come together share a write
+  Scenario: concurrent claims share a write
     Given entry "a"
     And "a" has claimed "first"
-    When "a" claims 100 keys at the same instant
+    When "a" claims 100 keys at the same moment
     Then 1 write was made
 
-  Scenario: an end rides in the next write
+  Scenario: an end is written with the next claim
     Given entry "a"
     When "a" claims "k"
     And the claim of "k" through "a" is finished
     And "a" claims "other"
     Then no write but the claims' was made
 
-  Scenario: an entry that starts empty finds what was sealed long ago
+  Scenario: an entry without a cache finds records in sealed segments
     Given entries "a" and "b"
-    And heads are sealed at 2000 bytes
-    When "a" claims 100 keys one after the other
+    And heads are sealed above 2000 bytes
+    When "a" claims 100 keys in sequence
     And "a" is killed
-    And "b" claims the first of them
-    Then it is "AlreadyRunning"
-    And the sealed segments hold most of them
-
-  Scenario: a release uncovers no older record of its key
-    The key was claimed and released, and both records are sealed apart. After
-    a second claim and release the key must be free, not "in progress".
+    And "b" claims the first of these keys
+    Then the result is "AlreadyRunning"
+    And the sealed segments hold most of the keys
+
+  Scenario: a release does not expose an older record of its key
+    The key was claimed and released, and the two records are in different
+    sealed segments. After a second claim and release the key must be free, not
+    "in progress".
     Given entries "a" and "b"
-    And heads are sealed at 600 bytes
+    And heads are sealed above 600 bytes
     When "a" claims "k"
-    And "a" claims 10 keys one after the other
+    And "a" claims 10 keys in sequence
     And the claim of "k" through "a" is released
     And "a" claims "k"
     And the claim of "k" through "a" is released
     And "b" claims "k"
-    Then the last answer is "Claimed"
+    Then the last result is "Claimed"
 
-  Scenario: a writer dies between a segment and the head that lists it
-    The segment stands, no head names it. The next writer seals under another
-    number and lists the lost one as over, so that it is deleted.
+  Scenario: a writer crashes between a segment and the head that lists it
+    The segment is stored, but no head lists it. The next writer seals under
+    another number and lists the orphan as expired, so that it is deleted.
     Given entries "a" and "b"
-    And heads are sealed at 2000 bytes
+    And heads are sealed above 2000 bytes
     And a segment that no head lists
-    When "b" claims 40 keys one after the other
+    When "b" claims 40 keys in sequence
     And 800 s pass
     And "b" claims "k"
     And "b" claims "k2"
-    Then the platform holds the layout, one head and 0 segments
+    Then the store holds the layout, one head and 0 segments
 
-  Scenario: records are removed after their time
+  Scenario: expired records are removed
     Given entry "a"
-    And heads are sealed at 2000 bytes
-    When "a" claims 200 keys one after the other
+    And heads are sealed above 2000 bytes
+    When "a" claims 200 keys in sequence
     And 800 s pass
     And "a" claims "k"
     And "a" claims "k2"
-    Then the platform holds the layout, one head and 0 segments
+    Then the store holds the layout, one head and 0 segments
     And the head holds 2 records
 
-  Scenario: entries with different settings keep one layout
+  Scenario: entries with different settings use one layout
     Two entries that disagree about the number of shards would look for a key
-    in two places and both run its request.
+    in two shards, and both would run its request.
     Given entry "a" with 1 shard
     And entry "b" with 64 shards
     When "a" claims "k"
     And "b" claims "k"
-    Then the answers are "Claimed, AlreadyRunning"
+    Then the results are "Claimed, AlreadyRunning"
 
   Scenario Outline: random faults, crashes and interleavings, seed <seed>
     Entries claim and end 30 keys while calls are refused, throttled, lose
-    their replies or take effect late, entries crash and come back empty, and
-    clocks are off by 5 s. A naive dictionary sees every claim at its instant:
-    none may be claimed before the one before was released or has expired.
-    When 400 callers come to 4 entries with seed <seed>
-    Then the naive dictionary never saw a key claimed twice
-    And every kind of answer was given
+    their responses or take effect late, entries crash and restart without
+    state, and clocks differ by 5 s. A reference model sees every claim at the
+    moment of its result: a key may be claimed only after the claim before was
+    released or has expired.
+    When 400 callers use 4 entries with seed <seed>
+    Then the reference model has never seen a key claimed twice
+    And every kind of result occurred
     Examples:
       | seed |
       | 1    |
--- a/tests/once/claims_world.py
+++ b/tests/once/claims_world.py
@@ -1,4 +1,4 @@
-"""Entries with claims on one platform in memory, on virtual time."""
+"""Entries that claim keys in one store in memory, on virtual time."""
 
 from __future__ import annotations
 
@@ -18,78 +18,78 @@
     ClaimsDownError,
 )
 from sardinetrack.once.claims import ClaimSettings, ShardedClaims
-from sardinetrack.once.shard import Pace
+from sardinetrack.once.shard import BatchDelays
 from support.shaky_platform import Odds, Road, ShakyPlatform
 from support.virtual_time import VirtualTimeLoop
 
 SETTLED_SECONDS = 60.0
-KEEP_SECONDS = 600.0
+RETENTION_SECONDS = 600.0
 
 
 class ClaimsWorld:
-    """Owns everything of a scenario."""
+    """The entries, the store and the event loop of a scenario."""
 
     def __init__(self) -> None:
         self.runner = asyncio.Runner(loop_factory=VirtualTimeLoop)
-        self.road = Road()
-        self.chance = random.Random(1)
+        self.shared_store = Road()
+        self.rng = random.Random(1)
         self.shards = 1
-        self.head_bytes = 65_536
-        self.linger_seconds = 0.5
+        self.max_head_bytes = 65_536
+        self.end_delay_seconds = 0.5
         self.entries: dict[str, ShardedClaims] = {}
         self.platforms: dict[str, ShakyPlatform] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.claimed: dict[str, Claimed] = {}
-        self.answers: list[str] = []
+        self.results: list[str] = []
         self.errors: list[ClaimsDownError] = []
         self._attempts = 0
 
     def close(self) -> None:
-        """Stop all entries at once."""
+        """Kill all entries and close the event loop."""
         for name in tuple(self.tasks):
             self.kill(name)
         self.runner.close()
 
-    def run(self, job: Coroutine[Any, Any, Any]) -> Any:
-        """Run a coroutine on the scenario's loop."""
-        return self.runner.run(job)
+    def run(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
+        """Run a coroutine on the scenario's event loop."""
+        return self.runner.run(coroutine)
 
     def pass_time(self, seconds: float) -> None:
         """Let virtual time pass."""
         self.run(anyio.sleep(seconds))
 
     def start(self, name: str) -> None:
-        """Start an entry that knows nothing."""
+        """Start an entry with an empty cache."""
         self.run(self._start(name))
 
     def kill(self, name: str) -> None:
-        """End an entry without a chance to write anything."""
+        """Stop an entry before it can write anything more."""
         self.run(self._kill(self.tasks.pop(name)))
 
     def claim(self, name: str, key: str, *, body: str = 'body') -> None:
-        """Claim a key through an entry and keep the answer."""
+        """Claim a key through an entry and store the result's name."""
         self.run(self.claim_once(name, key, body))
 
-    def claim_all(self, wishes: list[tuple[str, str]]) -> None:
-        """Claim keys at the same instant."""
+    def claim_all(self, requests: list[tuple[str, str]]) -> None:
+        """Claim keys at the same moment."""
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
-                for name, key in wishes:
+                for name, key in requests:
                     tasks.start_soon(self.claim_once, name, key)
 
         self.run(main())
 
-    def end(self, name: str, key: str, word: str) -> None:
+    def end_claim(self, name: str, key: str, outcome: str) -> None:
         """End a claim."""
         claims, claimed = self.entries[name], self.claimed[key]
 
         async def main() -> None:
             with anyio.move_on_after(5):
-                if word == 'released':
+                if outcome == 'released':
                     await claims.release(claimed)
                 else:
-                    await claims.finish(claimed, ClaimEnd(word))
+                    await claims.finish(claimed, ClaimEnd(outcome))
 
         self.run(main())
 
@@ -99,7 +99,7 @@
         key: str,
         body: str = 'body',
     ) -> ClaimAnswer | None:
-        """Claim a key and keep the answer's name."""
+        """Claim a key and store the result's name."""
         self._attempts += 1
         request = ClaimRequest(
             'pilot',
@@ -109,15 +109,15 @@
             SETTLED_SECONDS,
         )
         try:
-            answer = await self.entries[name].claim(request)
+            result = await self.entries[name].claim(request)
         except ClaimsDownError as error:
             self.errors.append(error)
-            self.answers.append('not claimed')
+            self.results.append('not claimed')
             return None
-        if isinstance(answer, Claimed):
-            self.claimed[key] = answer
-        self.answers.append(type(answer).__name__)
-        return answer
+        if isinstance(result, Claimed):
+            self.claimed[key] = result
+        self.results.append(type(result).__name__)
+        return result
 
     async def _start(self, name: str) -> None:
         started = anyio.Event()
@@ -128,22 +128,22 @@
     async def _serve(self, name: str, started: anyio.Event) -> None:
         settings = ClaimSettings(
             shards=self.shards,
-            keep_seconds=KEEP_SECONDS,
-            head_bytes=self.head_bytes,
-            pace=Pace(linger_seconds=self.linger_seconds),
+            keep_seconds=RETENTION_SECONDS,
+            max_head_bytes=self.max_head_bytes,
+            batch_delays=BatchDelays(end_delay_seconds=self.end_delay_seconds),
         )
         async with anyio.create_task_group() as background:
             platform = ShakyPlatform(
-                self.road,
+                self.shared_store,
                 Odds(),
-                self.chance,
+                self.rng,
                 background,
             )
             async with ShardedClaims(
                 platform,
                 settings,
                 wall_clock=anyio.current_time,
-                chance=self.chance,
+                chance=self.rng,
             ) as claims:
                 self.entries[name] = claims
                 self.platforms[name] = platform
--- a/tests/once/random_run.py
+++ b/tests/once/random_run.py
@@ -1,4 +1,4 @@
-"""A seeded run of callers, entries and faults against a naive dictionary."""
+"""A seeded run of callers, entries and faults, checked by a simple model."""
 
 from __future__ import annotations
 
@@ -26,123 +26,125 @@
 from support.virtual_time import run_virtually
 
 SKEW_SECONDS = 5.0
-KEEP_SECONDS = (40.0, 200.0)
-"""By seed: keys are used again after their time, or not."""
+RETENTION_SECONDS = (40.0, 200.0)
+"""By seed: keys expire and are used again within the run, or not."""
 SETTLED_SECONDS = 10.0
 _KEYS = 30
 _HASHES = ('one', 'one', 'one', 'one', 'other')
 
 
 @dataclass
-class Holder:
-    """What the naive dictionary knows of the newest claim of a key."""
+class KnownClaim:
+    """The newest claim of a key, as the reference model knows it."""
 
     request: ClaimRequest
     claimed_at: float
     released: bool = False
 
-    def is_over(self, now: float, keep_seconds: float) -> bool:
+    def is_claimable(self, now: float, retention_seconds: float) -> bool:
         """Whether the key may be claimed by another attempt."""
-        kept_seconds = SETTLED_SECONDS + keep_seconds - 2 * SKEW_SECONDS
-        return self.released or now >= self.claimed_at + kept_seconds
+        valid_seconds = SETTLED_SECONDS + retention_seconds - 2 * SKEW_SECONDS
+        return self.released or now >= self.claimed_at + valid_seconds
 
 
 @dataclass
-class Naive:
-    """A dictionary that sees every claim and end at its instant."""
+class ReferenceModel:
+    """A dictionary that is updated at the moment of each claim and end."""
 
-    keep_seconds: float
-    holders: dict[str, Holder] = field(default_factory=dict)
-    asked: set[str] = field(default_factory=set)
+    retention_seconds: float
+    newest_claims: dict[str, KnownClaim] = field(default_factory=dict)
+    requested: set[str] = field(default_factory=set)
     finished: set[str] = field(default_factory=set)
-    seen: Counter[str] = field(default_factory=Counter)
+    counts: Counter[str] = field(default_factory=Counter)
 
-    def check(self, request: ClaimRequest, answer: ClaimAnswer) -> None:
-        """Compare an answer with what may be true."""
-        self.seen[type(answer).__name__] += 1
+    def check(self, request: ClaimRequest, result: ClaimAnswer) -> None:
+        """Check that a result can be correct."""
+        self.counts[type(result).__name__] += 1
         now = anyio.current_time()
-        holder = self.holders.get(request.key)
-        match answer:
+        known = self.newest_claims.get(request.key)
+        match result:
             case Claimed():
-                assert holder is None or holder.is_over(
-                    now, self.keep_seconds
-                ), f'{request} claimed beside {holder} at {now}'
-                self.holders[request.key] = Holder(request, now)
+                assert known is None or known.is_claimable(
+                    now, self.retention_seconds
+                ), f'{request} claimed beside {known} at {now}'
+                self.newest_claims[request.key] = KnownClaim(request, now)
             case AlreadyFinished():
                 assert request.key in self.finished, request
             case AlreadyRunning() | OutcomeLost() | Mismatch():
-                assert request.key in self.asked, (request, answer)
+                assert request.key in self.requested, (request, result)
 
 
 class EntryStub:
-    """An entry that crashes and comes back empty."""
+    """An entry that crashes and restarts without state."""
 
     def __init__(self, run: RandomRun, number: int) -> None:
         self.claims: ShardedClaims | None = None
         self.platform = run.platform()
         self._run = run
-        self._skew = run.chance.uniform(-SKEW_SECONDS, SKEW_SECONDS)
-        self._lives = [run.chance.uniform(3, 40) for _ in range(50)]
+        self._skew_seconds = run.rng.uniform(-SKEW_SECONDS, SKEW_SECONDS)
+        self._run_seconds = [run.rng.uniform(3, 40) for _ in range(50)]
 
-    async def live(self) -> None:
-        """Serve lives of random length."""
-        for seconds in self._lives:
+    async def run_with_crashes(self) -> None:
+        """Serve for random times, with a crash after each."""
+        for seconds in self._run_seconds:
             with anyio.move_on_after(seconds):
                 await self._serve()
             self.claims = None
-            self._run.naive.seen['crash'] += 1
+            self._run.reference.counts['crash'] += 1
             await anyio.sleep(1)
 
     async def _serve(self) -> None:
         settings = ClaimSettings(
             shards=2,
-            keep_seconds=self._run.naive.keep_seconds,
-            head_bytes=1_500,
+            keep_seconds=self._run.reference.retention_seconds,
+            max_head_bytes=1_500,
         )
-        chance = random.Random(self._run.chance.random())
+        rng = random.Random(self._run.rng.random())
         async with ShardedClaims(
             self.platform,
             settings,
             wall_clock=self._wall_clock,
-            chance=chance,
+            chance=rng,
         ) as claims:
             self.claims = claims
             await anyio.sleep_forever()
 
     def _wall_clock(self) -> float:
-        return anyio.current_time() + self._skew
+        return anyio.current_time() + self._skew_seconds
 
 
 class RandomRun:
-    """All coroutines of one seed."""
+    """The callers, entries and faults of one seed."""
 
     def __init__(self, seed: int, callers: int, entries: int) -> None:
-        self.chance = random.Random(seed)
-        self.naive = Naive(KEEP_SECONDS[seed % len(KEEP_SECONDS)])
-        self.road = Road()
+        self.rng = random.Random(seed)
+        self.reference = ReferenceModel(
+            RETENTION_SECONDS[seed % len(RETENTION_SECONDS)]
+        )
+        self.shared_store = Road()
         self._entries: list[EntryStub] = []
         self._callers = callers
         self._entry_count = entries
         self._tasks: TaskGroup
 
     async def run(self) -> RandomRun:
-        """Let all callers come, then end everything."""
+        """Run all callers, then stop the entries."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             for number in range(self._entry_count):
                 entry = EntryStub(self, number)
                 self._entries.append(entry)
-                tasks.start_soon(entry.live)
-            tasks.start_soon(self._disturb)
+                tasks.start_soon(entry.run_with_crashes)
+            tasks.start_soon(self._inject_faults)
             async with anyio.create_task_group() as callers:
                 for number in range(self._callers):
                     callers.start_soon(self._caller, f'attempt-{number}')
-                    await anyio.sleep(self.chance.expovariate(8))
+                    await anyio.sleep(self.rng.expovariate(8))
             tasks.cancel_scope.cancel()
         return self
 
     def platform(self) -> ShakyPlatform:
-        """Build one entry's way to the store."""
+        """Build one entry's access to the store."""
         odds = Odds(
             refused=0.02,
             throttled=0.02,
@@ -150,55 +152,55 @@
             late_write=0.06,
             latency_seconds=0.05,
         )
-        return ShakyPlatform(self.road, odds, self.chance, self._tasks)
+        return ShakyPlatform(self.shared_store, odds, self.rng, self._tasks)
 
-    async def _disturb(self) -> None:
+    async def _inject_faults(self) -> None:
         while True:
-            await anyio.sleep(self.chance.uniform(5, 20))
-            entry = self.chance.choice(self._entries)
-            if self.chance.randrange(2):
+            await anyio.sleep(self.rng.uniform(5, 20))
+            entry = self.rng.choice(self._entries)
+            if self.rng.randrange(2):
                 entry.platform.cut = True
             else:
-                self.road.outage = True
-            await anyio.sleep(self.chance.uniform(0.2, 5))
+                self.shared_store.outage = True
+            await anyio.sleep(self.rng.uniform(0.2, 5))
             entry.platform.cut = False
-            self.road.outage = False
+            self.shared_store.outage = False
 
     async def _caller(self, attempt_id: str) -> None:
-        entry = self.chance.choice(self._entries)
+        entry = self.rng.choice(self._entries)
         claims = entry.claims
         if claims is None:
             return
         request = ClaimRequest(
             workspace='pilot',
-            key=f'key-{self.chance.randrange(_KEYS)}',
-            request_hash=self.chance.choice(_HASHES) * 8,
+            key=f'key-{self.rng.randrange(_KEYS)}',
+            request_hash=self.rng.choice(_HASHES) * 8,
             attempt_id=attempt_id,
             settled_within_seconds=SETTLED_SECONDS,
         )
-        self.naive.asked.add(request.key)
-        answer = await self._claim(claims, request)
-        if isinstance(answer, Claimed):
-            await anyio.sleep(self.chance.uniform(0, SETTLED_SECONDS))
+        self.reference.requested.add(request.key)
+        result = await self._claim(claims, request)
+        if isinstance(result, Claimed):
+            await anyio.sleep(self.rng.uniform(0, SETTLED_SECONDS))
             if entry.claims is claims:
-                await self._end(claims, request, answer)
+                await self._end(claims, request, result)
 
     async def _claim(
         self,
         claims: ShardedClaims,
         request: ClaimRequest,
     ) -> ClaimAnswer | None:
-        answer: ClaimAnswer | None = None
-        patience_seconds = self.chance.choice((0.05, 0.2, 30, 30, 30))
+        result: ClaimAnswer | None = None
+        max_wait_seconds = self.rng.choice((0.05, 0.2, 30, 30, 30))
         with (
-            anyio.move_on_after(patience_seconds),
+            anyio.move_on_after(max_wait_seconds),
             suppress(ClaimsDownError),
         ):
-            answer = await claims.claim(request)
-            self.naive.check(request, answer)
-        if answer is None:
-            self.naive.seen['not claimed'] += 1
-        return answer
+            result = await claims.claim(request)
+            self.reference.check(request, result)
+        if result is None:
+            self.reference.counts['not claimed'] += 1
+        return result
 
     async def _end(
         self,
@@ -206,16 +208,16 @@
         request: ClaimRequest,
         claimed: Claimed,
     ) -> None:
-        holder = self.naive.holders[request.key]
-        fate = self.chance.randrange(10)
+        known = self.reference.newest_claims[request.key]
+        draw = self.rng.randrange(10)
         with anyio.move_on_after(1):
-            if fate < 5:
-                holder.released = True
+            if draw < 5:
+                known.released = True
                 await claims.release(claimed)
-            elif fate < 8:
-                self.naive.finished.add(request.key)
+            elif draw < 8:
+                self.reference.finished.add(request.key)
                 await claims.finish(claimed, ClaimEnd.FINISHED)
-            elif fate < 9:
+            elif draw < 9:
                 await claims.finish(claimed, ClaimEnd.UNKNOWN)
 
 
