--- a/src/sardinetrack/side/attempt.py
+++ b/src/sardinetrack/side/attempt.py
@@ -1,4 +1,4 @@
-"""One order between its arrival and its end, seen from its own task."""
+"""One attempt to run a request, as seen by the task that handles it."""
 
 from __future__ import annotations
 
@@ -10,37 +10,45 @@
 from sardinetrack.admission.api import RefusalReason
 from sardinetrack.messages.run import Fate, RunOrder, RunResult
 from sardinetrack.side.events import (
-    Arrived,
-    Left,
+    AttemptDecision,
+    AttemptEnded,
     Refused,
+    RunRequestReceived,
     SideEvents,
     Started,
     Stopped,
-    Verdict,
 )
 
-_MOST_VERDICTS: Final = 2
-_GONE: Final = (anyio.BrokenResourceError, anyio.ClosedResourceError)
+_MAX_DECISIONS: Final = 2
+_OWNER_ENDED: Final = (anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 class Attempt:
-    """Submits an order to the owner task and reports how it ended."""
+    """Submits a run request to the owner task and reports how it ended."""
 
-    def __init__(self, order: RunOrder, owner: SideEvents) -> None:
-        """Prepare; entering the context submits the order."""
-        self.order = order
+    def __init__(self, run_request: RunOrder, owner: SideEvents) -> None:
+        """Create the attempt; entering its context submits it.
+
+        :param run_request: the request as received from the entry.
+        :param owner: stream of events to the owner task.
+        """
+        self.run_request = run_request
         self._owner = owner
-        streams = anyio.create_memory_object_stream[Verdict](_MOST_VERDICTS)
-        self._given = streams[0]
-        self._verdicts = streams[1]
-        self._over = False
+        streams = anyio.create_memory_object_stream[AttemptDecision](
+            _MAX_DECISIONS
+        )
+        self._decision_sender = streams[0]
+        self._decisions = streams[1]
+        self._end_reported = False
 
     async def __aenter__(self) -> Self:
-        """Submit the order."""
+        """Submit the run request."""
         try:
-            await self._owner.send(Arrived(self.order, self._given))
-        except _GONE:
-            self._given.close()
+            await self._owner.send(
+                RunRequestReceived(self.run_request, self._decision_sender)
+            )
+        except _OWNER_ENDED:
+            self._decision_sender.close()
         return self
 
     async def __aexit__(
@@ -49,56 +57,60 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Report an end that was not reported yet."""
-        self._verdicts.close()
-        await self.over(whole=False, cost=0, stopped=True)
+        """Report the end unless it was reported before."""
+        self._decisions.close()
+        await self.report_end(complete=False, cost=0, stopped=True)
 
-    async def verdict(self) -> Started | Refused:
-        """Wait until the order is started or refused."""
+    async def decision(self) -> Started | Refused:
+        """Wait until the attempt is started or refused."""
         try:
-            first = await self._verdicts.receive()
+            first = await self._decisions.receive()
         except anyio.EndOfStream:
-            return self._refused_by_end()
-        # Stopped before any start: the fate is told by the query itself.
-        return self._refused_by_end() if isinstance(first, Stopped) else first
+            return self._refusal_after_end()
+        # Stopped before any start: the response to the status query already
+        # carries the fate.
+        return (
+            self._refusal_after_end() if isinstance(first, Stopped) else first
+        )
 
-    async def stopped(self) -> None:
-        """Return when the request is to be cancelled."""
+    async def wait_stopped(self) -> None:
+        """Return when the request has to be cancelled."""
         try:
-            await self._verdicts.receive()
+            await self._decisions.receive()
         except anyio.EndOfStream:
             return
 
-    async def over(
+    async def report_end(
         self,
         *,
-        whole: bool,
+        complete: bool,
         cost: float,
         stopped: bool = False,
     ) -> None:
         """Report the end; only the first report counts.
 
-        :param whole: the backend server's answer was complete.
-        :param cost: what it cost, in cost units of the pool.
-        :param stopped: not whole, though the backend server did not fail.
+        :param complete: whether the backend server's response was complete.
+        :param cost: cost of the request, in cost units of the pool.
+        :param stopped: the response is incomplete, though the backend server
+            did not fail.
         """
-        if self._over:
+        if self._end_reported:
             return
-        self._over = True
-        left = Left(self.order.attempt_id, whole, cost, stopped)
+        self._end_reported = True
+        end = AttemptEnded(self.run_request.attempt_id, complete, cost, stopped)
         # Shielded: a report lost to a cancellation would leave the slot
-        # taken for ever. The owner never blocks, so this is short.
+        # occupied permanently. The owner task never blocks, so this is short.
         with anyio.CancelScope(shield=True):
             try:
-                await self._owner.send(left)
-            except _GONE:
+                await self._owner.send(end)
+            except _OWNER_ENDED:
                 return
 
-    def _refused_by_end(self) -> Refused:
+    def _refusal_after_end(self) -> Refused:
         return Refused(
             RunResult(
                 Fate.NOT_STARTED,
-                self.order.incarnation,
+                self.run_request.incarnation,
                 reason=RefusalReason.DRAINING,
             ),
         )
--- a/src/sardinetrack/side/attempt_endpoint.py
+++ b/src/sardinetrack/side/attempt_endpoint.py
@@ -1,4 +1,4 @@
-"""``POST /peer/v1/attempts/ID``: tell the fate of an attempt."""
+"""``POST /peer/v1/attempts/ID``: return the status of an attempt."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.messages.run import ATTEMPT_PATH, AttemptQuery
-from sardinetrack.side.events import Asked, SideEvents
-from sardinetrack.side.questions import ask_owner
+from sardinetrack.side.events import AttemptQueried, SideEvents
+from sardinetrack.side.owner_queries import query_owner
 
 _MAX_QUERY_BYTES: Final = 4096
 _QUERY_SECONDS: Final = 5.0
 
 
 class AttemptEndpoint:
-    """Passes questions to the owner task."""
+    """Passes status queries to the owner task."""
 
     def __init__(self, owner: SideEvents) -> None:
-        """Remember the owner's stream."""
         self._owner = owner
 
     async def __call__(self, exchange: Exchange) -> None:
-        """Answer one question."""
+        """Respond to one status query."""
         query = await _read_query(exchange)
-        answer = await ask_owner(self._owner, partial(Asked, query))
-        await exchange.answer_json(HTTPStatus.OK, answer)
+        response = await query_owner(
+            self._owner, partial(AttemptQueried, query)
+        )
+        await exchange.answer_json(HTTPStatus.OK, response)
 
 
 async def _read_query(exchange: Exchange) -> AttemptQuery:
--- a/src/sardinetrack/side/backend.py
+++ b/src/sardinetrack/side/backend.py
@@ -1,4 +1,4 @@
-"""Calls on the backend server."""
+"""Client of the backend server."""
 
 from __future__ import annotations
 
@@ -26,17 +26,19 @@
     """No connection to the backend server can be opened."""
 
 
-class SilentError(Exception):
-    """The backend server takes connections but does not answer."""
+class UnresponsiveError(Exception):
+    """The backend server accepts connections but does not respond."""
 
 
 class BackendServer:
     """The one backend server of a side."""
 
     def __init__(self, name: str, url: str, client: HttpClient) -> None:
-        """Remember where it is.
+        """Create a client of the server.
 
+        :param name: name of the backend server.
         :param url: ``http://IP:port``.
+        :param client: HTTP client that makes the calls.
         """
         self.name = name
         self._url = url.rstrip('/')
@@ -44,41 +46,41 @@
 
     def run(
         self,
-        order: RunOrder,
+        run_request: RunOrder,
         body: bytes,
     ) -> AbstractAsyncContextManager[StreamedReply]:
-        """Send a request; leaving the context early cancels it there.
+        """Send a request; leaving the context early cancels it at the server.
 
-        :raises NotSentError: not one byte left.
-        :raises BrokenError: the exchange broke later.
+        :raises NotSentError: not a single byte was sent.
+        :raises BrokenError: the connection broke later.
         """
         return self._client.stream(
-            order.method,
-            f'{self._url}{order.path}',
-            headers=order.headers,
+            run_request.method,
+            f'{self._url}{run_request.path}',
+            headers=run_request.headers,
             body=body,
         )
 
     async def load(self) -> LoadReport | None:
-        """Ask for the load.
+        """Fetch the load report.
 
-        :return: ``None`` when the server does not report it.
-        :raises UnreachableError: there is no connection.
-        :raises SilentError: no answer came in time.
+        :return: ``None`` when the server does not report its load.
+        :raises UnreachableError: no connection could be opened.
+        :raises UnresponsiveError: no response arrived in time.
         """
         try:
             with anyio.fail_after(_PROBE_SECONDS):
-                reply = await self._client.call('GET', f'{self._url}/load')
+                response = await self._client.call('GET', f'{self._url}/load')
         except NotSentError as unsent:
             raise UnreachableError from unsent
         except (BrokenError, TimeoutError) as error:
-            raise SilentError from error
-        return _report(reply) if reply.status == HTTPStatus.OK else None
+            raise UnresponsiveError from error
+        return _report(response) if response.status == HTTPStatus.OK else None
 
     async def connect(self) -> None:
         """Open a connection and close it again.
 
-        :raises UnreachableError: that is not possible.
+        :raises UnreachableError: no connection could be opened.
         """
         host, _, port = self._url.rpartition('/')[2].rpartition(':')
         try:
@@ -89,8 +91,8 @@
         await stream.aclose()
 
 
-def _report(reply: Reply) -> LoadReport | None:
+def _report(response: Reply) -> LoadReport | None:
     try:
-        return msgspec.json.decode(reply.body, type=LoadReport)
+        return msgspec.json.decode(response.body, type=LoadReport)
     except msgspec.DecodeError:
         return None
--- a/src/sardinetrack/side/backend_watch.py
+++ b/src/sardinetrack/side/backend_watch.py
@@ -1,4 +1,4 @@
-"""The task that watches the backend server and sizes the side's slots."""
+"""The task that polls the backend server and sets the side's slot limit."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.side.backend import (
     BackendServer,
-    SilentError,
     UnreachableError,
+    UnresponsiveError,
 )
 from sardinetrack.side.concurrency import ConcurrencyLimit
 from sardinetrack.side.configuration import SideConfiguration
-from sardinetrack.side.events import Resized, SideEvents
+from sardinetrack.side.events import LimitChanged, SideEvents
 from sardinetrack.side.load_report import LoadReport
 
 _LOG: Final = PartLogger(Part.SIDE)
-_POLL_SECONDS: Final = 1.0
-_RETRY_SECONDS: Final = 0.25
-_SILENT_SECONDS: Final = 3.0
+_POLL_INTERVAL_SECONDS: Final = 1.0
+_RETRY_INTERVAL_SECONDS: Final = 0.25
+_UNRESPONSIVE_SECONDS: Final = 3.0
 _NO_SLOTS: Final = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeNow:
-    """Something happened: look at the backend server at once."""
+    """Wakes the task, so that it probes the backend server immediately."""
 
 
-def ask_probe(probe: MemoryObjectSendStream[ProbeNow]) -> None:
-    """Wake the watch; one pending wake-up is as good as many."""
+def request_probe(probe: MemoryObjectSendStream[ProbeNow]) -> None:
+    """Wake the task; further requests are dropped while one is pending."""
     try:
         probe.send_nowait(ProbeNow())
     except (anyio.WouldBlock, anyio.BrokenResourceError):
@@ -44,11 +44,11 @@
 
 
 class BackendWatch:
-    """Offers no slots while the backend server can't be reached or is hung.
+    """Offers no slots while the backend server is unreachable or hung.
 
-    Without this a side whose server is gone refuses faster than any other
-    side answers, and so attracts all the work there is; one whose server is
-    frozen swallows it.
+    A side whose server is unreachable refuses faster than other sides respond,
+    and would so attract all the load. A side whose server is frozen would
+    accept requests that never end.
     """
 
     def __init__(
@@ -59,49 +59,58 @@
         owner: SideEvents,
         probes: MemoryObjectReceiveStream[ProbeNow],
     ) -> None:
-        """Prepare the task."""
+        """Create the task; it offers no slots before its first poll.
+
+        :param backend: the server to poll.
+        :param configuration: source of the side's pool.
+        :param concurrency: chooses the limit while the server responds.
+        :param owner: stream of events to the owner task.
+        :param probes: wake-ups, see ``request_probe``.
+        """
         self._backend = backend
         self._configuration = configuration
         self._concurrency = concurrency
         self._owner = owner
         self._probes = probes
         self._limit = _NO_SLOTS
-        self._woken = False
-        self._answered_at = anyio.current_time()
+        self._probe_requested = False
+        self._last_response_at = anyio.current_time()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Poll the server until cancelled."""
         while True:
             pool = self._configuration.pool()
             if pool is not None:
-                await self._resize(await self._look(pool))
-            await self._pause()
+                await self._resize(await self._poll_limit(pool))
+            await self._wait_for_next_poll()
 
-    async def _look(self, pool: Pool) -> int:
+    async def _poll_limit(self, pool: Pool) -> int:
         report: LoadReport | None = None
         try:
             report = await self._probe(pool)
         except UnreachableError:
             return _NO_SLOTS
-        except SilentError:
-            if self._silent_for_long():
+        except UnresponsiveError:
+            if self._is_unresponsive():
                 return _NO_SLOTS
         else:
-            self._answered_at = anyio.current_time()
+            self._last_response_at = anyio.current_time()
         return self._concurrency.limit(anyio.current_time(), pool, report)
 
     async def _probe(self, pool: Pool) -> LoadReport | None:
         if pool.pool_class is PoolClass.MODEL:
             return await self._backend.load()
-        # Plain services have nothing that is safe to call: a connection must
-        # do, and only when there is a doubt.
-        if self._woken or self._limit == _NO_SLOTS:
+        # Plain services have no endpoint that is safe to call: opening a
+        # connection must suffice, and only when there is a reason to doubt.
+        if self._probe_requested or self._limit == _NO_SLOTS:
             await self._backend.connect()
         return None
 
-    def _silent_for_long(self) -> bool:
-        silent_seconds = anyio.current_time() - self._answered_at
-        return silent_seconds > _SILENT_SECONDS or self._limit == _NO_SLOTS
+    def _is_unresponsive(self) -> bool:
+        silent_seconds = anyio.current_time() - self._last_response_at
+        return (
+            silent_seconds > _UNRESPONSIVE_SECONDS or self._limit == _NO_SLOTS
+        )
 
     async def _resize(self, limit: int) -> None:
         if limit == self._limit:
@@ -113,11 +122,13 @@
             was=self._limit,
         )
         self._limit = limit
-        await self._owner.send(Resized(limit))
+        await self._owner.send(LimitChanged(limit))
 
-    async def _pause(self) -> None:
-        self._woken = False
-        seconds = _POLL_SECONDS if self._limit else _RETRY_SECONDS
+    async def _wait_for_next_poll(self) -> None:
+        self._probe_requested = False
+        seconds = (
+            _POLL_INTERVAL_SECONDS if self._limit else _RETRY_INTERVAL_SECONDS
+        )
         with anyio.move_on_after(seconds):
             await self._probes.receive()
-            self._woken = True
+            self._probe_requested = True
--- a/src/sardinetrack/side/concurrency.py
+++ b/src/sardinetrack/side/concurrency.py
@@ -1,4 +1,4 @@
-"""How many requests a backend server runs at once."""
+"""Limits on the concurrent requests of a backend server."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class ConcurrencyLimit(ABC):
-    """Decides how many requests a backend server runs at once."""
+    """Decides how many requests a backend server runs concurrently."""
 
     @abstractmethod
     def limit(self, now: float, pool: Pool, report: LoadReport | None) -> int:
         """Choose the limit.
 
         :param now: monotonic time.
-        :param pool: the server's pool as it is in force.
-        :param report: the newest load, ``None`` when there is none.
+        :param pool: the server's pool in the active configuration.
+        :param report: the newest load report, ``None`` when there is none.
         """
 
 
 class FixedLimit(ConcurrencyLimit):
-    """The pool's own first guess."""
+    """The fixed limit of the pool."""
 
     def limit(self, now: float, pool: Pool, report: LoadReport | None) -> int:
-        """Take the number from the catalogue."""
+        """Return the number of the catalogue."""
         return pool.slots_per_server
--- a/src/sardinetrack/side/configuration.py
+++ b/src/sardinetrack/side/configuration.py
@@ -1,4 +1,4 @@
-"""The part of the catalogue that a side needs, behind a small interface."""
+"""The part of the catalogue that a side needs."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class SideConfiguration(ABC):
-    """The configuration in force at a side; the owner task applies it."""
+    """The active configuration of a side; the owner task updates it."""
 
     @abstractmethod
     def pool(self) -> Pool | None:
-        """The side's own pool; ``None`` before any configuration came."""
+        """The side's own pool; ``None`` until a configuration was received."""
 
     @abstractmethod
     def apply(self, update: ConfigUpdate) -> bool:
-        """Take in newer objects; older ones change nothing.
+        """Apply newer objects and ignore older ones.
 
         :return: whether anything changed.
         """
 
     @abstractmethod
     def digest(self) -> ConfigDigest:
-        """Describe in brief what is in force."""
+        """Summarise the active configuration."""
 
     @abstractmethod
     def update_for(self, peer: ConfigDigest) -> ConfigUpdate | None:
-        """Collect what a peer lacks.
+        """Collect the objects that a peer lacks.
 
-        :return: ``None`` when it lacks nothing or is ahead.
+        :return: ``None`` when it lacks none or is ahead.
         """
--- a/src/sardinetrack/side/events.py
+++ b/src/sardinetrack/side/events.py
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """Hand the request to the backend server now."""
+    """Send the request to the backend server now."""
 
     free: int
-    """Free slots for the answer's header."""
+    """Free slots, for the response's header."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Answer the entry that the request was not started."""
+    """Respond to the entry that the request was not started."""
 
     run_result: RunResult
 
@@ -38,58 +38,58 @@
     """Cancel the request at the backend server."""
 
 
-Verdict = Started | Refused | Stopped
+AttemptDecision = Started | Refused | Stopped
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
-    """An order and its whole body are here."""
+class RunRequestReceived:
+    """A run request and its complete body have arrived."""
 
-    order: RunOrder
-    verdicts: MemoryObjectSendStream[Verdict]
-    """Takes two verdicts without waiting."""
+    run_request: RunOrder
+    decisions: MemoryObjectSendStream[AttemptDecision]
+    """Buffers two decisions, so that sending them never blocks."""
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """The task of an order is done with it, started or not."""
+class AttemptEnded:
+    """The task of an attempt has ended, whether it was started or not."""
 
     attempt_id: str
-    whole: bool
+    complete: bool
     cost: float
     stopped: bool = False
-    """Not whole because the side itself ended it."""
+    """The response is incomplete because the side itself ended the request."""
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """An entry asks for the fate of an attempt."""
+class AttemptQueried:
+    """An entry has sent a status query for an attempt."""
 
     query: AttemptQuery
-    answers: MemoryObjectSendStream[AttemptAnswer]
+    responses: MemoryObjectSendStream[AttemptAnswer]
 
 
 @dataclass(frozen=True, slots=True)
-class Resized:
-    """The backend server can take another number of requests."""
+class LimitChanged:
+    """The number of requests that the backend server can run has changed."""
 
     limit: int
 
 
 @dataclass(frozen=True, slots=True)
-class DrainBegan:
-    """Take no new work; tell when nothing runs any more."""
+class DrainStarted:
+    """Accept no new run requests; set ``idle`` when none is running."""
 
     idle: anyio.Event
 
 
 @dataclass(frozen=True, slots=True)
-class CutOff:
-    """Stop everything that still runs."""
+class DrainTimedOut:
+    """Cancel all requests that are still running."""
 
 
 class SideStatus(Struct, frozen=True):
-    """What operators and peers may read about a side."""
+    """Status of a side, for operators and peers."""
 
     instance: str
     incarnation: str
@@ -100,24 +100,24 @@
     load: SideLoad
     configuration: ConfigDigest
     links: tuple[str, ...]
-    """Instances that are linked now."""
+    """Linked instances."""
 
 
 @dataclass(frozen=True, slots=True)
-class StatusAsked:
-    """Somebody wants the status."""
+class StatusRequested:
+    """An operator or peer requests the status."""
 
-    answers: MemoryObjectSendStream[SideStatus]
+    responses: MemoryObjectSendStream[SideStatus]
 
 
 SideEvent = (
     LinkEvent
-    | Arrived
-    | Left
-    | Asked
-    | Resized
-    | DrainBegan
-    | CutOff
-    | StatusAsked
+    | RunRequestReceived
+    | AttemptEnded
+    | AttemptQueried
+    | LimitChanged
+    | DrainStarted
+    | DrainTimedOut
+    | StatusRequested
 )
 SideEvents = MemoryObjectSendStream[SideEvent]
--- a/src/sardinetrack/side/identity.py
+++ b/src/sardinetrack/side/identity.py
@@ -1,4 +1,4 @@
-"""Who a side is."""
+"""Identity of a side."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     @classmethod
     def of(cls, settings: SideSettings, incarnation: str) -> SideIdentity:
-        """Take the names from the settings."""
+        """Build the identity from the settings."""
         return cls(
             instance=settings.instance,
             incarnation=incarnation,
@@ -31,7 +31,7 @@
         )
 
     def hello(self) -> Hello:
-        """Build what peers are told while a link opens."""
+        """Build the handshake message that peers receive when a link opens."""
         return Hello(
             instance=self.instance,
             role=PeerRole.SIDE,
--- a/src/sardinetrack/side/load_report.py
+++ b/src/sardinetrack/side/load_report.py
@@ -6,7 +6,7 @@
 
 
 class LoadReport(Struct, frozen=True):
-    """What a model engine says about itself, with a lag."""
+    """Load as reported by a model engine; it lags."""
 
     running: int = 0
     waiting: int = 0
--- a/src/sardinetrack/side/log.py
+++ b/src/sardinetrack/side/log.py
@@ -1,4 +1,4 @@
-"""The decision lines of a side."""
+"""Decision log lines of a side."""
 
 from __future__ import annotations
 
@@ -12,27 +12,26 @@
 
 
 class DecisionLog:
-    """Writes one line for each decision."""
+    """Writes one log line for each decision."""
 
     def __init__(self, identity: SideIdentity) -> None:
-        """Remember which backend server the lines speak of."""
         self._identity = identity
 
-    def decided(self, sentence: str, order: RunOrder, reason: str) -> None:
-        """Write what was decided about an order.
+    def record(self, sentence: str, run_request: RunOrder, reason: str) -> None:
+        """Log a decision about a run request.
 
-        The side does not know the caller's request; the entry's lines name
-        request and attempt together.
+        The side does not know the id of the caller's request; the entry logs it
+        together with the attempt id.
         """
         _LOG.decision(
             sentence,
             DecisionRecord(
                 request_id=None,
-                workspace=order.workspace,
+                workspace=run_request.workspace,
                 pool=self._identity.pool,
                 backend_server=self._identity.backend_server,
                 reason=reason,
-                attempt_id=order.attempt_id,
-                suspect=order.suspect,
+                attempt_id=run_request.attempt_id,
+                suspect=run_request.suspect,
             ),
         )
--- a/src/sardinetrack/side/metrics.py
+++ b/src/sardinetrack/side/metrics.py
@@ -18,10 +18,12 @@
 
 
 class SideMetrics:
-    """One registry for each side, so that a process may hold several."""
+    """Metrics of one side, in a registry of its own.
+
+    A process may run several sides.
+    """
 
     def __init__(self) -> None:
-        """Register everything at zero."""
         self.registry = CollectorRegistry()
         self.running = self._gauge('running_requests', 'Requests that run')
         self.free = self._gauge('free_slots', 'Slots free and not set aside')
@@ -48,20 +50,22 @@
             registry=self.registry,
         )
 
-    def show_load(self, load: SideLoad) -> None:
+    def set_load(self, load: SideLoad) -> None:
         """Set the gauges of the slots."""
         self.running.set(load.running)
         self.free.set(load.free)
         self.limit.set(load.limit)
 
-    def count_end(self, *, whole: bool, cost: float, seconds: float) -> None:
-        """Count a request that ended."""
-        self.ended.labels('whole' if whole else 'broken').inc()
+    def record_end(
+        self, *, complete: bool, cost: float, seconds: float
+    ) -> None:
+        """Count a request that has ended."""
+        self.ended.labels('whole' if complete else 'broken').inc()
         self.cost.inc(cost)
         self.run_seconds.observe(seconds)
 
     def text(self) -> bytes:
-        """Write all metrics in the text format of Prometheus."""
+        """Return all metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
 
     def _gauge(self, name: str, meaning: str) -> Gauge:
--- a/src/sardinetrack/side/ordering.py
+++ b/src/sardinetrack/side/model_loader.py
@@ -1,4 +1,4 @@
-"""Put the task together that gives orders to the backend server."""
+"""Builds the task that sends load commands to the backend server."""
 
 from __future__ import annotations
 
@@ -10,38 +10,39 @@
 from sardinetrack.lease.keeper import LeaseKeeper
 from sardinetrack.lease.orders import ModelOrders
 from sardinetrack.lease.record import lease_key
-from sardinetrack.side.ordered_server import HttpOrderedServer
+from sardinetrack.side.model_server import HttpModelServer
 from sardinetrack.side.parts import SideParts
 from sardinetrack.store.api import Platform
 
-_MARGIN_PART: Final = 0.2
-"""Part of a lease that its holder leaves unused."""
+_MARGIN_FRACTION: Final = 0.2
+"""Fraction of a lease that its holder leaves unused."""
 
 
-def model_orders(
-    parts: SideParts,
+def build_model_loader(
+    dependencies: SideParts,
     platform: Platform,
     client: HttpClient,
 ) -> ModelOrders:
     """Build the task.
 
-    :param platform: holds the lease.
-    :param client: for calls on the backend server.
+    :param dependencies: settings and configuration of the side.
+    :param platform: stores the lease.
+    :param client: for calls to the backend server.
     """
-    settings = parts.settings
+    settings = dependencies.settings
     lease = Lease(
-        f'{settings.instance}.{parts.incarnation}',
+        f'{settings.instance}.{dependencies.incarnation}',
         duration_seconds=settings.lease_seconds,
-        margin_seconds=settings.lease_seconds * _MARGIN_PART,
+        margin_seconds=settings.lease_seconds * _MARGIN_FRACTION,
     )
     key = lease_key(settings.pool, settings.backend_server)
     return ModelOrders(
-        HttpOrderedServer(
+        HttpModelServer(
             settings.backend_server,
             str(settings.backend_url),
             client,
         ),
         LeaseKeeper(platform, key, lease),
-        parts.configuration.pool,
+        dependencies.configuration.pool,
         random.Random(),
     )
--- a/src/sardinetrack/side/ordered_server.py
+++ b/src/sardinetrack/side/model_server.py
@@ -1,4 +1,4 @@
-"""Orders to the backend server over HTTP."""
+"""Load commands to the backend server over HTTP."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 from sardinetrack.lease.orders import OrderedServer, OrderResult
 
-_ASK_SECONDS: Final = 2.0
-_ORDER_SECONDS: Final = 5.0
+_LIST_MODELS_SECONDS: Final = 2.0
+_LOAD_MODELS_SECONDS: Final = 5.0
 
 
 class _Model(msgspec.Struct):
@@ -29,34 +29,35 @@
 
 
 class LoadContent(msgspec.Struct, frozen=True):
-    """Content of an order to load models."""
+    """Content of a load command."""
 
     load_models: tuple[str, ...]
 
 
-class Order(msgspec.Struct, frozen=True):
-    """An order with its fencing number."""
+class LoadCommand(msgspec.Struct, frozen=True):
+    """A load command with its fencing token."""
 
     fencing: int
     content: LoadContent
 
 
-class HttpOrderedServer(OrderedServer):
-    """A model engine that takes orders over HTTP."""
+class HttpModelServer(OrderedServer):
+    """A model engine that accepts load commands over HTTP."""
 
     def __init__(self, name: str, url: str, client: HttpClient) -> None:
-        """Remember where it is."""
         self.name = name
         self._url = url.rstrip('/')
         self._client = client
 
     async def models(self) -> frozenset[str] | None:
-        """Tell which models are loaded; ``None`` when it doesn't say."""
-        reply = await self._call('GET', '/v1/models', b'', _ASK_SECONDS)
-        if reply is None or reply.status != HTTPStatus.OK:
+        """Return the loaded models; ``None`` when they are unknown."""
+        response = await self._call(
+            'GET', '/v1/models', b'', _LIST_MODELS_SECONDS
+        )
+        if response is None or response.status != HTTPStatus.OK:
             return None
         try:
-            listed = msgspec.json.decode(reply.body, type=_Models)
+            listed = msgspec.json.decode(response.body, type=_Models)
         except msgspec.DecodeError:
             return None
         return frozenset(model.id for model in listed.data)
@@ -66,14 +67,16 @@
         fencing: int,
         models: tuple[str, ...],
     ) -> OrderResult:
-        """Order it to load models."""
-        order = msgspec.json.encode(Order(fencing, LoadContent(models)))
-        reply = await self._call('POST', '/orders', order, _ORDER_SECONDS)
-        if reply is None:
+        """Send a load command."""
+        command = msgspec.json.encode(LoadCommand(fencing, LoadContent(models)))
+        response = await self._call(
+            'POST', '/orders', command, _LOAD_MODELS_SECONDS
+        )
+        if response is None:
             return OrderResult.UNKNOWN
-        if reply.status == HTTPStatus.CONFLICT:
+        if response.status == HTTPStatus.CONFLICT:
             return OrderResult.OLD_NUMBER
-        accepted = reply.status == HTTPStatus.OK
+        accepted = response.status == HTTPStatus.OK
         return OrderResult.ACCEPTED if accepted else OrderResult.UNKNOWN
 
     async def _call(
--- a/src/sardinetrack/side/operator_application.py
+++ b/src/sardinetrack/side/operator_application.py
@@ -24,8 +24,10 @@
         metrics: SideMetrics,
         settings: Any,
     ) -> None:
-        """Build the table.
+        """Build the routing table.
 
+        :param owner: stream of events to the owner task.
+        :param metrics: the side's metrics.
         :param settings: effective settings as JSON content, secrets masked.
         """
         self._status = StatusSource(owner)
@@ -47,9 +49,9 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope[_TYPE] == 'http':
-            await self._routes.answer(Exchange(scope, receive, send))
+            await self._routes.handle(Exchange(scope, receive, send))
         else:
             await send({_TYPE: 'websocket.close'})
 
--- a/src/sardinetrack/side/owner.py
+++ b/src/sardinetrack/side/owner.py
@@ -1,9 +1,8 @@
-"""The task that owns a side's decision object, links and configuration.
+"""The task that owns a side's admission object, links and configuration.
 
-It receives typed events over one memory stream and carries out the effects
-that the decision object returns. It never waits for anybody: verdicts and
-link messages are queued without blocking, so an event waits only for the
-events before it.
+It receives typed events over one memory stream and carries out the effects that
+the admission object returns. It never blocks: decisions and link messages are
+queued, so an event waits only for the events before it.
 """
 
 from __future__ import annotations
@@ -28,151 +27,162 @@
 from sardinetrack.links.api import LinkDown, LinkMessageReceived, LinkUp
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.messages.api import SidePhase
-from sardinetrack.side.core import Effects, OwnerCore
 from sardinetrack.side.events import (
-    Arrived,
-    Asked,
-    CutOff,
-    DrainBegan,
-    Left,
-    Resized,
+    AttemptEnded,
+    AttemptQueried,
+    DrainStarted,
+    DrainTimedOut,
+    LimitChanged,
+    RunRequestReceived,
     SideEvent,
     SideStatus,
-    StatusAsked,
+    StatusRequested,
 )
-from sardinetrack.side.link_events import LinkEvents
-from sardinetrack.side.request_events import RequestEvents
+from sardinetrack.side.link_event_handler import LinkEventHandler
+from sardinetrack.side.owner_state import Effects, OwnerState
+from sardinetrack.side.request_event_handler import RequestEventHandler
 
 _LOG: Final = PartLogger(Part.SIDE)
 _TICK_SECONDS: Final = 0.1
 
-Decide = Callable[[float, Any], Effects]
+EventHandler = Callable[[float, Any], Effects]
 
 
 class AdmissionOwner:
-    """Feeds the decision object and carries out what it decides."""
+    """Passes events to the admission object and carries out its decisions."""
 
     def __init__(
         self,
-        core: OwnerCore,
+        state: OwnerState,
         events: MemoryObjectReceiveStream[SideEvent],
     ) -> None:
-        """Prepare the task.
+        """Create the task.
 
-        :param core: state that this task owns from now on.
-        :param events: everything that happens at the side.
+        :param state: state that only this task accesses from now on.
+        :param events: all events of the side.
         """
-        self._core = core
+        self._state = state
         self._events = events
-        self._requests = RequestEvents(core)
+        self._requests = RequestEventHandler(state)
         self._drain = DRAIN.start()
         self._idle = anyio.Event()
         self._tick_at: float = 0
-        links = LinkEvents(core)
-        self._decisions: MappingProxyType[type, Decide] = MappingProxyType(
+        links = LinkEventHandler(state)
+        self._handlers: MappingProxyType[type, EventHandler] = MappingProxyType(
             {
-                Arrived: self._requests.arrived,
-                Left: self._requests.left,
-                Asked: self._requests.asked,
+                RunRequestReceived: self._requests.run_request_received,
+                AttemptEnded: self._requests.attempt_ended,
+                AttemptQueried: self._requests.attempt_queried,
                 LinkUp: links.opened,
                 LinkDown: links.closed,
                 LinkMessageReceived: links.received,
-                Resized: self._resized,
-                DrainBegan: self._drain_began,
-                CutOff: self._cut_off,
-                StatusAsked: self._status_asked,
+                LimitChanged: self._limit_changed,
+                DrainStarted: self._drain_started,
+                DrainTimedOut: self._drain_timed_out,
+                StatusRequested: self._status_requested,
             },
         )
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Handle events until cancelled."""
         with self._events:
             try:
                 while True:
-                    await self._turn()
+                    await self._iterate()
             finally:
-                self._core.live.close()
-                self._turn_away()
+                self._state.attempts.close()
+                self._close_pending()
 
-    async def _turn(self) -> None:
+    async def _iterate(self) -> None:
         event = await self._next_event()
         now = anyio.current_time()
         if event is not None:
-            decide = self._decisions[type(event)]
-            self._carry_out(now, decide(now, event))
+            handle = self._handlers[type(event)]
+            self._apply(now, handle(now, event))
         if now >= self._tick_at:
             self._tick_at = now + _TICK_SECONDS
-            self._carry_out(now, self._core.admission.tick(now))
-            self._core.metrics.show_load(self._core.admission.load())
-        self._announce(now)
-        if self._drain.state is DrainState.DRAINING and not self._core.live:
+            self._apply(now, self._state.admission.tick(now))
+            self._state.metrics.set_load(self._state.admission.load())
+        self._broadcast_due_load(now)
+        if (
+            self._drain.state is DrainState.DRAINING
+            and not self._state.attempts
+        ):
             self._drain.fire(DrainEvent.IDLE)
             self._idle.set()
 
-    def _turn_away(self) -> None:
-        # Tasks whose events nobody will handle would wait for ever.
+    def _close_pending(self) -> None:
+        # Tasks whose events are never handled would wait indefinitely.
         while self._events.statistics().current_buffer_used:
             event = self._events.receive_nowait()
-            if isinstance(event, Arrived):
-                event.verdicts.close()
-            elif isinstance(event, (Asked, StatusAsked)):
-                event.answers.close()
+            if isinstance(event, RunRequestReceived):
+                event.decisions.close()
+            elif isinstance(event, (AttemptQueried, StatusRequested)):
+                event.responses.close()
 
     async def _next_event(self) -> SideEvent | None:
-        due_at = self._core.announcer.due_at()
+        due_at = self._state.load_broadcaster.due_at()
         deadline = min(self._tick_at, math.inf if due_at is None else due_at)
         with anyio.CancelScope(deadline=deadline):
             return await self._events.receive()
         return None
 
-    def _carry_out(self, now: float, effects: Effects) -> None:
+    def _apply(self, now: float, effects: Effects) -> None:
         for effect in effects:
-            self._carry_out_one(now, effect)
+            self._apply_one(now, effect)
 
-    def _carry_out_one(self, now: float, effect: SideEffect) -> None:
+    def _apply_one(self, now: float, effect: SideEffect) -> None:
         match effect:
             case Start():
-                free = self._core.admission.load().free
-                self._core.live.start(now, effect.attempt_id, free)
+                free = self._state.admission.load().free
+                self._state.attempts.start(now, effect.attempt_id, free)
             case Refuse():
-                self._requests.refused(now, effect.attempt_id, effect.reason)
+                self._requests.carry_out_refusal(
+                    now, effect.attempt_id, effect.reason
+                )
             case Stop():
-                self._core.live.stop(effect.attempt_id)
+                self._state.attempts.stop(effect.attempt_id)
             case SendGrant():
-                self._core.grants.send(effect.entry, effect.grant)
+                self._state.grants.send(effect.entry, effect.grant)
             case Announce():
-                self._core.announcer.want()
+                self._state.load_broadcaster.schedule()
 
-    def _announce(self, now: float) -> None:
-        due_at = self._core.announcer.due_at()
+    def _broadcast_due_load(self, now: float) -> None:
+        due_at = self._state.load_broadcaster.due_at()
         if due_at is not None and now >= due_at:
-            load = self._core.admission.load()
-            self._core.announcer.send(now, load)
+            load = self._state.admission.load()
+            self._state.load_broadcaster.send(now, load)
 
-    def _resized(self, now: float, event: Resized) -> Effects:
-        return self._core.admission.resize(now, event.limit)
+    def _limit_changed(self, now: float, event: LimitChanged) -> Effects:
+        return self._state.admission.resize(now, event.limit)
 
-    def _drain_began(self, now: float, event: DrainBegan) -> Effects:
-        _LOG.info('draining', requests=len(self._core.live))
+    def _drain_started(self, now: float, event: DrainStarted) -> Effects:
+        _LOG.info('draining', requests=len(self._state.attempts))
         self._idle = event.idle
-        # Orders come over links that hear of the drain: unlike a balancer
-        # in front of an entry, nobody needs time to notice.
+        # Run requests come from entries that receive the drain notice over
+        # their links: unlike a balancer in front of an entry, they need no
+        # time to notice it.
         self._drain.fire(DrainEvent.DRAIN)
         self._drain.fire(DrainEvent.SHUT)
-        effects = self._core.admission.drain(now)
+        effects = self._state.admission.drain(now)
         return [*effects, Announce()]
 
-    def _cut_off(self, now: float, event: CutOff) -> Effects:
+    def _drain_timed_out(self, now: float, event: DrainTimedOut) -> Effects:
         if self._drain.state is DrainState.DRAINING:
             self._drain.fire(DrainEvent.DEADLINE)
-            _LOG.error('drain took too long', cut=len(self._core.live))
-        self._core.live.close()
+            _LOG.error(
+                'drain timed out; cancelling the running requests',
+                cut=len(self._state.attempts),
+            )
+        self._state.attempts.close()
         return ()
 
-    def _status_asked(self, now: float, event: StatusAsked) -> Effects:
-        identity = self._core.identity
-        load = self._core.admission.load()
-        configured = self._core.exchange.configuration.pool() is not None
+    def _status_requested(self, now: float, event: StatusRequested) -> Effects:
+        identity = self._state.identity
+        load = self._state.admission.load()
+        configured = (
+            self._state.configuration_sync.configuration.pool() is not None
+        )
         serving = load.phase is SidePhase.SERVING
         status = SideStatus(
             instance=identity.instance,
@@ -182,8 +192,8 @@
             failure_domain=identity.failure_domain,
             ready=configured and serving and load.limit > 0,
             load=load,
-            configuration=self._core.exchange.configuration.digest(),
-            links=tuple(link.peer.instance for link in self._core.links),
+            configuration=self._state.configuration_sync.configuration.digest(),
+            links=tuple(link.peer.instance for link in self._state.links),
         )
-        event.answers.send_nowait(status)
+        event.responses.send_nowait(status)
         return ()
--- a/src/sardinetrack/side/questions.py
+++ b/src/sardinetrack/side/owner_queries.py
@@ -1,4 +1,4 @@
-"""Ask the owner task a question and wait for its answer."""
+"""Queries to the owner task."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 Answer = TypeVar('Answer')
 
 
-async def ask_owner(
+async def query_owner(
     owner: SideEvents,
-    question: Callable[[MemoryObjectSendStream[Answer]], SideEvent],
+    build_event: Callable[[MemoryObjectSendStream[Answer]], SideEvent],
 ) -> Answer:
-    """Send a question with a stream for one answer.
+    """Send a query event to the owner task and wait for the response.
 
-    :param question: builds the event around the stream.
+    :param build_event: builds the event around the stream for its response.
     :raises AnsweredError: the owner task has ended.
     """
-    answered, answers = anyio.create_memory_object_stream[Answer](1)
-    with answers:
+    sender, receiver = anyio.create_memory_object_stream[Answer](1)
+    with receiver:
         try:
-            await owner.send(question(answered))
-            return await answers.receive()
+            await owner.send(build_event(sender))
+            return await receiver.receive()
         except (anyio.BrokenResourceError, anyio.EndOfStream) as error:
             raise AnsweredError(ErrorKind.INTERNAL, 'closing') from error
--- a/src/sardinetrack/side/core.py
+++ b/src/sardinetrack/side/owner_state.py
@@ -1,4 +1,4 @@
-"""What the owner task holds; its event handlers share it."""
+"""State of the owner task, shared by its event handlers."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from sardinetrack.admission.api import Admission, SideEffect
 from sardinetrack.links.table import LinkTable
+from sardinetrack.side.active_attempts import ActiveAttempts
 from sardinetrack.side.backend_watch import ProbeNow
 from sardinetrack.side.configuration import SideConfiguration
 from sardinetrack.side.identity import SideIdentity
-from sardinetrack.side.links_state import (
-    Announcer,
-    ConfigurationExchange,
-    Grants,
+from sardinetrack.side.link_state import (
+    ConfigurationSync,
+    GrantTracker,
+    LoadBroadcaster,
 )
-from sardinetrack.side.live import LiveAttempts
 from sardinetrack.side.log import DecisionLog
 from sardinetrack.side.metrics import SideMetrics
 
@@ -25,16 +25,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnerCore:
-    """State of the owner task; nobody else touches it."""
+class OwnerState:
+    """State of the owner task; no other task accesses it."""
 
     identity: SideIdentity
     admission: Admission
-    live: LiveAttempts
+    attempts: ActiveAttempts
     links: LinkTable
-    grants: Grants
-    exchange: ConfigurationExchange
-    announcer: Announcer
+    grants: GrantTracker
+    configuration_sync: ConfigurationSync
+    load_broadcaster: LoadBroadcaster
     metrics: SideMetrics
 
     @classmethod
@@ -45,16 +45,16 @@
         configuration: SideConfiguration,
         metrics: SideMetrics,
         probe: MemoryObjectSendStream[ProbeNow],
-    ) -> OwnerCore:
-        """Start with no links and no attempts."""
+    ) -> OwnerState:
+        """Create the state, without links and attempts."""
         links = LinkTable()
         return cls(
             identity=identity,
             admission=admission,
-            live=LiveAttempts(DecisionLog(identity), metrics),
+            attempts=ActiveAttempts(DecisionLog(identity), metrics),
             links=links,
-            grants=Grants(links),
-            exchange=ConfigurationExchange(configuration, links, probe),
-            announcer=Announcer(links),
+            grants=GrantTracker(links),
+            configuration_sync=ConfigurationSync(configuration, links, probe),
+            load_broadcaster=LoadBroadcaster(links),
             metrics=metrics,
         )
--- a/src/sardinetrack/side/parts.py
+++ b/src/sardinetrack/side/parts.py
@@ -1,4 +1,4 @@
-"""What the composition root hands to a side."""
+"""What a side is built from."""
 
 from __future__ import annotations
 
@@ -29,6 +29,6 @@
     concurrency: ConcurrencyLimit = field(default_factory=FixedLimit)
     link_bounds: LinkBounds = field(default_factory=LinkBounds)
     platform: Platform | None = None
-    """Holds the lease; without it a side gives no orders."""
+    """Stores the lease; without it a side sends no load commands."""
     send_seconds: float = _SEND_SECONDS
-    """How long an entry may leave a piece of its answer unread."""
+    """How long an entry may leave a chunk of its response unread."""
--- a/src/sardinetrack/side/peer_application.py
+++ b/src/sardinetrack/side/peer_application.py
@@ -10,9 +10,9 @@
 from sardinetrack.links.secret import AUTHORIZATION_HEADER, PeerSecret
 from sardinetrack.links.server import LinkAcceptor
 from sardinetrack.messages.run import ATTEMPT_PATH, RUN_PATH
-from sardinetrack.side.answers import answer_error
 from sardinetrack.side.attempt_endpoint import AttemptEndpoint
 from sardinetrack.side.events import SideEvents
+from sardinetrack.side.responses import send_error
 from sardinetrack.side.routes import Routes
 from sardinetrack.side.run_endpoint import RunEndpoint
 from sardinetrack.side.status import StatusSource
@@ -22,7 +22,7 @@
 
 
 class PeerApplication:
-    """Everything that peers may call; nobody gets in without the secret."""
+    """All endpoints for peers; each call must present the peer secret."""
 
     def __init__(
         self,
@@ -31,7 +31,13 @@
         owner: SideEvents,
         run: RunEndpoint,
     ) -> None:
-        """Build the table."""
+        """Build the routing table.
+
+        :param secret: the secret that all peers share.
+        :param acceptor: accepts links.
+        :param owner: stream of events to the owner task.
+        :param run: handles run requests.
+        """
         self._secret = secret
         self._acceptor = acceptor
         self._routes = Routes(
@@ -48,17 +54,17 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer one request or accept one link."""
+        """Handle one request or accept one link."""
         if scope[_TYPE] == 'http':
-            await self._answer(Exchange(scope, receive, send))
+            await self._handle(Exchange(scope, receive, send))
         elif scope['path'] == LINK_PATH:
             await self._acceptor(scope, receive, send)
         else:
             await send({_TYPE: 'websocket.close'})
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: Exchange) -> None:
         if self._secret.matches(exchange.header(AUTHORIZATION_HEADER)):
-            await self._routes.answer(exchange)
+            await self._routes.handle(exchange)
         else:
             error = AnsweredError(ErrorKind.PEER_REFUSED)
-            await answer_error(exchange, error)
+            await send_error(exchange, error)
--- a/src/sardinetrack/side/refusals.py
+++ b/src/sardinetrack/side/refusals.py
@@ -1,4 +1,4 @@
-"""Why the daemon itself refuses an order, before the decision is asked."""
+"""Refusals by the daemon itself, without a decision of the admission object."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DaemonRefusal(StrEnum):
-    """Reasons beside those of the decision object."""
+    """Reasons besides those of the admission object."""
 
     BAD_ORDER = 'bad_order'
     OTHER_INCARNATION = 'other_incarnation'
--- a/src/sardinetrack/side/relayed.py
+++ b/src/sardinetrack/side/relayed.py
@@ -1,4 +1,4 @@
-"""The configuration of a side, as entries relay it."""
+"""Configuration of a side, as relayed by entries."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class RelayedConfiguration(SideConfiguration):
-    """The catalogue's view, narrowed to the side's own pool."""
+    """The catalogue as received from entries, limited to the side's pool."""
 
     def __init__(self, pool: str) -> None:
-        """Start empty.
+        """Create a configuration without any objects.
 
         :param pool: the pool of the side's backend server.
         """
-        self._name = pool
+        self._pool_name = pool
         self._view = CatalogueView()
 
     def pool(self) -> Pool | None:
-        """The side's own pool; ``None`` before any configuration came."""
+        """The side's own pool; ``None`` until a configuration was received."""
         for pool in self._view.pools():
-            if pool.name == self._name:
+            if pool.name == self._pool_name:
                 return pool
         return None
 
     def apply(self, update: ConfigUpdate) -> bool:
-        """Take in newer objects; older ones change nothing."""
+        """Apply newer objects and ignore older ones."""
         return self._view.apply(update)
 
     def digest(self) -> ConfigDigest:
-        """Describe in brief what is in force."""
+        """Summarise the active configuration."""
         return self._view.digest()
 
     def update_for(self, peer: ConfigDigest) -> ConfigUpdate | None:
-        """Collect what a peer lacks."""
+        """Collect the objects that a peer lacks."""
         return self._view.update_for(peer)
--- a/src/sardinetrack/side/answers.py
+++ b/src/sardinetrack/side/responses.py
@@ -1,4 +1,4 @@
-"""Answers of a side's endpoints."""
+"""Responses of a side's HTTP endpoints."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 )
 
 
-class ErrorAnswer(Struct, frozen=True):
-    """Body of a refused call."""
+class PeerErrorBody(Struct, frozen=True):
+    """Body of an error response."""
 
     code: str
     message: str
 
 
-async def answer_error(exchange: Exchange, error: AnsweredError) -> None:
-    """Answer with the error's row of the table."""
+async def send_error(exchange: Exchange, error: AnsweredError) -> None:
+    """Respond with the status and message of the error's kind."""
     row = answer_for(error.kind)
-    content = ErrorAnswer(error.kind.value, error.detail or row.message)
+    content = PeerErrorBody(error.kind.value, error.detail or row.message)
     await exchange.answer_json(row.status, content)
 
 
-async def answer_result(
+async def send_result(
     exchange: Exchange,
     run_result: RunResult,
     status: int | None = None,
 ) -> None:
-    """Answer an order that brings no answer of the backend server.
+    """Respond to a run request without a response of the backend server.
 
-    :param status: ``None`` for the usual one of the result's fate.
+    :param status: ``None`` for the default status of the result's fate.
     """
     await exchange.answer(
         status or _STATUS_OF_FATE.get(run_result.fate, HTTPStatus.CONFLICT),
@@ -57,16 +57,16 @@
     )
 
 
-async def start_answer(
+async def start_response(
     exchange: Exchange,
     run_result: RunResult,
-    reply: StreamedReply,
+    response: StreamedReply,
 ) -> None:
-    """Begin to pass on an answer of the backend server."""
+    """Start the response that passes on that of the backend server."""
     await exchange.start(
         HTTPStatus.OK,
         [
             (RESULT_HEADER, result_text(run_result)),
-            (SERVER_HEADERS_HEADER, server_headers_text(reply.headers)),
+            (SERVER_HEADERS_HEADER, server_headers_text(response.headers)),
         ],
     )
--- a/src/sardinetrack/side/routes.py
+++ b/src/sardinetrack/side/routes.py
@@ -1,4 +1,4 @@
-"""Find the handler of a request; answer failures by the closed table."""
+"""Routing of HTTP requests to handlers; errors become error responses."""
 
 from __future__ import annotations
 
@@ -6,29 +6,33 @@
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.asgi import CallerGoneError, Exchange
-from sardinetrack.side.answers import answer_error
+from sardinetrack.side.responses import send_error
 
 Handler = Callable[[Exchange], Awaitable[None]]
 
 
 class Routes:
-    """Finds the handler of a method and path."""
+    """Dispatches requests by method and path."""
 
     def __init__(self, handlers: Mapping[tuple[str, str], Handler]) -> None:
-        """Remember the table; a path that ends in a slash is a prefix."""
+        """Create the routing table.
+
+        :param handlers: handlers by method and path; a path that ends in a
+            slash is a prefix.
+        """
         self._handlers = dict(handlers)
         self._paths = {path for _, path in handlers}
 
-    async def answer(self, exchange: Exchange) -> None:
-        """Answer one request; failures get their row of the table."""
+    async def handle(self, exchange: Exchange) -> None:
+        """Handle one request; an error gets the response of its kind."""
         try:
-            await self._handler(exchange)(exchange)
+            await self._find_handler(exchange)(exchange)
         except AnsweredError as error:
-            await answer_error(exchange, error)
+            await send_error(exchange, error)
         except CallerGoneError:
             return
 
-    def _handler(self, exchange: Exchange) -> Handler:
+    def _find_handler(self, exchange: Exchange) -> Handler:
         path = exchange.path
         if path not in self._paths:
             path = path[: path.rfind('/') + 1]
--- a/src/sardinetrack/side/run_parts.py
+++ b/src/sardinetrack/side/run_dependencies.py
@@ -1,4 +1,4 @@
-"""What the tasks of orders share."""
+"""What the tasks of run requests share."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunParts:
-    """Parts of the side that each order's task uses."""
+class RunDependencies:
+    """Parts of the side that each run request's task uses."""
 
     identity: SideIdentity
     configuration: SideConfiguration
@@ -30,8 +30,8 @@
     metrics: SideMetrics
     send_seconds: float
 
-    def note_refusal(self, order: RunOrder | None, reason: str) -> None:
-        """Log and count an order that the daemon itself refuses."""
+    def record_refusal(self, run_request: RunOrder | None, reason: str) -> None:
+        """Log and count a run request that the daemon itself refuses."""
         self.metrics.refused.labels(reason).inc()
-        if order is not None:
-            self.log.decided('refuse', order, reason)
+        if run_request is not None:
+            self.log.record('refuse', run_request, reason)
--- a/src/sardinetrack/side/run_endpoint.py
+++ b/src/sardinetrack/side/run_endpoint.py
@@ -1,4 +1,4 @@
-"""``POST /peer/v1/run``: take in one order."""
+"""``POST /peer/v1/run``: receive a run request."""
 
 from __future__ import annotations
 
@@ -13,83 +13,84 @@
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.messages.run import RUN_HEADER, Fate, RunOrder, RunResult
 from sardinetrack.messages.run_codec import read_order
-from sardinetrack.side.answers import answer_result
 from sardinetrack.side.attempt import Attempt
-from sardinetrack.side.handover import HandOver
+from sardinetrack.side.backend_run import BackendRun
 from sardinetrack.side.refusals import DaemonRefusal
-from sardinetrack.side.run_parts import RunParts
+from sardinetrack.side.responses import send_result
+from sardinetrack.side.run_dependencies import RunDependencies
 from sardinetrack.side.run_task import RunTask
 
 _BODY_SECONDS: Final = 30.0
 
 
 class RunEndpoint:
-    """Reads an order and its whole body, then asks for a decision.
+    """Reads a run request and its complete body, then requests a decision.
 
-    The body comes first: a slot that waited for the bytes of a slow entry
-    would idle.
+    The body is read first: a slot that waits for the bytes of a slow entry
+    would be idle.
     """
 
-    def __init__(self, parts: RunParts) -> None:
-        """Remember the parts."""
-        self._parts = parts
+    def __init__(self, dependencies: RunDependencies) -> None:
+        self._dependencies = dependencies
 
     async def __call__(self, exchange: Exchange) -> None:
-        """Answer one order."""
+        """Handle one run request."""
         try:
-            order = _read_order(exchange)
+            run_request = _read_run_request(exchange)
         except msgspec.DecodeError:
             reason = DaemonRefusal.BAD_ORDER
             await self._refuse(exchange, None, reason, HTTPStatus.BAD_REQUEST)
             return
-        pool = self._parts.configuration.pool()
+        pool = self._dependencies.configuration.pool()
         if pool is None:
             reason = DaemonRefusal.NO_CONFIGURATION
-            await self._refuse(exchange, order, reason)
-        elif order.incarnation == self._parts.identity.incarnation:
-            await self._take(exchange, order, pool)
+            await self._refuse(exchange, run_request, reason)
+        elif run_request.incarnation == self._dependencies.identity.incarnation:
+            await self._admit(exchange, run_request, pool)
         else:
-            # The entry means a process that this one has replaced.
+            # The request is meant for a process that this one has replaced.
             reason = DaemonRefusal.OTHER_INCARNATION
-            await self._refuse(exchange, order, reason)
+            await self._refuse(exchange, run_request, reason)
 
-    async def _take(
+    async def _admit(
         self,
         exchange: Exchange,
-        order: RunOrder,
+        run_request: RunOrder,
         pool: Pool,
     ) -> None:
         try:
             body = await exchange.body(pool.max_body_bytes, _BODY_SECONDS)
         except AnsweredError as error:
             status = answer_for(error.kind).status
-            await self._refuse(exchange, order, error.kind, status)
+            await self._refuse(exchange, run_request, error.kind, status)
             return
-        async with Attempt(order, self._parts.owner) as attempt:
-            hand_over = HandOver(attempt, exchange, pool, self._parts)
+        async with Attempt(run_request, self._dependencies.owner) as attempt:
+            backend_run = BackendRun(
+                attempt, exchange, pool, self._dependencies
+            )
             task = RunTask(exchange, attempt, pool.max_run_seconds)
-            await task.run(hand_over, body)
+            await task.run(backend_run, body)
 
     async def _refuse(
         self,
         exchange: Exchange,
-        order: RunOrder | None,
+        run_request: RunOrder | None,
         reason: str,
         status: HTTPStatus = HTTPStatus.CONFLICT,
     ) -> None:
-        # The decision object has not seen the order, so this is final: the
+        # The admission object has not seen the request, so this is final: the
         # entry sends it only once, on this connection.
         run_result = RunResult(
             Fate.NOT_STARTED,
-            self._parts.identity.incarnation,
+            self._dependencies.identity.incarnation,
             reason=reason,
         )
-        self._parts.note_refusal(order, reason)
-        await answer_result(exchange, run_result, status)
+        self._dependencies.record_refusal(run_request, reason)
+        await send_result(exchange, run_result, status)
 
 
-def _read_order(exchange: Exchange) -> RunOrder:
-    order = read_order(exchange.header(RUN_HEADER) or '')
-    if not order.path.startswith('/'):
+def _read_run_request(exchange: Exchange) -> RunOrder:
+    run_request = read_order(exchange.header(RUN_HEADER) or '')
+    if not run_request.path.startswith('/'):
         raise msgspec.ValidationError('the path must start with a slash')
-    return order
+    return run_request
--- a/src/sardinetrack/side/run_task.py
+++ b/src/sardinetrack/side/run_task.py
@@ -1,4 +1,4 @@
-"""Follow one order from its arrival to its answer."""
+"""Handle one run request from its submission to its response."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.messages.run import Fate, RunResult
-from sardinetrack.side.answers import answer_result
 from sardinetrack.side.attempt import Attempt
+from sardinetrack.side.backend_run import BackendRun
 from sardinetrack.side.events import Refused, Started
-from sardinetrack.side.handover import HandOver
+from sardinetrack.side.responses import send_result
 
 
-class BrokenAnswerError(Exception):
-    """The answer ended early; raised so that the connection breaks too."""
+class ResponseTruncatedError(Exception):
+    """The response ended early; raised so that the connection breaks too."""
 
 
 class RunTask:
-    """Waits for the verdict, runs the request, minds the entry."""
+    """Waits for the decision, runs the request and watches the entry."""
 
     def __init__(
         self,
@@ -25,56 +25,61 @@
         attempt: Attempt,
         max_run_seconds: float,
     ) -> None:
-        """Prepare the task of a submitted order."""
+        """Create the task of a submitted run request.
+
+        :param exchange: the entry's HTTP exchange.
+        :param attempt: the submitted attempt.
+        :param max_run_seconds: the request is cancelled when it runs longer.
+        """
         self._exchange = exchange
         self._attempt = attempt
         self._max_run_seconds = max_run_seconds
-        self._answered = False
-        self._gone = False
+        self._response_sent = False
+        self._entry_disconnected = False
 
-    async def run(self, hand_over: HandOver, body: bytes) -> None:
-        """Answer the entry.
+    async def run(self, backend_run: BackendRun, body: bytes) -> None:
+        """Run the request and respond to the entry.
 
-        :raises BrokenAnswerError: the answer could not be completed.
+        :raises ResponseTruncatedError: the response could not be completed.
         """
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._mind_entry, tasks.cancel_scope)
-            verdict = await self._attempt.verdict()
-            if isinstance(verdict, Refused):
-                await answer_result(self._exchange, verdict.run_result)
-                self._answered = True
+            tasks.start_soon(self._watch_entry, tasks.cancel_scope)
+            decision = await self._attempt.decision()
+            if isinstance(decision, Refused):
+                await send_result(self._exchange, decision.run_result)
+                self._response_sent = True
             else:
-                tasks.start_soon(self._mind_stop, tasks.cancel_scope)
-                await self._hand_over(hand_over, body, verdict)
+                tasks.start_soon(self._watch_stop, tasks.cancel_scope)
+                await self._run_backend(backend_run, body, decision)
             tasks.cancel_scope.cancel()
-        if not self._answered:
-            await self._break_off()
+        if not self._response_sent:
+            await self._abort_response()
 
-    async def _hand_over(
+    async def _run_backend(
         self,
-        hand_over: HandOver,
+        backend_run: BackendRun,
         body: bytes,
         started: Started,
     ) -> None:
         with anyio.move_on_after(self._max_run_seconds):
-            self._answered = await hand_over.run(body, started)
+            self._response_sent = await backend_run.run(body, started)
 
-    async def _mind_entry(self, scope: anyio.CancelScope) -> None:
+    async def _watch_entry(self, scope: anyio.CancelScope) -> None:
         await self._exchange.gone()
-        self._gone = True
+        self._entry_disconnected = True
         scope.cancel()
 
-    async def _mind_stop(self, scope: anyio.CancelScope) -> None:
-        await self._attempt.stopped()
+    async def _watch_stop(self, scope: anyio.CancelScope) -> None:
+        await self._attempt.wait_stopped()
         scope.cancel()
 
-    async def _break_off(self) -> None:
-        if self._gone:
+    async def _abort_response(self) -> None:
+        if self._entry_disconnected:
             return
         if self._exchange.started:
-            raise BrokenAnswerError(self._attempt.order.attempt_id)
-        incarnation = self._attempt.order.incarnation
-        await answer_result(
+            raise ResponseTruncatedError(self._attempt.run_request.attempt_id)
+        incarnation = self._attempt.run_request.incarnation
+        await send_result(
             self._exchange,
             RunResult(Fate.STOPPED, incarnation, reason='stopped'),
         )
--- a/src/sardinetrack/side/wiring.py
+++ b/src/sardinetrack/side/wiring.py
@@ -1,4 +1,4 @@
-"""Put the tasks and applications of a side together."""
+"""Builds and connects the tasks and applications of a side."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from sardinetrack.links.server import LinkAcceptor
 from sardinetrack.side.backend import BackendServer
 from sardinetrack.side.backend_watch import BackendWatch, ProbeNow
-from sardinetrack.side.core import OwnerCore
 from sardinetrack.side.events import SideEvent
 from sardinetrack.side.identity import SideIdentity
 from sardinetrack.side.log import DecisionLog
 from sardinetrack.side.metrics import SideMetrics
 from sardinetrack.side.operator_application import OperatorApplication
 from sardinetrack.side.owner import AdmissionOwner
+from sardinetrack.side.owner_state import OwnerState
 from sardinetrack.side.parts import SideParts
 from sardinetrack.side.peer_application import PeerApplication
+from sardinetrack.side.run_dependencies import RunDependencies
 from sardinetrack.side.run_endpoint import RunEndpoint
-from sardinetrack.side.run_parts import RunParts
 
 _WAITING_EVENTS: Final = 1024
 
@@ -28,35 +28,38 @@
 class Wiring:
     """The objects of one side, connected by memory streams."""
 
-    def __init__(self, parts: SideParts, client: HttpClient) -> None:
-        """Connect everything.
+    def __init__(self, dependencies: SideParts, client: HttpClient) -> None:
+        """Build and connect the objects.
 
-        :param client: for calls on the backend server.
+        :param dependencies: settings and decision objects of the side.
+        :param client: for calls to the backend server.
         """
-        self._parts = parts
-        self._identity = SideIdentity.of(parts.settings, parts.incarnation)
+        self._dependencies = dependencies
+        self._identity = SideIdentity.of(
+            dependencies.settings, dependencies.incarnation
+        )
         self._metrics = SideMetrics()
         self._backend = BackendServer(
-            parts.settings.backend_server,
-            str(parts.settings.backend_url),
+            dependencies.settings.backend_server,
+            str(dependencies.settings.backend_url),
             client,
         )
         streams = anyio.create_memory_object_stream[SideEvent](_WAITING_EVENTS)
         self.events = streams[0]
         probes = anyio.create_memory_object_stream[ProbeNow](1)
         self._probe = probes[0]
-        core = OwnerCore.build(
+        state = OwnerState.build(
             self._identity,
-            parts.admission,
-            parts.configuration,
+            dependencies.admission,
+            dependencies.configuration,
             self._metrics,
             self._probe,
         )
-        self.owner = AdmissionOwner(core, streams[1])
+        self.owner = AdmissionOwner(state, streams[1])
         self.watch = BackendWatch(
             self._backend,
-            parts.configuration,
-            parts.concurrency,
+            dependencies.configuration,
+            dependencies.concurrency,
             self.events,
             probes[1],
         )
@@ -65,23 +68,23 @@
         """Build the application for peers."""
         acceptor = LinkAcceptor(
             self._identity.hello(),
-            self._parts.peer_secret,
+            self._dependencies.peer_secret,
             self.events,
-            bounds=self._parts.link_bounds,
+            bounds=self._dependencies.link_bounds,
         )
         run = RunEndpoint(
-            RunParts(
+            RunDependencies(
                 identity=self._identity,
-                configuration=self._parts.configuration,
+                configuration=self._dependencies.configuration,
                 backend=self._backend,
                 owner=self.events,
                 probe=self._probe,
                 log=DecisionLog(self._identity),
                 metrics=self._metrics,
-                send_seconds=self._parts.send_seconds,
+                send_seconds=self._dependencies.send_seconds,
             ),
         )
-        secret = self._parts.peer_secret
+        secret = self._dependencies.peer_secret
         return PeerApplication(secret, acceptor, self.events, run)
 
     def operator_application(self) -> OperatorApplication:
@@ -89,5 +92,5 @@
         return OperatorApplication(
             self.events,
             self._metrics,
-            self._parts.settings.model_dump(mode='json'),
+            self._dependencies.settings.model_dump(mode='json'),
         )
--- a/tests/side/backend_kinds.feature
+++ b/tests/side/backend_kinds.feature
@@ -2,26 +2,26 @@
 
   Scenario Outline: Model engines
     Given a side of a model pool
-    When an order for "<path>" brings ""
-    Then the attempt has ended whole with cost <cost>
+    When a run request for "<path>" with body "" is sent
+    Then the attempt has ended complete with cost <cost>
 
     Examples:
       | path    | cost |
       | /events | 2    |
       | /usage  | 40   |
 
-  Scenario: A frozen engine is offered no work
-    The engine's process is stopped. It still takes connections, answers
-    nothing, and would swallow every request that finds a free slot. After a
-    few seconds without a load report the side offers none; when the engine
-    answers again, all of them.
+  Scenario: A frozen engine is offered no requests
+    The engine's process is suspended. It still accepts connections, responds
+    to nothing, and would accept a request for each free slot. After a few
+    seconds without a load report the side offers no slots; when the engine
+    responds again, it offers all of them.
     Given a side of a model pool
-    When the engine freezes
+    When the engine is suspended
     Then the side offers 0 slots
-    When the engine thaws
+    When the engine is resumed
     Then the side offers 2 slots
 
-  Scenario: Plain services cost their run time
+  Scenario: The cost of plain services is their run time
     Given a side with 2 slots and its configuration
-    When an order for "/echo" brings ""
-    Then the attempt has ended whole with a cost above nothing
+    When a run request for "/echo" with body "" is sent
+    Then the attempt has ended complete with a positive cost
--- a/tests/side/side_backend.py
+++ b/tests/side/side_backend.py
@@ -1,4 +1,4 @@
-"""A backend server that does what the path says."""
+"""A scripted backend server: the path selects what it does."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     checks_fencing=frozenset(),
     prompt_token_cost=0.1,
 )
-ORDER: Final = RunOrder(
+RUN_REQUEST: Final = RunOrder(
     attempt_id='a1',
     incarnation=INCARNATION,
     entry='entry-1',
@@ -44,24 +44,24 @@
 
 
 class Backend:
-    """A backend server that does what its path says."""
+    """A backend server whose behaviour depends on the path."""
 
     def __init__(self) -> None:
         self.executions: list[str] = []
         self.bodies: list[bytes] = []
         self.cancelled = anyio.Event()
         self.gate = anyio.Event()
-        self.thawed = anyio.Event()
-        self.thawed.set()
+        self.responsive = anyio.Event()
+        self.responsive.set()
 
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Do what the path says."""
+        """Run the method named after the path."""
         exchange = Exchange(scope, receive, send)
         body = await exchange.body(10_000, _BODY_SECONDS)
         if exchange.path == '/load':
-            await self.thawed.wait()
+            await self.responsive.wait()
             await exchange.answer_json(200, {'running': 0})
             return
         self.executions.append(exchange.target)
@@ -99,7 +99,7 @@
         await exchange.start(200, ())
         await exchange.write(b'first ')
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._note_cancel, exchange)
+            tasks.start_soon(self._record_cancel, exchange)
             await self.gate.wait()
             tasks.cancel_scope.cancel()
         await exchange.finish(b'last')
@@ -107,16 +107,16 @@
     async def _flood(self, exchange: Exchange, body: bytes) -> None:
         await exchange.start(200, ())
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._note_cancel, exchange)
+            tasks.start_soon(self._record_cancel, exchange)
             while not self.cancelled.is_set():
                 await exchange.write(b'x' * 65_536)
                 await checkpoint()
 
-    async def _note_cancel(self, exchange: Exchange) -> None:
+    async def _record_cancel(self, exchange: Exchange) -> None:
         await exchange.gone()
         self.cancelled.set()
 
     async def _cut(self, exchange: Exchange, body: bytes) -> None:
         await exchange.start(200, ())
         await exchange.write(b'half of it')
-        raise ConnectionError('the backend server breaks its stream')
+        raise ConnectionError('the backend server truncates its stream')
--- a/tests/side/side_fakes.py
+++ b/tests/side/side_fakes.py
@@ -1,4 +1,4 @@
-"""Scripted decision object and configuration of a side."""
+"""Scripted admission object and configuration of a side."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 )
 from sardinetrack.messages.run import Fate
 from sardinetrack.side.configuration import SideConfiguration
-from sardinetrack.side.events import Left
+from sardinetrack.side.events import AttemptEnded
 
 
 class FakeAdmission(Admission):
-    """Starts whatever fits into its slots, refuses the rest."""
+    """Starts requests while slots are free, refuses the others."""
 
     def __init__(self) -> None:
         self.arrivals: list[Arrival] = []
@@ -41,7 +41,7 @@
         self.fates: dict[str, Fate] = {}
         self.draining = False
         self.calls: list[str] = []
-        self.ends: list[Left] = []
+        self.ends: list[AttemptEnded] = []
 
     @property
     def running(self) -> int:
@@ -49,7 +49,7 @@
         return list(self.fates.values()).count(Fate.RUNNING)
 
     def arrive(self, now: float, arrival: Arrival) -> Sequence[SideEffect]:
-        """Start what fits."""
+        """Start the request if a slot is free."""
         self.arrivals.append(arrival)
         known = self.fates.get(arrival.attempt_id)
         if known is not None:
@@ -77,12 +77,12 @@
     def decline(
         self, now: float, entry: str, number: int
     ) -> Sequence[SideEffect]:
-        """Note the call."""
+        """Record the call."""
         self.calls.append(f'decline {entry} {number}')
         return ()
 
     def entry_lost(self, now: float, entry: str) -> Sequence[SideEffect]:
-        """Note the call."""
+        """Record the call."""
         self.calls.append(f'lost {entry}')
         return ()
 
@@ -95,22 +95,22 @@
         cost: float,
         stopped: bool = False,
     ) -> Sequence[SideEffect]:
-        """Note the end."""
+        """Record the end."""
         fate = Fate.STOPPED if stopped else Fate.FAILED
         self.fates[attempt_id] = Fate.FINISHED if whole else fate
-        self.ends.append(Left(attempt_id, whole, cost))
+        self.ends.append(AttemptEnded(attempt_id, whole, cost))
         return [Announce()]
 
     def query(
         self, now: float, attempt_id: str, *, cancel: bool
     ) -> tuple[Fate, Sequence[SideEffect]]:
-        """Tell the fate; an unseen attempt never starts."""
+        """Return the fate; an unknown attempt never starts."""
         fate = self.fates.setdefault(attempt_id, Fate.NOT_STARTED)
         stop = cancel and fate is Fate.RUNNING
         return fate, [Stop(attempt_id)] if stop else []
 
     def resize(self, now: float, limit: int) -> Sequence[SideEffect]:
-        """Change the slots."""
+        """Change the number of slots."""
         self.limit = limit
         return [Announce()]
 
@@ -124,7 +124,7 @@
         return ()
 
     def load(self) -> SideLoad:
-        """Describe the slots."""
+        """Return the load."""
         return SideLoad(
             INCARNATION,
             SidePhase.DRAINING if self.draining else SidePhase.SERVING,
@@ -135,24 +135,24 @@
 
 
 class FakeConfiguration(SideConfiguration):
-    """One pool, in force from the first update on."""
+    """One pool, active from the first update on."""
 
     def __init__(self, pool: Pool) -> None:
         self.revision = 0
         self._pool = pool
 
     def pool(self) -> Pool | None:
-        """Hand out the pool once configured."""
+        """Return the pool once configured."""
         return self._pool if self.revision else None
 
     def apply(self, update: ConfigUpdate) -> bool:
-        """Take a newer revision."""
+        """Apply a newer revision."""
         newer = update.revision > self.revision
         self.revision = max(update.revision, self.revision)
         return newer
 
     def digest(self) -> ConfigDigest:
-        """Name the revision."""
+        """Return the digest of the revision."""
         return ConfigDigest(self.revision, f'digest {self.revision}')
 
     def update_for(self, peer: ConfigDigest) -> ConfigUpdate | None:
--- a/tests/side/side_world.py
+++ b/tests/side/side_world.py
@@ -39,25 +39,25 @@
 
 SECRET: Final = PeerSecret('winter-harbour')
 WAIT_SECONDS: Final = 15.0
-PAUSE_SECONDS: Final = 0.01
-MOST_TRIES: Final = 1500
+POLL_INTERVAL_SECONDS: Final = 0.01
+MAX_POLLS: Final = 1500
 
 
 class World:
-    """A running side and what the steps need of it."""
+    """A running side and the clients that the steps use."""
 
     def __init__(
         self,
         side: Side,
         backend: Backend,
         server: BoundServer,
-        parts: SideParts,
+        dependencies: SideParts,
     ) -> None:
         self.side = side
         self.server = server
         self.backend = backend
-        self.parts = parts
-        self.admission: Any = parts.admission
+        self.dependencies = dependencies
+        self.admission: Any = dependencies.admission
         self.client = HttpClient()
         streams = anyio.create_memory_object_stream[Any](1000)
         self.sink = streams[0]
@@ -71,78 +71,80 @@
         """Build the address of an operator endpoint."""
         return self.side.operator.url + path
 
-    async def order(self, order: RunOrder, body: bytes = b'') -> Any:
-        """Send an order; read the whole answer."""
-        async with self.streamed(order, body) as reply:
-            status, answer = reply.status, reply.run_result
-            body = await read_all(reply.chunks())
-            return Answered(status, answer, reply.headers, body)
+    async def send_run_request(
+        self, run_request: RunOrder, body: bytes = b''
+    ) -> Any:
+        """Send a run request and read the complete response."""
+        async with self.streamed(run_request, body) as response:
+            status, run_outcome = response.status, response.run_result
+            body = await read_all(response.chunks())
+            return ReceivedResponse(status, run_outcome, response.headers, body)
 
     @asynccontextmanager
     async def streamed(
-        self, order: RunOrder, body: bytes = b''
+        self, run_request: RunOrder, body: bytes = b''
     ) -> AsyncIterator[RunReply]:
-        """Send an order; hand out its answer while it arrives."""
+        """Send a run request and yield its response while it arrives."""
         async with self.client.stream(
             'POST',
             self.peer_url(RUN_PATH),
-            headers=[SECRET.header(), (RUN_HEADER, order_text(order))],
+            headers=[SECRET.header(), (RUN_HEADER, order_text(run_request))],
             body=body,
-        ) as reply:
-            yield RunReply(reply)
+        ) as response:
+            yield RunReply(response)
 
-    async def ask(
+    async def query_attempt(
         self,
         attempt_id: str,
         incarnation: str = INCARNATION,
         cancel: bool = False,
     ) -> Fate:
-        """Ask for the fate of an attempt."""
+        """Send a status query and return the fate of the attempt."""
         query = AttemptQuery(attempt_id, incarnation, cancel)
-        reply = await self.client.call(
+        response = await self.client.call(
             'POST',
             self.peer_url(ATTEMPT_PATH + attempt_id),
             headers=[SECRET.header()],
             body=msgspec.json.encode(query),
         )
-        return msgspec.json.decode(reply.body, type=AttemptAnswer).fate
+        return msgspec.json.decode(response.body, type=AttemptAnswer).fate
 
     async def get(self, url: str, *pairs: tuple[str, str]) -> Reply:
-        """Read a page."""
+        """Fetch a page."""
         return await self.client.call('GET', url, headers=pairs)
 
-    async def until(self, holds: Any) -> None:
-        """Wait for a condition, with a bound."""
-        for _ in range(MOST_TRIES):
-            if holds():
+    async def wait_until(self, condition: Any) -> None:
+        """Wait for a condition, for a bounded time."""
+        for _ in range(MAX_POLLS):
+            if condition():
                 return
-            await anyio.sleep(PAUSE_SECONDS)
-        raise AssertionError('it never came to hold')
+            await anyio.sleep(POLL_INTERVAL_SECONDS)
+        raise AssertionError('the condition never became true')
 
-    async def next(self, kind: type, matches: Any = bool) -> Any:
-        """Skip link events up to one that matches."""
+    async def next_event(self, event_type: type, matches: Any = bool) -> Any:
+        """Skip link events until one matches."""
         with anyio.fail_after(WAIT_SECONDS):
             while True:
                 event = await self.events.receive()
-                if isinstance(event, kind) and matches(event):
+                if isinstance(event, event_type) and matches(event):
                     return event
 
 
-class Answered(msgspec.Struct):
-    """A whole answer to an order."""
+class ReceivedResponse(msgspec.Struct):
+    """A response to a run request, read to its end."""
 
     status: int
     run_result: Any
     headers: Any
     body: bytes | None
-    """``None`` when it broke."""
+    """``None`` when it was truncated."""
 
 
-async def read_all(pieces: AsyncIterator[bytes]) -> bytes | None:
-    """Read to the end; ``None`` when it broke."""
+async def read_all(chunks: AsyncIterator[bytes]) -> bytes | None:
+    """Read to the end; ``None`` when the stream was truncated."""
     try:
         with anyio.fail_after(WAIT_SECONDS):
-            return b''.join([chunk async for chunk in pieces])
+            return b''.join([chunk async for chunk in chunks])
     except BrokenError:
         return None
 
@@ -170,7 +172,7 @@
     """Run a side beside its backend server."""
     backend = Backend()
     async with serving(backend, '127.0.0.1', 0) as server:
-        parts = SideParts(
+        dependencies = SideParts(
             settings=settings(server.url),
             peer_secret=SECRET,
             incarnation=INCARNATION,
@@ -179,21 +181,23 @@
             link_bounds=LinkBounds(beat_seconds=0.1, silence_seconds=0.5),
             send_seconds=0.3,
         )
-        async with Side(parts) as side:
-            world = World(side, backend, server, parts)
+        async with Side(dependencies) as side:
+            world = World(side, backend, server, dependencies)
             async with world.client:
                 yield world
 
 
 @asynccontextmanager
 async def linked(world: World) -> AsyncIterator[None]:
-    """Keep an entry's link to the side."""
+    """Keep a link from an entry to the side."""
     dialer = LinkDialer(
         world.side.peer.address,
         Hello('entry-1', PeerRole.ENTRY, 'entry-1-first', 'galata'),
         SECRET,
         world.sink,
-        bounds=replace(world.parts.link_bounds, longest_retry_seconds=0.1),
+        bounds=replace(
+            world.dependencies.link_bounds, longest_retry_seconds=0.1
+        ),
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(dialer.run)
--- a/tests/side/steps/side_steps.py
+++ b/tests/side/steps/side_steps.py
@@ -12,11 +12,11 @@
 import anyio
 import msgspec
 from behave import given, then, when
-from side_backend import ORDER, POOL
+from side_backend import POOL, RUN_REQUEST
 from side_fakes import configured
 from side_world import (
-    MOST_TRIES,
-    PAUSE_SECONDS,
+    MAX_POLLS,
+    POLL_INTERVAL_SECONDS,
     SECRET,
     WAIT_SECONDS,
     World,
@@ -41,7 +41,7 @@
 )
 from sardinetrack.messages.run import RUN_HEADER, RUN_PATH, Fate
 from sardinetrack.messages.run_codec import order_text, read_result
-from sardinetrack.side.events import Left
+from sardinetrack.side.events import AttemptEnded
 
 SECRETS = MappingProxyType(
     {
@@ -50,14 +50,16 @@
         "a caller's token": (('authorization', 'Bearer caller-1'),),
     }
 )
-ORDER_HEADERS = MappingProxyType(
+RUN_REQUEST_HEADERS = MappingProxyType(
     {
         'none': (),
         'no JSON': ((RUN_HEADER, 'run!'),),
         'a path elsewhere': (
             (
                 RUN_HEADER,
-                order_text(msgspec.structs.replace(ORDER, path='@127.0.0.1/')),
+                order_text(
+                    msgspec.structs.replace(RUN_REQUEST, path='@127.0.0.1/')
+                ),
             ),
         ),
     }
@@ -71,17 +73,17 @@
 
 
 def _open(context: Any, pool: Any, *, revision: int) -> None:
-    context.lines = _Lines()
+    context.lines = _LogLines()
     logger = logging.getLogger('sardinetrack.side')
     logger.setLevel(logging.INFO)
     logger.addHandler(context.lines)
     context.world = _enter(context, running_side(pool))
     if revision:
         context.portal.call(_configure, context.world, revision)
-    context.order = ORDER
+    context.run_request = RUN_REQUEST
 
 
-class _Lines(logging.Handler):
+class _LogLines(logging.Handler):
     def __init__(self) -> None:
         super().__init__()
         self.lines: list[dict[str, Any]] = []
@@ -92,9 +94,10 @@
 
 
 async def _configure(world: World, revision: int) -> None:
-    # The first digest of revision 0 makes the side ask; here it is told.
-    world.parts.configuration.apply(configured(revision))
-    await world.until(lambda: world.admission.limit > 0)
+    # Without a configuration the side would request one by its digest of
+    # revision 0; here it is set directly.
+    world.dependencies.configuration.apply(configured(revision))
+    await world.wait_until(lambda: world.admission.limit > 0)
 
 
 @given('a side with 2 slots and its configuration')
@@ -116,209 +119,223 @@
 @given('a side that drains for {seconds:f} seconds')
 def step_short_drain(context: Any, seconds: float) -> None:
     _open(context, POOL, revision=1)
-    parts = context.world.parts
-    settings = parts.settings.model_copy(update={'drain_seconds': seconds})
-    context.world.side._parts = replace(parts, settings=settings)
+    dependencies = context.world.dependencies
+    settings = dependencies.settings.model_copy(
+        update={'drain_seconds': seconds}
+    )
+    context.world.side._dependencies = replace(dependencies, settings=settings)
 
 
 @given('the pool allows {seconds:f} seconds of run time')
 def step_run_time(context: Any, seconds: float) -> None:
     pool = replace(POOL, max_run_seconds=seconds)
-    context.world.parts.configuration._pool = pool
+    context.world.dependencies.configuration._pool = pool
 
 
 @given('an entry linked to the side')
 def step_linked(context: Any) -> None:
     _enter(context, linked(context.world))
-    context.link = context.portal.call(context.world.next, LinkUp).link
+    context.link = context.portal.call(context.world.next_event, LinkUp).link
 
 
-@when('an order for "{path}" brings "{body}"')
-def step_order(context: Any, path: str, body: str) -> None:
-    order = msgspec.structs.replace(context.order, path=path)
-    context.answer = context.portal.call(
-        context.world.order,
-        order,
+@when('a run request for "{path}" with body "{body}" is sent')
+def step_run_request(context: Any, path: str, body: str) -> None:
+    run_request = msgspec.structs.replace(context.run_request, path=path)
+    context.response = context.portal.call(
+        context.world.send_run_request,
+        run_request,
         body.encode(),
     )
 
 
-@when('an order for "{path}" brings ""')
-def step_order_bare(context: Any, path: str) -> None:
-    step_order(context, path, '')
+@when('a run request for "{path}" with body "" is sent')
+def step_run_request_bare(context: Any, path: str) -> None:
+    step_run_request(context, path, '')
 
 
-@when('an order for "{path}" brings {size:d} bytes')
-def step_order_size(context: Any, path: str, size: int) -> None:
-    step_order(context, path, 'x' * size)
+@when('a run request for "{path}" with a body of {size:d} bytes is sent')
+def step_run_request_size(context: Any, path: str, size: int) -> None:
+    step_run_request(context, path, 'x' * size)
 
 
-@when('an order for "{path}" brings bids for workspace "{workspace}"')
-def step_order_bids(context: Any, path: str, workspace: str) -> None:
+@when(
+    'a run request for "{path}" with bids for workspace "{workspace}" is sent'
+)
+def step_run_request_bids(context: Any, path: str, workspace: str) -> None:
     rows = ((workspace, 1.0, 3, 2.0),)
-    context.order = msgspec.structs.replace(context.order, bids=rows)
-    step_order(context, path, '')
+    context.run_request = msgspec.structs.replace(
+        context.run_request, bids=rows
+    )
+    step_run_request(context, path, '')
 
 
-@when('another order for "{path}" brings "{body}"')
+@when('another run request for "{path}" with body "{body}" is sent')
 def step_another(context: Any, path: str, body: str) -> None:
-    context.order = msgspec.structs.replace(context.order, attempt_id='a2')
-    step_order(context, path, body)
+    context.run_request = msgspec.structs.replace(
+        context.run_request, attempt_id='a2'
+    )
+    step_run_request(context, path, body)
 
 
-@when('an order with method {method} for "{path}" comes')
-def step_order_method(context: Any, method: str, path: str) -> None:
-    context.order = msgspec.structs.replace(context.order, method=method)
-    step_order(context, path, '')
+@when('a run request for "{path}" with method {method} is sent')
+def step_run_request_method(context: Any, method: str, path: str) -> None:
+    context.run_request = msgspec.structs.replace(
+        context.run_request, method=method
+    )
+    step_run_request(context, path, '')
 
 
-@when('an order for incarnation "{incarnation}" comes')
-def step_order_incarnation(context: Any, incarnation: str) -> None:
-    context.order = msgspec.structs.replace(
-        context.order,
+@when('a run request for incarnation "{incarnation}" is sent')
+def step_run_request_incarnation(context: Any, incarnation: str) -> None:
+    context.run_request = msgspec.structs.replace(
+        context.run_request,
         incarnation=incarnation,
     )
-    step_order(context, '/echo', '')
+    step_run_request(context, '/echo', '')
 
 
-@when('an order with header {header} comes')
-def step_order_header(context: Any, header: str) -> None:
-    context.reply = context.portal.call(
+@when('a run request with header {header} is sent')
+def step_run_request_header(context: Any, header: str) -> None:
+    context.raw_response = context.portal.call(
         _post_run,
         context.world,
-        ORDER_HEADERS[header],
+        RUN_REQUEST_HEADERS[header],
     )
-    context.answer = None
+    context.response = None
 
 
-@when('an order for "{path}" has brought its first piece')
-def step_first_piece(context: Any, path: str) -> None:
-    order = msgspec.structs.replace(context.order, path=path)
+@when('a run request for "{path}" has returned its first chunk')
+def step_first_chunk(context: Any, path: str) -> None:
+    run_request = msgspec.structs.replace(context.run_request, path=path)
     context.exchange = context.portal.wrap_async_context_manager(
-        context.world.streamed(order),
+        context.world.streamed(run_request),
     )
-    context.reply = context.exchange.__enter__()
+    context.raw_response = context.exchange.__enter__()
     context.stack.push(context.exchange)
-    context.pieces = context.reply.chunks()
-    first = context.portal.call(context.pieces.__anext__)
+    context.body_chunks = context.raw_response.chunks()
+    first = context.portal.call(context.body_chunks.__anext__)
     assert first == b'first '
 
 
-@when('a suspected order for "{path}" comes')
-def step_suspected(context: Any, path: str) -> None:
-    context.order = msgspec.structs.replace(context.order, suspect=True)
-    step_order(context, path, '')
+@when('a suspect run request for "{path}" is sent')
+def step_suspect(context: Any, path: str) -> None:
+    context.run_request = msgspec.structs.replace(
+        context.run_request, suspect=True
+    )
+    step_run_request(context, path, '')
 
 
-@then('the decisions know the order as suspected')
-def step_known_suspected(context: Any) -> None:
+@then('the admission object has received it as suspect')
+def step_known_suspect(context: Any) -> None:
     arrivals = context.world.admission.arrivals
     assert [one.suspect for one in arrivals] == [True], arrivals
 
 
-@when('{count:d} orders for "{path}" run')
+@when('{count:d} run requests for "{path}" are running')
 def step_many(context: Any, count: int, path: str) -> None:
     for number in range(count):
-        order = msgspec.structs.replace(
-            context.order,
+        run_request = msgspec.structs.replace(
+            context.run_request,
             attempt_id=f'other{number}',
             path=path,
         )
-        _enter(context, context.world.streamed(order))
+        _enter(context, context.world.streamed(run_request))
 
 
-@when('the entry drops the connection')
+@when('the entry closes the connection')
 def step_drop(context: Any) -> None:
     context.exchange.__exit__(None, None, None)
 
 
-@when('an entry sends half of a body and vanishes')
+@when('an entry sends half of a body and disconnects')
 def step_half_body(context: Any) -> None:
     context.portal.call(_half_body, context.world)
 
 
-@when('an entry asks about attempt "{attempt_id}"')
-def step_ask(context: Any, attempt_id: str) -> None:
-    context.fate = context.portal.call(context.world.ask, attempt_id)
+@when('an entry queries attempt "{attempt_id}"')
+def step_query(context: Any, attempt_id: str) -> None:
+    context.fate = context.portal.call(context.world.query_attempt, attempt_id)
 
 
-@when('an entry asks process "{process}" about attempt "{attempt_id}"')
-def step_ask_other(context: Any, process: str, attempt_id: str) -> None:
-    context.fate = context.portal.call(context.world.ask, attempt_id, process)
+@when('an entry queries process "{process}" about attempt "{attempt_id}"')
+def step_query_other(context: Any, process: str, attempt_id: str) -> None:
+    context.fate = context.portal.call(
+        context.world.query_attempt, attempt_id, process
+    )
 
 
-@when('an entry asks and cancels attempt "{attempt_id}"')
-def step_ask_cancel(context: Any, attempt_id: str) -> None:
-    ask = partial(context.world.ask, attempt_id, cancel=True)
-    context.fate = context.portal.call(ask)
+@when('an entry queries and cancels attempt "{attempt_id}"')
+def step_query_cancel(context: Any, attempt_id: str) -> None:
+    query = partial(context.world.query_attempt, attempt_id, cancel=True)
+    context.fate = context.portal.call(query)
 
 
-@when('{count:d} entries ask and cancel attempt "{attempt_id}" at once')
-def step_ask_often(context: Any, count: int, attempt_id: str) -> None:
-    context.portal.call(_ask_often, context.world, count, attempt_id)
+@when('{count:d} entries query and cancel attempt "{attempt_id}" concurrently')
+def step_query_often(context: Any, count: int, attempt_id: str) -> None:
+    context.portal.call(_query_often, context.world, count, attempt_id)
 
 
-@when('an order for "{path}" runs and nobody reads the answer')
+@when('a run request for "{path}" is sent and its response is not read')
 def step_unread(context: Any, path: str) -> None:
-    order = msgspec.structs.replace(context.order, path=path)
-    _enter(context, context.world.streamed(order))
+    run_request = msgspec.structs.replace(context.run_request, path=path)
+    _enter(context, context.world.streamed(run_request))
 
 
-@when('the engine freezes')
-def step_freeze(context: Any) -> None:
-    context.world.backend.thawed = anyio.Event()
+@when('the engine is suspended')
+def step_suspend(context: Any) -> None:
+    context.world.backend.responsive = anyio.Event()
 
 
-@when('the engine thaws')
-def step_thaw(context: Any) -> None:
-    context.portal.call(_thaw, context.world)
+@when('the engine is resumed')
+def step_resume(context: Any) -> None:
+    context.portal.call(_resume, context.world)
 
 
-@when('the backend server goes away')
-def step_server_gone(context: Any) -> None:
+@when('the backend server stops')
+def step_stop_server(context: Any) -> None:
     context.portal.call(_stop_server, context.world)
 
 
-@when('the backend server comes back')
-def step_server_back(context: Any) -> None:
+@when('the backend server starts again')
+def step_restart_server(context: Any) -> None:
     port = context.world.server.port
     backend = context.world.backend
     _enter(context, serving(backend, '127.0.0.1', port))
 
 
-@then('the answer has fate {fate} and status {status:d}')
+@then('the response has fate {fate} and status {status:d}')
 def step_fate_status(context: Any, fate: str, status: int) -> None:
-    run_result = context.answer.run_result
+    run_result = context.response.run_result
     assert run_result.fate == Fate(fate), run_result
-    assert context.answer.status == run_result.status == status, run_result
+    assert context.response.status == run_result.status == status, run_result
 
 
-@then('the answer\'s body is "{body}"')
+@then('the response\'s body is "{body}"')
 def step_body(context: Any, body: str) -> None:
-    assert context.answer.body == body.encode(), context.answer
+    assert context.response.body == body.encode(), context.response
 
 
-@then('the answer\'s body is ""')
+@then('the response\'s body is ""')
 def step_no_body(context: Any) -> None:
-    assert not context.answer.body, context.answer
-    assert context.answer.body is not None, context.answer
+    assert not context.response.body, context.response
+    assert context.response.body is not None, context.response
 
 
-@then("the answer's body is broken")
+@then("the response's body is truncated")
 def step_broken(context: Any) -> None:
-    assert context.answer.body is None, context.answer
+    assert context.response.body is None, context.response
 
 
-@then("the answer's headers are those of the backend server")
+@then("the response's headers are those of the backend server")
 def step_headers(context: Any) -> None:
-    headers = dict(context.answer.headers)
+    headers = dict(context.response.headers)
     assert headers['x-server'] == 'galata \xe9', headers
     assert headers['x-seen'] == 'pilot', headers
 
 
-@then('the answer names the length "{length}"')
+@then('the response states the length "{length}"')
 def step_length(context: Any, length: str) -> None:
-    headers = dict(context.answer.headers)
+    headers = dict(context.response.headers)
     assert headers.get('content-length', 'none') == length, headers
 
 
@@ -332,50 +349,52 @@
     assert not context.world.backend.executions
 
 
-@then("the backend server's last piece follows once it comes")
-def step_last_piece(context: Any) -> None:
+@then("the backend server's last chunk follows once it is sent")
+def step_last_chunk(context: Any) -> None:
     context.portal.call(_open_gate, context.world)
-    last = context.portal.call(context.pieces.__anext__)
+    last = context.portal.call(context.body_chunks.__anext__)
     assert last == b'last', last
     try:
-        context.portal.call(context.pieces.__anext__)
+        context.portal.call(context.body_chunks.__anext__)
     except StopAsyncIteration:
         return
-    raise AssertionError('the answer goes on')
+    raise AssertionError('the response goes on')
 
 
 @then('the backend server sees the request cancelled')
 def step_cancelled(context: Any) -> None:
-    context.portal.call(_cancelled, context.world)
+    context.portal.call(_wait_cancelled, context.world)
 
 
 @then('attempt "{attempt_id}" has fate {fate}')
 def step_fate(context: Any, attempt_id: str, fate: str) -> None:
     context.portal.call(
-        context.world.until,
+        context.world.wait_until,
         lambda: context.world.admission.fates[attempt_id] is not Fate.RUNNING,
     )
-    told = context.portal.call(context.world.ask, attempt_id)
-    assert told == Fate(fate), told
+    fate_now = context.portal.call(context.world.query_attempt, attempt_id)
+    assert fate_now == Fate(fate), fate_now
 
 
-@then('the fate told is {fate}')
-def step_told(context: Any, fate: str) -> None:
+@then('the returned fate is {fate}')
+def step_fate_returned(context: Any, fate: str) -> None:
     assert context.fate == Fate(fate), context.fate
 
 
-@then('the rest of the answer is broken')
+@then('the rest of the response is truncated')
 def step_rest_broken(context: Any) -> None:
-    assert context.portal.call(read_all, context.pieces) is None
+    assert context.portal.call(read_all, context.body_chunks) is None
 
 
-@then('the order is refused with status {status:d} for "{reason}"')
+@then('the run request is refused with status {status:d} for "{reason}"')
 def step_refused(context: Any, status: int, reason: str) -> None:
-    if context.answer is None:
-        run_result = read_result(context.reply.header('sardinetrack-result'))
-        assert context.reply.status == status, context.reply
+    if context.response is None:
+        run_result = read_result(
+            context.raw_response.header('sardinetrack-result')
+        )
+        assert context.raw_response.status == status, context.raw_response
     else:
-        run_result = context.answer.run_result
+        run_result = context.response.run_result
     context.refusal = run_result
     assert run_result.reason == reason, run_result
     if reason != 'duplicate':
@@ -390,20 +409,22 @@
 @then('the side offers {count:d} slots')
 def step_slots(context: Any, count: int) -> None:
     context.portal.call(
-        context.world.until,
+        context.world.wait_until,
         lambda: context.world.admission.limit == count,
     )
 
 
-@then('the attempt has ended whole with cost {cost:d}')
+@then('the attempt has ended complete with cost {cost:d}')
 def step_cost(context: Any, cost: int) -> None:
-    assert context.world.admission.ends == [Left('a1', whole=True, cost=cost)]
+    assert context.world.admission.ends == [
+        AttemptEnded('a1', complete=True, cost=cost)
+    ]
 
 
-@then('the attempt has ended whole with a cost above nothing')
+@then('the attempt has ended complete with a positive cost')
 def step_some_cost(context: Any) -> None:
     end = context.world.admission.ends[0]
-    assert end.whole, end
+    assert end.complete, end
     assert end.cost > 0, end
 
 
@@ -413,9 +434,11 @@
     context.ended = context.portal.start_task_soon(context.world.side.run)
 
 
-@then('the entry hears that the side drains')
-def step_hears_drain(context: Any) -> None:
-    _hear(context, SideLoad, lambda load: load.phase is SidePhase.DRAINING)
+@then('the entry receives a load of a draining side')
+def step_receive_drain(context: Any) -> None:
+    _expect_message(
+        context, SideLoad, lambda load: load.phase is SidePhase.DRAINING
+    )
 
 
 @then('the side has not ended')
@@ -429,9 +452,11 @@
     context.drain.result(timeout=15)
 
 
-@when('a stranger calls {method} {path} with {secret}')
-def step_stranger(context: Any, method: str, path: str, secret: str) -> None:
-    context.reply = context.portal.call(
+@when('{method} {path} is called with {secret}')
+def step_unauthenticated(
+    context: Any, method: str, path: str, secret: str
+) -> None:
+    context.raw_response = context.portal.call(
         _call,
         context.world,
         method,
@@ -440,9 +465,9 @@
     )
 
 
-@then('the stranger gets status {status:d}')
-def step_stranger_status(context: Any, status: int) -> None:
-    assert context.reply.status == status, context.reply
+@then('the call is refused with status {status:d}')
+def step_unauthenticated_status(context: Any, status: int) -> None:
+    assert context.raw_response.status == status, context.raw_response
 
 
 @then('operators see that it is {word}')
@@ -457,23 +482,23 @@
     url = context.world.operator_url(path)
     if path == '/metrics':
         context.portal.call(anyio.sleep, 0.2)
-    reply = context.portal.call(context.world.get, url)
-    assert reply.status == 200, reply
-    context.page = reply.body.decode()
+    response = context.portal.call(context.world.get, url)
+    assert response.status == 200, response
+    context.page = response.body.decode()
 
 
-@then('the text holds "{text}"')
-def step_holds(context: Any, text: str) -> None:
+@then('the text contains "{text}"')
+def step_contains(context: Any, text: str) -> None:
     assert text in context.page, context.page
 
 
-@then('the text does not hold "{text}"')
-def step_holds_not(context: Any, text: str) -> None:
+@then('the text does not contain "{text}"')
+def step_contains_not(context: Any, text: str) -> None:
     assert text not in context.page, context.page
 
 
 @then('the decision "{sentence}" is logged with')
-def step_line(context: Any, sentence: str) -> None:
+def step_log_line(context: Any, sentence: str) -> None:
     row = context.table[0].as_dict()
     wanted = ('side', sentence, 'INFO', *sorted(row.items()))
     found = [
@@ -495,24 +520,25 @@
 
 @when('the entry sends a digest of revision {revision:d}')
 def step_send_digest(context: Any, revision: int) -> None:
-    # Whatever the greeting brought is not the answer to this digest.
-    _hear(context, ConfigDigest, bool)
+    # The digest that was sent when the link opened is not the response to this
+    # one.
+    _expect_message(context, ConfigDigest, bool)
     _post(context, ConfigDigest(revision, f'digest {revision}'))
 
 
-@then('the entry hears the digest of revision {revision:d}')
-def step_hear_digest(context: Any, revision: int) -> None:
-    _hear(context, ConfigDigest, lambda one: one.revision == revision)
+@then('the entry receives the digest of revision {revision:d}')
+def step_receive_digest(context: Any, revision: int) -> None:
+    _expect_message(context, ConfigDigest, lambda one: one.revision == revision)
 
 
-@then('the entry hears the configuration of revision {revision:d}')
-def step_hear_configuration(context: Any, revision: int) -> None:
-    _hear(context, ConfigUpdate, lambda one: one.revision == revision)
+@then('the entry receives the configuration of revision {revision:d}')
+def step_receive_configuration(context: Any, revision: int) -> None:
+    _expect_message(context, ConfigUpdate, lambda one: one.revision == revision)
 
 
-@then('the entry hears a load with {free:d} free slots')
-def step_hear_load(context: Any, free: int) -> None:
-    _hear(context, SideLoad, lambda one: one.free == free)
+@then('the entry receives a load with {free:d} free slots')
+def step_receive_load(context: Any, free: int) -> None:
+    _expect_message(context, SideLoad, lambda one: one.free == free)
 
 
 @when('the entry bids for workspace "{workspace}"')
@@ -522,7 +548,7 @@
 
 @then('the entry receives grant {number:d}')
 def step_grant(context: Any, number: int) -> None:
-    _hear(context, Grant, lambda one: one.number == number)
+    _expect_message(context, Grant, lambda one: one.number == number)
 
 
 @when('the entry declines grant {number:d}')
@@ -530,25 +556,25 @@
     _post(context, Decline(number))
 
 
-@when("the entry's link is cut")
-def step_cut_link(context: Any) -> None:
+@when("the entry's link is closed")
+def step_close_link(context: Any) -> None:
     context.portal.call(context.link.close)
 
 
-@then('the decision object has seen "{call}"')
-def step_seen(context: Any, call: str) -> None:
+@then('the admission object has received "{call}"')
+def step_admission_call(context: Any, call: str) -> None:
     context.portal.call(
-        context.world.until,
+        context.world.wait_until,
         lambda: call in context.world.admission.calls,
     )
 
 
-def _hear(context: Any, kind: type, matches: Any) -> None:
+def _expect_message(context: Any, message_type: type, matches: Any) -> None:
     context.portal.call(
-        context.world.next,
+        context.world.next_event,
         LinkMessageReceived,
         lambda event: (
-            isinstance(event.message, kind) and matches(event.message)
+            isinstance(event.message, message_type) and matches(event.message)
         ),
     )
 
@@ -561,20 +587,20 @@
     world.backend.gate.set()
 
 
-async def _cancelled(world: World) -> None:
+async def _wait_cancelled(world: World) -> None:
     with anyio.fail_after(WAIT_SECONDS):
         await world.backend.cancelled.wait()
 
 
-async def _thaw(world: World) -> None:
-    world.backend.thawed.set()
+async def _resume(world: World) -> None:
+    world.backend.responsive.set()
 
 
-async def _ask_often(world: World, count: int, attempt_id: str) -> None:
-    ask = partial(world.ask, attempt_id, cancel=True)
+async def _query_often(world: World, count: int, attempt_id: str) -> None:
+    query = partial(world.query_attempt, attempt_id, cancel=True)
     async with anyio.create_task_group() as tasks:
         for _ in range(count):
-            tasks.start_soon(ask)
+            tasks.start_soon(query)
 
 
 async def _stop_server(world: World) -> None:
@@ -592,20 +618,20 @@
 
 
 async def _until_status(world: World, url: str, status: int) -> None:
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_POLLS):
         if (await world.get(url)).status == status:
             return
-        await anyio.sleep(PAUSE_SECONDS)
-    raise AssertionError(f'{url} never answered {status}')
+        await anyio.sleep(POLL_INTERVAL_SECONDS)
+    raise AssertionError(f'{url} never returned {status}')
 
 
 async def _half_body(world: World) -> None:
     address = world.side.peer
     host = address.address.rpartition(':')[0]
     name, text = SECRET.header()
-    order = order_text(ORDER)
+    field = order_text(RUN_REQUEST)
     async with await anyio.connect_tcp(host, address.port) as stream:
         await stream.send(
             f'POST {RUN_PATH} HTTP/1.1\r\nhost: side\r\n{name}: {text}\r\n'
-            f'{RUN_HEADER}: {order}\r\ncontent-length: 20\r\n\r\nhalf'.encode(),
+            f'{RUN_HEADER}: {field}\r\ncontent-length: 20\r\n\r\nhalf'.encode(),
         )
