--- a/src/sardinetrack/membership/__init__.py
+++ b/src/sardinetrack/membership/__init__.py
@@ -1,3 +1,3 @@
-"""Which instances there are, as the platform's lagging list tells."""
+"""The instances of the system, by the platform's lagging list."""
 
 from __future__ import annotations
--- a/src/sardinetrack/membership/api.py
+++ b/src/sardinetrack/membership/api.py
@@ -9,14 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Joined:
-    """An instance is live."""
+    """A live instance was added to the list."""
 
     row: ListedInstance
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
-    """An instance takes no new work; this is final for its id."""
+class InstanceLeaving:
+    """An instance is shutting down and takes no new requests.
+
+    This is permanent for its id.
+    """
 
     row: ListedInstance
 
@@ -28,4 +31,4 @@
     row: ListedInstance
 
 
-MembershipChange = Joined | Leaving | Gone
+MembershipChange = Joined | InstanceLeaving | Gone
--- a/src/sardinetrack/membership/feed.py
+++ b/src/sardinetrack/membership/feed.py
@@ -1,4 +1,4 @@
-"""Poll the platform's list of instances."""
+"""Polls the platform's list of instances."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from sardinetrack.store.api import Platform, PlatformError
 from sardinetrack.store.backoff import Backoff
 
-_POLL_SECONDS: Final = 1.0
-_LEAST_SPREAD: Final = 0.9
-_MOST_SPREAD: Final = 1.1
+_POLL_INTERVAL_SECONDS: Final = 1.0
+_MIN_JITTER_FACTOR: Final = 0.9
+_MAX_JITTER_FACTOR: Final = 1.1
 
 _LOG: Final = PartLogger(Part.MEMBERSHIP)
 
 
 class MembershipFeed:
-    """A task that hands on each change of the list.
+    """A task that sends each change of the list to a stream.
 
-    While the platform is down the last list stays: instances are not taken
-    for gone because nobody can tell of them.
+    While the platform is down the last list stays in effect: a failed read is
+    no reason to consider an instance removed.
     """
 
     def __init__(
@@ -33,15 +33,15 @@
         platform: Platform,
         changes: MemoryObjectSendStream[MembershipChange],
         *,
-        poll_seconds: float = _POLL_SECONDS,
-        chance: random.Random | None = None,
+        poll_seconds: float = _POLL_INTERVAL_SECONDS,
+        rng: random.Random | None = None,
     ) -> None:
-        """Build a feed.
+        """Create a feed.
 
-        :param platform: where the list is.
-        :param changes: where the changes go; the feed closes it.
+        :param platform: source of the list.
+        :param changes: receives the changes; the feed closes it.
         :param poll_seconds: mean time between two reads.
-        :param chance: source of the jitter.
+        :param rng: random number generator for the jitter.
         """
         self.view = MembershipView()
         self.calls = 0
@@ -49,11 +49,11 @@
         self._platform = platform
         self._changes = changes
         self._poll_seconds = poll_seconds
-        self._chance = chance or random.Random()
-        self._backoff = Backoff(self._chance)
+        self._rng = rng or random.Random()
+        self._backoff = Backoff(self._rng)
 
     async def run(self) -> None:
-        """Follow the list until cancelled."""
+        """Poll the list until cancelled."""
         with self._changes:
             while True:
                 wait_seconds = await self._poll()
@@ -64,18 +64,20 @@
         try:
             listed = await self._platform.instances()
         except PlatformError as error:
-            return self._failed(error)
+            return self._handle_failure(error)
         self._backoff.reset()
         for change in self.view.update(listed):
             await self._changes.send(change)
-        spread = self._chance.uniform(_LEAST_SPREAD, _MOST_SPREAD)
-        return self._poll_seconds * spread
+        jitter_factor = self._rng.uniform(
+            _MIN_JITTER_FACTOR, _MAX_JITTER_FACTOR
+        )
+        return self._poll_seconds * jitter_factor
 
-    def _failed(self, error: PlatformError) -> float:
+    def _handle_failure(self, error: PlatformError) -> float:
         self.failures += 1
         wait_seconds = self._backoff.wait_seconds(error)
         _LOG.warning(
-            'the last list stays',
+            'could not read the instance list; keeping the last one',
             error=str(error),
             retry_seconds=wait_seconds,
         )
--- a/src/sardinetrack/membership/view.py
+++ b/src/sardinetrack/membership/view.py
@@ -1,4 +1,4 @@
-"""Tell changes from one state of the list to the next; no I/O."""
+"""Computes the changes from one state of the list to the next; no I/O."""
 
 from __future__ import annotations
 
@@ -8,89 +8,94 @@
 
 from sardinetrack.membership.api import (
     Gone,
+    InstanceLeaving,
     Joined,
-    Leaving,
     MembershipChange,
 )
 from sardinetrack.store.api import InstanceState, ListedInstance
 
-_KEPT_LEFT: Final = 8192
+_MAX_LEAVING_IDS: Final = 8192
 
 
 class MembershipView:
     """The instances as last listed.
 
-    The list lags and its copies may disagree: one that was told to leave may
-    be shown as live again. Work sent to it then would be cut off, so leaving
-    is final for an id, also after the id has gone.
+    The list lags and its copies may disagree: an instance that is shutting down
+    may be listed as live again. Requests sent to it then would be interrupted,
+    so leaving is permanent for an id, also after the id was removed.
     """
 
-    def __init__(self, *, kept_left: int = _KEPT_LEFT) -> None:
-        """Start empty.
+    def __init__(self, *, max_leaving_ids: int = _MAX_LEAVING_IDS) -> None:
+        """Create a view of an empty list.
 
-        :param kept_left: ids of instances that left to remember.
+        :param max_leaving_ids: how many ids of instances listed as leaving to
+            remember.
         """
         self._rows: dict[str, ListedInstance] = {}
-        self._left: dict[str, None] = {}
-        self._kept_left = kept_left
+        self._leaving_ids: dict[str, None] = {}
+        self._max_leaving_ids = max_leaving_ids
 
     def live(self) -> tuple[ListedInstance, ...]:
-        """All instances that take new work."""
+        """Return all instances that take new requests."""
         return tuple(
-            row for row in self._rows.values() if row.instance not in self._left
+            row
+            for row in self._rows.values()
+            if row.instance not in self._leaving_ids
         )
 
     def update(
         self,
         listed: Iterable[ListedInstance],
     ) -> tuple[MembershipChange, ...]:
-        """Take in a new state of the list.
+        """Apply a new state of the list.
 
-        :return: the changes, those that end something first.
+        :return: the changes, removed and leaving instances first.
         """
-        fresh = {row.instance: row for row in listed}
-        gone = self._drop_absent(fresh)
-        leaving = self._note_leaving(fresh)
-        joined = self._admit(fresh)
-        return (*gone, *leaving, *joined)
-
-    def _drop_absent(self, fresh: dict[str, ListedInstance]) -> list[Gone]:
-        gone = [
+        current = {row.instance: row for row in listed}
+        removed = self._remove_absent(current)
+        leaving = self._record_leaving(current)
+        joined = self._add_new(current)
+        return (*removed, *leaving, *joined)
+
+    def _remove_absent(self, current: dict[str, ListedInstance]) -> list[Gone]:
+        removed = [
             Gone(row)
             for row in self._rows.values()
-            if row.instance not in fresh or _moved(row, fresh[row.instance])
+            if row.instance not in current
+            or _is_another_process(row, current[row.instance])
         ]
-        for change in gone:
+        for change in removed:
             self._rows.pop(change.row.instance)
-        return gone
+        return removed
 
-    def _note_leaving(
+    def _record_leaving(
         self,
-        fresh: dict[str, ListedInstance],
-    ) -> list[Leaving]:
+        current: dict[str, ListedInstance],
+    ) -> list[InstanceLeaving]:
         leaving = [
-            Leaving(row)
-            for row in fresh.values()
+            InstanceLeaving(row)
+            for row in current.values()
             if row.state is InstanceState.LEAVING
-            and row.instance not in self._left
+            and row.instance not in self._leaving_ids
         ]
         for change in leaving:
             self._rows[change.row.instance] = change.row
-            self._left[change.row.instance] = None
-        while len(self._left) > self._kept_left:
-            self._left.pop(next(iter(self._left)))
+            self._leaving_ids[change.row.instance] = None
+        while len(self._leaving_ids) > self._max_leaving_ids:
+            self._leaving_ids.pop(next(iter(self._leaving_ids)))
         return leaving
 
-    def _admit(self, fresh: dict[str, ListedInstance]) -> list[Joined]:
+    def _add_new(self, current: dict[str, ListedInstance]) -> list[Joined]:
         joined = [
             Joined(row)
-            for row in fresh.values()
-            if row.instance not in self._rows and row.instance not in self._left
+            for row in current.values()
+            if row.instance not in self._rows
+            and row.instance not in self._leaving_ids
         ]
         for change in joined:
             self._rows[change.row.instance] = change.row
         return joined
 
 
-def _moved(before: ListedInstance, now: ListedInstance) -> bool:
+def _is_another_process(before: ListedInstance, now: ListedInstance) -> bool:
     return replace(before, state=now.state) != now
--- a/tests/membership/feed.feature
+++ b/tests/membership/feed.feature
@@ -1,6 +1,6 @@
-Feature: Which instances there are
+Feature: The instances of the system
 
-  Scenario: Instances join, leave and go
+  Scenario: Instances join, leave and are removed
     Given a membership view
     When the list shows "e1 live, s1 live"
     Then the changes are "joined e1, joined s1"
@@ -8,11 +8,12 @@
     Then the changes are "leaving s1, joined s2"
     And live are "e1, s2"
     When the list shows "e1 live, s2 live"
-    Then the changes are "gone s1"
+    Then the changes are "removed s1"
 
   Scenario: A leaving instance is never live again
     The list lags and its copies disagree: after one that says "leaving" an
-    older one says "live". Work sent there would be cut off when it ends.
+    older one says "live". Requests sent to the instance would be interrupted
+    at its end.
     Given a membership view
     When the list shows "s1 live"
     And the list shows "s1 leaving"
@@ -20,7 +21,7 @@
     Then the changes are ""
     And live are ""
     When the list shows ""
-    Then the changes are "gone s1"
+    Then the changes are "removed s1"
     When the list shows "s1 live"
     Then the changes are ""
 
@@ -28,19 +29,19 @@
     Given a membership view
     When the list shows "e1 live"
     And the list shows "e1 live elsewhere"
-    Then the changes are "gone e1, joined e1"
+    Then the changes are "removed e1, joined e1"
 
-  Scenario: Random lists never bring a leaving instance back
+  Scenario: Random lists never make a leaving instance live again
     Given 500 random sequences of lists
     Then after each list the live ones are those listed live that never left
     And the changes add up to the list
 
-  Scenario: The platform is down and the last list stays
-    The poll fails, so nobody can tell who is there. Were the list emptied,
-    an entry would refuse all work though every side still runs.
+  Scenario: The last list stays in effect while the platform is down
+    The polls fail, so the state of the instances is unknown. If the list were
+    emptied, an entry would refuse all requests though every side still runs.
     Given a feed of a platform that lists "e1, s1"
     When the list's platform goes down and 3 polls have failed
     Then live at the feed are "e1, s1"
-    And the feed told "joined e1, joined s1"
+    And the feed has sent "joined e1, joined s1"
     When the platform is back and lists "e1" only
-    Then the feed tells "gone s1" in the end
+    Then the feed finally sends "removed s1"
--- a/tests/membership/steps/feed_steps.py
+++ b/tests/membership/steps/feed_steps.py
@@ -1,23 +1,27 @@
-"""Steps on the list of instances."""
+"""Steps for the list of instances."""
 
 from __future__ import annotations
 
 import random
 from contextlib import ExitStack
 from functools import partial
+from types import MappingProxyType
 
 import anyio
 from anyio.from_thread import start_blocking_portal
 from behave import given, step, then, when
 
-from sardinetrack.membership.api import Gone, Joined
+from sardinetrack.membership.api import Gone, InstanceLeaving, Joined
 from sardinetrack.membership.feed import MembershipFeed
 from sardinetrack.membership.view import MembershipView
 from sardinetrack.store.api import InstanceState, ListedInstance
 from sardinetrack.store.in_process import Disturbance, MemoryPlatform
 
-_STEP_SECONDS = 0.02
-_STEPS = 500
+_POLL_INTERVAL_SECONDS = 0.02
+_MAX_POLLS = 500
+_KINDS = MappingProxyType(
+    {Joined: 'joined', InstanceLeaving: 'leaving', Gone: 'removed'}
+)
 
 
 def _row(name, state='live', address='127.0.0.1:1'):
@@ -35,8 +39,8 @@
     return ', '.join(sorted(row.instance for row in rows))
 
 
-def _told(changes):
-    kinds = [type(change).__name__.lower() for change in changes]
+def _describe(changes):
+    kinds = [_KINDS[type(change)] for change in changes]
     names = [change.row.instance for change in changes]
     return ', '.join(map(' '.join, zip(kinds, names, strict=True)))
 
@@ -56,9 +60,9 @@
     shows(context, '')
 
 
-@then('the changes are "{told}"')
-def changes_are(context, told):
-    assert _told(context.changes) == told, context.changes
+@then('the changes are "{expected}"')
+def changes_are(context, expected):
+    assert _describe(context.changes) == expected, context.changes
 
 
 @then('the changes are ""')
@@ -83,12 +87,12 @@
     ]
 
 
-def _sequence(chance):
+def _sequence(rng):
     names = ['a', 'b', 'c', 'd']
     return [
         [
-            _row(name, chance.choice(['live', 'live', 'live', 'leaving']))
-            for name in chance.sample(names, chance.randint(0, 4))
+            _row(name, rng.choice(['live', 'live', 'live', 'leaving']))
+            for name in rng.sample(names, rng.randint(0, 4))
         ]
         for _ in range(12)
     ]
@@ -96,7 +100,7 @@
 
 @then('after each list the live ones are those listed live that never left')
 def never_back(context):
-    context.ledgers = []
+    context.comparisons = []
     for sequence in context.sequences:
         view = MembershipView()
         left = set()
@@ -107,7 +111,7 @@
             wanted = {row.instance for row in rows} - left
             assert {row.instance for row in view.live()} == wanted, sequence
             listed = _add_up(listed, changes)
-            context.ledgers.append((listed - left, wanted))
+            context.comparisons.append((listed - left, wanted))
 
 
 def _add_up(listed, changes):
@@ -121,7 +125,7 @@
 
 @step('the changes add up to the list')
 def add_up(context):
-    for listed, wanted in context.ledgers:
+    for listed, wanted in context.comparisons:
         assert listed == wanted, (listed, wanted)
 
 
@@ -133,34 +137,34 @@
     context.platform = MemoryPlatform()
     for name in names.split(', '):
         context.platform.set_instance(_row(name))
-    context.told = []
+    context.sent = []
     send, receive = anyio.create_memory_object_stream(0)
     context.feed = MembershipFeed(
-        context.platform, send, poll_seconds=0.05, chance=random.Random(1)
+        context.platform, send, poll_seconds=0.05, rng=random.Random(1)
     )
     for task in (context.feed.run, partial(_consume, context, receive)):
         stack.callback(context.portal.start_task_soon(task).cancel)
-    _until(context, lambda: len(context.told) == len(names.split(', ')))
+    _wait_until(context, lambda: len(context.sent) == len(names.split(', ')))
 
 
 async def _consume(context, receive):
     async with receive:
         async for change in receive:
-            context.told.append(change)
+            context.sent.append(change)
 
 
-def _until(context, condition):
-    for _ in range(_STEPS):
+def _wait_until(context, condition):
+    for _ in range(_MAX_POLLS):
         if condition():
             return
-        context.portal.call(anyio.sleep, _STEP_SECONDS)
-    raise AssertionError(context.told)
+        context.portal.call(anyio.sleep, _POLL_INTERVAL_SECONDS)
+    raise AssertionError(context.sent)
 
 
 @when("the list's platform goes down and {count:d} polls have failed")
-def down(context, count):
+def platform_down(context, count):
     context.portal.call(context.platform.disturb, Disturbance(outage=True))
-    _until(context, lambda: context.feed.failures >= count)
+    _wait_until(context, lambda: context.feed.failures >= count)
 
 
 @then('live at the feed are "{names}"')
@@ -168,17 +172,17 @@
     assert _names(context.feed.view.live()) == names
 
 
-@step('the feed told "{told}"')
-def feed_told(context, told):
-    assert _told(context.told) == told, context.told
+@step('the feed has sent "{expected}"')
+def feed_sent(context, expected):
+    assert _describe(context.sent) == expected, context.sent
 
 
 @when('the platform is back and lists "e1" only')
-def back(context):
+def platform_back(context):
     context.platform.remove_instance('s1')
     context.portal.call(context.platform.disturb, Disturbance())
 
 
-@then('the feed tells "{told}" in the end')
-def feed_tells(context, told):
-    _until(context, lambda: _told(context.told[-1:]) == told)
+@then('the feed finally sends "{expected}"')
+def feed_sends(context, expected):
+    _wait_until(context, lambda: _describe(context.sent[-1:]) == expected)
