--- a/src/sardinetrack/process/__init__.py
+++ b/src/sardinetrack/process/__init__.py
@@ -1,3 +1,3 @@
-"""What both daemons need of their process: signals, names, the ready line."""
+"""What both daemons need of their process: signals, ids, the ready line."""
 
 from __future__ import annotations
--- a/src/sardinetrack/process/api.py
+++ b/src/sardinetrack/process/api.py
@@ -1,4 +1,4 @@
-"""What a daemon lets its process do."""
+"""Interface of a daemon to the process that runs it."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Drainable(ABC):
-    """A daemon that can be asked to finish its work."""
+    """A daemon that can be drained."""
 
     @abstractmethod
     async def run(self) -> None:
-        """Return when a drain is over."""
+        """Run until a drain has completed."""
 
     @abstractmethod
     async def drain(self) -> None:
-        """Take no new work, finish what is in progress, then close."""
+        """Accept no new requests, finish the running ones, then close."""
--- a/src/sardinetrack/process/daemon.py
+++ b/src/sardinetrack/process/daemon.py
@@ -1,4 +1,4 @@
-"""What entry and side share as daemons: their servers and their end."""
+"""What entry and side share as daemons: servers and shutdown."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     """Serves while the context lasts; ``run`` returns after a drain."""
 
     def __init__(self) -> None:
-        """Prepare; entering the context starts the daemon."""
+        """Create the daemon; entering its context starts it."""
         self._stack = AsyncExitStack()
-        self._ended = anyio.Event()
+        self._closed = anyio.Event()
         self._servers: list[BoundServer] = []
 
     async def __aenter__(self) -> Self:
@@ -40,12 +40,12 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> bool | None:
-        """Stop everything; what still runs is cut."""
+        """Stop everything; requests that still run are interrupted."""
         return await self._stack.__aexit__(kind, error, trace)
 
     async def run(self) -> None:
-        """Return when a drain is over."""
-        await self._ended.wait()
+        """Return when a drain has completed."""
+        await self._closed.wait()
 
     @abstractmethod
     async def _open(self, stack: AsyncExitStack) -> None:
@@ -74,11 +74,11 @@
         return server
 
     async def _end(self) -> None:
-        """Close the servers; ``run`` returns then."""
-        # The last bytes of finished answers may still be on their way out.
+        """Close the servers; afterwards ``run`` returns."""
+        # The last bytes of finished responses may still be in transit.
         for server in self._servers:
             server.stop()
         with anyio.move_on_after(_CLOSE_SECONDS):
             for server in self._servers:
                 await server.closed()
-        self._ended.set()
+        self._closed.set()
--- a/src/sardinetrack/process/incarnation.py
+++ b/src/sardinetrack/process/incarnation.py
@@ -1,4 +1,4 @@
-"""The name of one life of a process."""
+"""The incarnation of a process: an id that each start generates."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def new_incarnation() -> str:
-    """Draw a name that no other start of a process has had."""
+    """Generate an id that no other start of a process has had."""
     return secrets.token_hex(_RANDOM_BYTES)
--- a/src/sardinetrack/process/ready.py
+++ b/src/sardinetrack/process/ready.py
@@ -1,4 +1,4 @@
-"""The one line of JSON that a process prints when it serves."""
+"""The line of JSON that a process prints when it accepts requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EntryReady(msgspec.Struct, frozen=True):
-    """Where an entry listens."""
+    """Addresses of an entry."""
 
     instance: str
     callers_url: str
@@ -17,7 +17,7 @@
 
 
 class SideReady(msgspec.Struct, frozen=True):
-    """Where a side listens."""
+    """Addresses of a side."""
 
     instance: str
     pool: str
@@ -27,7 +27,7 @@
 
 
 class LocalReady(msgspec.Struct, frozen=True):
-    """What a caller of ``sardinetrack local`` needs to know."""
+    """What a user of ``sardinetrack local`` needs to send requests."""
 
     entry_url: str
     token: str
@@ -37,7 +37,7 @@
 
 
 def print_ready(ready: EntryReady | SideReady | LocalReady) -> None:
-    """Write the line on standard output; nothing else goes there."""
+    """Write the line to standard output; nothing else is written there."""
     line = msgspec.json.encode(ready).decode()
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
--- a/src/sardinetrack/process/signals.py
+++ b/src/sardinetrack/process/signals.py
@@ -1,4 +1,4 @@
-"""Signals of a daemon: the first one drains, the second one stops."""
+"""Signals of a daemon: the first one drains it, the second one stops it."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 async def run_until_drained(daemon: Drainable) -> None:
-    """Serve until a signal has drained the daemon or two have stopped it.
+    """Run until a signal has drained the daemon or a second one has stopped it.
 
-    :param daemon: an open daemon.
+    :param daemon: a daemon whose context is entered.
     """
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_follow_signals, daemon, tasks.cancel_scope)
+        tasks.start_soon(_handle_signals, daemon, tasks.cancel_scope)
         await daemon.run()
         tasks.cancel_scope.cancel()
 
 
-async def _follow_signals(
+async def _handle_signals(
     daemon: Drainable,
     scope: anyio.CancelScope,
 ) -> None:
@@ -36,7 +36,9 @@
                 name = signal.Signals(signal_number).name
                 if drain.state is not DrainState.SERVING:
                     drain.fire(DrainEvent.STOP)
-                    _LOG.warning('stops at once', signal=name)
+                    _LOG.warning(
+                        'stopping immediately on a second signal', signal=name
+                    )
                     scope.cancel()
                     return
                 _LOG.info('drains', signal=name)
--- a/src/sardinetrack/process/startup.py
+++ b/src/sardinetrack/process/startup.py
@@ -1,4 +1,4 @@
-"""What the start of this process has cost so far."""
+"""Time that the start of this process has taken so far."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from sardinetrack.logs.lines import Part, PartLogger
 
 _LOG: Final = PartLogger(Part.PROCESS)
-_STAT: Final = Path('/proc/self/stat')
+_STAT_PATH: Final = Path('/proc/self/stat')
 _START_TICKS_FIELD: Final = 19
-"""Of the fields after the command's name; see ``proc(5)``."""
-_DIGITS: Final = 2
+"""Index among the fields after the command's name; see ``proc(5)``."""
+_DECIMALS: Final = 2
 
 
 def log_start() -> None:
-    """Write the first line of a daemon: its program and settings are read.
+    """Log the first line of a daemon, when its program and settings are loaded.
 
-    With the line of ``serving`` it tells a process that waited for something
-    from one that got no processor time.
+    Together with the line of ``serving`` it distinguishes a process that waited
+    for something from one that got no processor time.
     """
     _LOG.info('starts', **startup_cost())
 
 
 def startup_cost() -> dict[str, float]:
-    """Tell what has passed since the process was created.
+    """Return the time since the process was created.
 
     :return: ``running_seconds`` by the clock, and ``processor_seconds``.
     """
     return {
-        'running_seconds': round(_running_seconds(), _DIGITS),
-        'processor_seconds': round(time.process_time(), _DIGITS),
+        'running_seconds': round(_running_seconds(), _DECIMALS),
+        'processor_seconds': round(time.process_time(), _DECIMALS),
     }
 
 
 def _running_seconds() -> float:
-    # The command's name is in parentheses and may hold spaces.
-    _, _, fields = _STAT.read_text().rpartition(') ')
+    # The command's name is in parentheses and may contain spaces.
+    _, _, fields = _STAT_PATH.read_text().rpartition(') ')
     ticks = int(fields.split()[_START_TICKS_FIELD])
-    began_seconds = ticks / os.sysconf('SC_CLK_TCK')
-    return time.clock_gettime(time.CLOCK_BOOTTIME) - began_seconds
+    started_seconds = ticks / os.sysconf('SC_CLK_TCK')
+    return time.clock_gettime(time.CLOCK_BOOTTIME) - started_seconds
