--- a/src/sardinetrack/routing/__init__.py
+++ b/src/sardinetrack/routing/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions of an entry: where a request goes and when. No I/O."""
+"""Routing decisions of an entry: when and to which side requests go. No I/O."""
 
 from __future__ import annotations
--- a/src/sardinetrack/routing/gate.py
+++ b/src/sardinetrack/routing/admission_checks.py
@@ -1,4 +1,4 @@
-"""Limits that refuse work at once: rate, waiting work, known crashers."""
+"""Checks that reject a request on arrival: rate, queue limit, strikes."""
 
 from __future__ import annotations
 
@@ -9,54 +9,53 @@
 from sardinetrack.fairness.bucket import TokenBucket
 from sardinetrack.fairness.ledger import Ledger
 from sardinetrack.routing.api import Reject, Work
-from sardinetrack.routing.queue import WorkQueue
-from sardinetrack.routing.shared import Shared
+from sardinetrack.routing.queue import RequestQueues
+from sardinetrack.routing.shared import SharedState
 
-_LEAST_RETRY_SECONDS: Final = 1.0
-_MOST_RETRY_SECONDS: Final = 120.0
+_MIN_RETRY_SECONDS: Final = 1.0
+_MAX_RETRY_SECONDS: Final = 120.0
 
 
-def _bounded(seconds: float) -> float:
-    return min(max(seconds, _LEAST_RETRY_SECONDS), _MOST_RETRY_SECONDS)
+def _clamp_retry(seconds: float) -> float:
+    return min(max(seconds, _MIN_RETRY_SECONDS), _MAX_RETRY_SECONDS)
 
 
-class Gate:
-    """Checks new work of one pool against the limits of its workspace."""
+class AdmissionChecks:
+    """Checks new requests of one pool against the limits of their workspace."""
 
     def __init__(
         self,
-        shared: Shared,
+        shared: SharedState,
         ledger: Ledger,
-        queue: WorkQueue,
+        queue: RequestQueues,
     ) -> None:
-        """Wire the parts of one pool."""
         self._shared = shared
         self._ledger = ledger
         self._queue = queue
         self._buckets: dict[str, TokenBucket] = {}
 
     def check(self, now: float, work: Work) -> Reject | None:
-        """Decide on a new request.
+        """Check a new request.
 
         :param now: monotonic time.
         :param work: the request.
-        :return: a final refusal, ``None`` when it may wait.
+        :return: the rejection, ``None`` when the request may be queued.
         """
-        condemned = self._shared.strikes.condemned_seconds(
+        blocked = self._shared.strikes.condemned_seconds(
             now,
             work.fingerprint,
         )
-        if condemned > 0:
+        if blocked > 0:
             return Reject(
                 work.request_id,
                 ErrorKind.CRASHES_SERVERS,
-                _bounded(condemned),
+                _clamp_retry(blocked),
             )
         return self._check_rate(now, work) or self._check_waiting(work)
 
     def _check_rate(self, now: float, work: Work) -> Reject | None:
         rate = self._shared.limits(work.workspace).rate_per_second
-        rate *= self._share(self._ledger.account(work.workspace))
+        rate *= self._local_fraction(self._ledger.account(work.workspace))
         bucket = self._buckets.get(work.workspace)
         if bucket is None:
             bucket = TokenBucket(now, rate)
@@ -67,10 +66,10 @@
         return Reject(
             work.request_id,
             ErrorKind.RATE_LIMITED,
-            _bounded(bucket.seconds_to_token(now)),
+            _clamp_retry(bucket.seconds_to_token(now)),
         )
 
-    def _share(self, account: Account) -> float:
+    def _local_fraction(self, account: Account) -> float:
         own = account.running + account.waiting + 1
         peers = account.peer_running + account.peer_waiting
         return own / (own + peers)
@@ -79,9 +78,9 @@
         limit = self._shared.limits(work.workspace).waiting
         if self._queue.waiting(work.workspace) < limit:
             return None
-        drained = self._queue.drained_seconds(work.workspace)
+        drain_seconds = self._queue.seconds_to_drain(work.workspace)
         return Reject(
             work.request_id,
             ErrorKind.QUEUE_FULL,
-            _bounded(drained),
+            _clamp_retry(drain_seconds),
         )
--- a/src/sardinetrack/routing/api.py
+++ b/src/sardinetrack/routing/api.py
@@ -1,7 +1,7 @@
-"""Types of an entry's decisions: events in, effects out.
+"""Interface of an entry's routing decisions: events in, effects out.
 
-Times are seconds of a monotonic clock that the caller owns. Decision objects
-do no I/O; randomness is passed in when they are built.
+Times are seconds of a monotonic clock that the calling code reads. Decision
+objects do no I/O; their random number generator is passed to the constructor.
 """
 
 from __future__ import annotations
@@ -32,18 +32,18 @@
     pool: str
     hint_cost: float
     deadline_seconds: float
-    """Monotonic time after which nobody waits for the start."""
+    """Monotonic time after which the request is no longer started."""
     idempotent: bool
-    """May be run again elsewhere when an attempt's outcome is unknown."""
+    """May run again at another side if an attempt's outcome is unknown."""
     fingerprint: str = ''
-    """Hash of what the server would run; equal for a resend."""
+    """Hash of what the server would run; equal for a retry by the caller."""
     affinity: int = 0
-    """Hash of the prompt's prefix; 0 for none."""
+    """Hash of the prompt's prefix; 0 for no prefix."""
 
 
 @dataclass(frozen=True, slots=True)
 class SideInfo:
-    """A side that an entry may use."""
+    """A side to which an entry may send requests."""
 
     side: str
     pool: str
@@ -53,23 +53,23 @@
 
 
 class AttemptEnd(StrEnum):
-    """How an attempt ended, as far as the entry could find out."""
+    """How an attempt ended, as far as the entry could determine."""
 
     WHOLE = 'whole'
-    """The caller got the whole answer."""
+    """The caller got the complete response."""
     NOT_STARTED = 'not_started'
-    """The side said, bindingly, that it did not run."""
+    """The side confirmed that the request did not run and never will."""
     FAILED = 'failed'
-    """It ran and failed: connection to the backend server cut, crash."""
+    """It ran and failed: the connection broke or the backend server crashed."""
     UNKNOWN = 'unknown'
-    """Nobody can tell whether it ran."""
+    """It can't be determined whether the request ran."""
     ABANDONED = 'abandoned'
-    """The caller went away; the attempt was cancelled."""
+    """The caller disconnected; the attempt was cancelled."""
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Send the request to a side now."""
+    """Send the request to a side immediately."""
 
     request_id: str
     attempt_id: str
@@ -78,21 +78,22 @@
     tag: float
     wait_seconds: float
     reason: str
-    """For the log line of the decision."""
+    """Why the request was sent, for the decision's log line."""
     suspect: bool = False
-    """It was running when another backend server crashed."""
+    """The request was running when another backend server crashed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer the caller with an error."""
+    """Respond to the caller with an error."""
 
     request_id: str
     kind: ErrorKind
     retry_after_seconds: float | None = None
     detail: str = ''
     strike: int = 0
-    """Number of a strike that other entries must know of first; 0 for none."""
+    """Number of the strike that linked entries must acknowledge before the
+    response is sent; 0 for none."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,47 +106,49 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToEntries:
-    """Send a message to the linked entries."""
+    """Send a message to all linked entries."""
 
     message: ServiceReport | Strike
 
 
 class HoldReason(StrEnum):
-    """Why a request that is first in its line is not sent."""
+    """Why the first request of a queue, or an error response, is delayed."""
 
     NO_SLOT = 'no_slot'
-    """No side has told of a free slot."""
+    """No side has reported a free slot."""
     AT_LIMIT = 'at_limit'
-    """Its workspace runs as many requests as it may."""
+    """Its workspace has reached its concurrency limit."""
     AVOIDS = 'avoids'
-    """It waits for a side other than those that failed it."""
+    """It waits for a side other than those at which it failed."""
     SUSPECT = 'suspect'
-    """It was there at a crash, and where it may go runs another such one."""
+    """It is a suspect, and every eligible side runs another one."""
     CRASH_NEWS = 'crash_news'
-    """Its answer waits until other entries know of a crash."""
+    """Its error response waits until other entries acknowledge the strike."""
     CRASH_UNKNOWN = 'crash_unknown'
-    """Its answer goes out although other entries may not know of a crash."""
+    """Its error response was sent before other entries acknowledged the
+    strike."""
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """Tell why a request still waits; nothing is sent."""
+    """Log why a request still waits; nothing is sent."""
 
     request_id: str
     reason: HoldReason
     avoided: tuple[str, ...]
-    """Sides that failed it."""
+    """Sides at which it failed."""
     waits_for: tuple[str, ...]
-    """Other sides that it counts on, or the entries that may not know."""
+    """Other sides that could take it, or entries that have not acknowledged
+    the strike."""
     slots: int
-    """Of these sides together, as they last told."""
+    """Total slots of these sides, as last reported."""
 
 
 EntryEffect = Dispatch | Reject | SendToSide | SendToEntries | Held
 
 
 class Routing(ABC):
-    """Owns the waiting work of one entry."""
+    """Routes the requests of one entry and owns its queues."""
 
     @abstractmethod
     def configure(
@@ -154,15 +157,15 @@
         workspaces: Sequence[Workspace],
         pools: Sequence[Pool],
     ) -> Sequence[EntryEffect]:
-        """Put a configuration in force."""
+        """Apply a configuration."""
 
     @abstractmethod
     def side_up(self, now: float, info: SideInfo) -> Sequence[EntryEffect]:
-        """Use a side whose link is up."""
+        """Start using a side whose link is up."""
 
     @abstractmethod
     def side_down(self, now: float, side: str) -> Sequence[EntryEffect]:
-        """Use a side no longer: its link broke or it is leaving."""
+        """Stop using a side: its link broke or it is draining."""
 
     @abstractmethod
     def load(
@@ -171,7 +174,7 @@
         side: str,
         load: SideLoad,
     ) -> Sequence[EntryEffect]:
-        """Take note of what a side can take."""
+        """Apply a load report of a side."""
 
     @abstractmethod
     def submit(self, now: float, work: Work) -> Sequence[EntryEffect]:
@@ -179,7 +182,7 @@
 
     @abstractmethod
     def cancel(self, now: float, request_id: str) -> Sequence[EntryEffect]:
-        """Forget a waiting request whose caller went away."""
+        """Remove a queued request whose caller disconnected."""
 
     @abstractmethod
     def grant(
@@ -188,7 +191,7 @@
         side: str,
         grant: Grant,
     ) -> Sequence[EntryEffect]:
-        """Use a slot that a side set aside, or decline it."""
+        """Use a slot that a side granted, or decline the grant."""
 
     @abstractmethod
     def progress(
@@ -197,7 +200,7 @@
         attempt_id: str,
         cost: float,
     ) -> Sequence[EntryEffect]:
-        """True up the charge of a running attempt to its cost so far."""
+        """Adjust the charge of a running attempt to its cost so far."""
 
     @abstractmethod
     def ended(
@@ -212,8 +215,8 @@
         """Settle an attempt; may queue the request again or reject it.
 
         :param cost: cost units received, 0 when it did not start.
-        :param answered: some of the answer already went to the caller, so
-            that the request can't be tried again.
+        :param answered: part of the response has already been sent to the
+            caller, so that the request can't be retried.
         """
 
     @abstractmethod
@@ -222,22 +225,22 @@
         now: float,
         report: ServiceReport,
     ) -> Sequence[EntryEffect]:
-        """Take in what workspaces received through another entry."""
+        """Apply a report of the service that workspaces received elsewhere."""
 
     @abstractmethod
     def peer_linked(self, now: float, entry: str) -> Sequence[Strike]:
-        """Note that another entry is linked.
+        """Handle a new link to another entry.
 
-        :return: the strikes that hold, to be told to it.
+        :return: the active strikes, to be sent over the link.
         """
 
     @abstractmethod
     def peer_lost(self, now: float, entry: str) -> Sequence[EntryEffect]:
-        """Note that another entry is gone or cut off."""
+        """Handle the loss of the link to another entry."""
 
     @abstractmethod
     def strike(self, now: float, strike: Strike) -> Sequence[EntryEffect]:
-        """Note that a request crashed a backend server."""
+        """Record that a request was running when a backend server crashed."""
 
     @abstractmethod
     def strike_noted(
@@ -246,16 +249,16 @@
         entry: str,
         number: int,
     ) -> Sequence[EntryEffect]:
-        """Note that another entry knows of the strikes up to a number."""
+        """Handle another entry's acknowledgement of strikes up to a number."""
 
     @abstractmethod
     def answer(self, now: float, reject: Reject) -> Sequence[EntryEffect]:
-        """Let an error answer go, or hold it until other entries may know."""
+        """Return an error response, or delay it until peers have the strike."""
 
     @abstractmethod
     def tick(self, now: float) -> Sequence[EntryEffect]:
-        """Expire deadlines; refresh bids and reports that are due."""
+        """Reject overdue requests; refresh bids and reports that are due."""
 
     @abstractmethod
     def bids_for(self, side: str) -> Bids:
-        """Compute the present bids for a side, to ride on a dispatch."""
+        """Return the current bids for a side, to be sent with a run request."""
--- a/src/sardinetrack/routing/attempt.py
+++ b/src/sardinetrack/routing/attempt.py
@@ -1,4 +1,4 @@
-"""A dispatched request, and the truth about one given up."""
+"""Attempts to run a request, and the rejection of one that can't be run."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.routing.api import Reject
-from sardinetrack.routing.queue import Waiting
+from sardinetrack.routing.queue import QueuedRequest
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A dispatched request."""
+    """One dispatch of a request to a side."""
 
     attempt_id: str
-    waiting: Waiting
+    queued: QueuedRequest
     side: str
     backend_server: str
     generation: int
-    """Of the server's breaker when it was sent."""
+    """Generation of the server's breaker when the request was sent."""
     suspect: bool
-    """It was running when another server crashed."""
+    """The request was running when another server crashed."""
 
 
-def give_up(waiting: Waiting, kind: ErrorKind) -> Reject:
-    """Reject a waiting request truthfully.
+def rejection_for(queued: QueuedRequest, kind: ErrorKind) -> Reject:
+    """Reject a queued request with an error that fits its earlier attempts.
 
-    One that ran before, and was to be tried again, must not be called "not
-    run": it gets the error of its last attempt.
+    A request that ran before and was queued for a retry must not be reported
+    as "not run": it gets the error of its last attempt.
 
-    :param waiting: the request.
-    :param kind: what to say when no attempt ran.
-    :return: the answer.
+    :param queued: the request.
+    :param kind: error to report if no attempt ran.
+    :return: the rejection.
     """
     return Reject(
-        waiting.work.request_id,
-        waiting.ran or kind,
-        strike=waiting.strike,
+        queued.work.request_id,
+        queued.previous_error or kind,
+        strike=queued.strike_number,
     )
--- a/src/sardinetrack/routing/breaker.py
+++ b/src/sardinetrack/routing/breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breaker of one backend server, with a generation."""
+"""Circuit breaker of one backend server."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from sardinetrack.charts.typed import TypedChart
 
 FAILURES_TO_OPEN: Final = 3
-FIRST_COOLDOWN_SECONDS: Final = 1.0
-MOST_COOLDOWN_SECONDS: Final = 30.0
-_GROWTH: Final = 2.0
+INITIAL_COOLDOWN_SECONDS: Final = 1.0
+MAX_COOLDOWN_SECONDS: Final = 30.0
+_BACKOFF_FACTOR: Final = 2.0
 
 
 class BreakerState(StrEnum):
-    """Whether the server gets work."""
+    """States of the state chart ``breaker``."""
 
     CLOSED = 'closed'
     OPEN = 'open'
@@ -22,7 +22,7 @@
 
 
 class BreakerEvent(StrEnum):
-    """What moves a breaker."""
+    """Events of the state chart ``breaker``."""
 
     FAILURE_LIMIT = 'failure_limit'
     PROBE = 'probe'
@@ -35,53 +35,52 @@
 
 
 class Breaker:
-    """Opens after failures in a row; one waiting request probes it.
+    """Opens after consecutive failures; one queued request is its probe.
 
     Each opening starts a new generation. A request sent before the opening
     may still succeed late; without the generation that success would close
-    the breaker on a server that has failed since.
+    the breaker although the server has failed since.
     """
 
     def __init__(self) -> None:
-        """Start closed."""
         self.generation = 0
         self._chart = _CHART.start()
         self._failures = 0
-        self._cooldown_seconds = FIRST_COOLDOWN_SECONDS
+        self._cooldown_seconds = INITIAL_COOLDOWN_SECONDS
         self._retry_at_seconds = float(0)
 
     @property
     def state(self) -> BreakerState:
-        """Where the breaker stands on its chart."""
+        """Current state."""
         return self._chart.state
 
     def allows(self, now: float) -> bool:
-        """Whether a request may be sent; one probes after the cooldown."""
+        """Whether a request may be sent; after the cooldown, one as a probe."""
         state = self._chart.state
         if state is BreakerState.CLOSED:
             return True
         return state is BreakerState.OPEN and now >= self._retry_at_seconds
 
     def sent(self) -> int:
-        """Note a request on its way.
+        """Record that a request is sent.
 
-        :return: the generation to hand back with its end.
+        :return: the current generation, to be passed with its outcome.
         """
         if self.state is BreakerState.OPEN:
             self._chart.fire(BreakerEvent.PROBE)
         return self.generation
 
     def succeeded(self, generation: int) -> None:
-        """Note a whole answer."""
+        """Record a complete response."""
         if generation != self.generation:
             return
         self._failures = 0
-        self._cooldown_seconds = FIRST_COOLDOWN_SECONDS
+        self._cooldown_seconds = INITIAL_COOLDOWN_SECONDS
         if self.state is BreakerState.HALF_OPEN:
             self._chart.fire(BreakerEvent.PROBE_OK)
 
     def failed(self, now: float, generation: int) -> None:
-        """Note a failure; those of an older generation count already."""
+        """Record a failure; those of an older generation have been counted."""
         if generation != self.generation:
             return
         self._failures += 1
@@ -91,7 +90,7 @@
             self._open(now, BreakerEvent.FAILURE_LIMIT)
 
     def undecided(self, generation: int) -> None:
-        """Note that a request ended and said nothing about the server."""
+        """Record that a request ended without showing the server's state."""
         probing = self.state is BreakerState.HALF_OPEN
         if probing and generation == self.generation:
             self._chart.fire(BreakerEvent.PROBE_UNDECIDED)
@@ -101,5 +100,5 @@
         self.generation += 1
         self._failures = 0
         self._retry_at_seconds = now + self._cooldown_seconds
-        grown = self._cooldown_seconds * _GROWTH
-        self._cooldown_seconds = min(grown, MOST_COOLDOWN_SECONDS)
+        next_cooldown = self._cooldown_seconds * _BACKOFF_FACTOR
+        self._cooldown_seconds = min(next_cooldown, MAX_COOLDOWN_SECONDS)
--- a/src/sardinetrack/routing/pool.py
+++ b/src/sardinetrack/routing/pool.py
@@ -1,4 +1,4 @@
-"""Routing in one pool: which workspace is next, and at which side."""
+"""Routing in one pool: chooses the next request and its side."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
     Grant,
     SideLoad,
 )
+from sardinetrack.routing.admission_checks import AdmissionChecks
 from sardinetrack.routing.api import (
     Dispatch,
     EntryEffect,
@@ -21,110 +22,109 @@
     SendToSide,
     Work,
 )
-from sardinetrack.routing.attempt import Attempt, give_up
-from sardinetrack.routing.gate import Gate
-from sardinetrack.routing.holds import Holds
-from sardinetrack.routing.order import Order
-from sardinetrack.routing.queue import Waiting, WorkQueue
+from sardinetrack.routing.attempt import Attempt, rejection_for
+from sardinetrack.routing.queue import QueuedRequest, RequestQueues
 from sardinetrack.routing.reporting import Reporter
-from sardinetrack.routing.shared import Shared
+from sardinetrack.routing.scheduler import Scheduler
+from sardinetrack.routing.shared import SharedState
 from sardinetrack.routing.sides import Side, SideTable
+from sardinetrack.routing.wait_notices import WaitNotices
 
-SIDES_TOLD: Final = 2
-_SIDES_LOOKED_AT: Final = 8
-REFRESH_SECONDS: Final = 6.0
-_HOLD_SECONDS: Final = 4.0
-_RETELL_SECONDS: Final = 0.25
-_NO_SIDE_SECONDS: Final = 2.0
-_DIRECT: Final = Grant(0, 0)
-"""Stands for no grant."""
+BID_FANOUT: Final = 2
+_MAX_SIDES_CHECKED: Final = 8
+BID_REFRESH_SECONDS: Final = 6.0
+_MAX_SIDE_WAIT_SECONDS: Final = 4.0
+_REBID_SECONDS: Final = 0.25
+_NO_SIDE_GRACE_SECONDS: Final = 2.0
+_NO_GRANT: Final = Grant(0, 0)
+"""Used for requests sent to a free slot without a grant."""
 
 
 class PoolRouter:
-    """Owns the waiting work of one pool at one entry."""
+    """Routes the requests of one pool at one entry and owns their queues."""
 
-    def __init__(self, name: str, shared: Shared) -> None:
-        """Start empty.
+    def __init__(self, name: str, shared: SharedState) -> None:
+        """Create a router without sides and requests.
 
         :param name: of the pool.
-        :param shared: what all pools of the entry share.
+        :param shared: state that all pools of the entry share.
         """
         self.ledger = Ledger()
-        self.queue = WorkQueue()
-        self.sides = SideTable(shared.random)
+        self.queue = RequestQueues()
+        self.sides = SideTable(shared.rng)
         self.attempts: dict[str, Attempt] = {}
         self.open_requests = 0
-        """Taken in and not answered; each waits or runs."""
+        """Accepted requests without a response; each is queued or runs."""
         self._name = name
         self._shared = shared
-        self._order = Order(
+        self._scheduler = Scheduler(
             shared,
             self.ledger,
             self.queue,
             self.sides,
             self.attempts,
         )
-        self._gate = Gate(shared, self.ledger, self.queue)
-        self._holds = Holds(self.queue, self._order)
+        self._checks = AdmissionChecks(shared, self.ledger, self.queue)
+        self._wait_notices = WaitNotices(self.queue, self._scheduler)
         self._reporter = Reporter(name, shared.identity, self.ledger)
-        self._side_seconds = float('-inf')
-        self._retold_seconds = float('-inf')
+        self._slots_seen_seconds = float('-inf')
+        self._rebid_seconds = float('-inf')
 
     def submit(self, now: float, work: Work) -> Sequence[EntryEffect]:
         """Dispatch, queue or reject a new request."""
-        if self.sides.some_slots():
-            self._side_seconds = now
-        elif self._no_side(now):
+        if self.sides.has_slots():
+            self._slots_seen_seconds = now
+        elif self._lacks_slots(now):
             return (Reject(work.request_id, ErrorKind.NOT_RUN_NO_SERVER),)
-        refusal = self._gate.check(now, work)
-        if refusal is not None:
-            return (refusal,)
+        rejection = self._checks.check(now, work)
+        if rejection is not None:
+            return (rejection,)
         self._shared.retries.first_attempt()
         self.open_requests += 1
-        return self.enqueue(now, Waiting(work, now))
+        return self.enqueue(now, QueuedRequest(work, now))
 
     def enqueue(
         self,
         now: float,
-        waiting: Waiting,
+        queued: QueuedRequest,
         *,
-        first: bool = False,
+        at_front: bool = False,
     ) -> Sequence[EntryEffect]:
-        """Put a request in line, and use what is free.
+        """Queue a request, and dispatch to free slots.
 
         :param now: monotonic time.
-        :param waiting: the request.
-        :param first: it was taken before and goes to the head.
+        :param queued: the request.
+        :param at_front: it was dispatched before and goes to the front.
         :return: dispatches, or bids for it.
         """
-        workspace = waiting.work.workspace
+        workspace = queued.work.workspace
         was_waiting = self.queue.waiting(workspace)
-        waiting.queued_seconds = now
-        waiting.told_hold = None
-        self.queue.put(waiting, first=first)
-        self._count(now, workspace)
-        effects = list(self.pump(now))
+        queued.queued_seconds = now
+        queued.reported_reason = None
+        self.queue.put(queued, at_front=at_front)
+        self._update_waiting(now, workspace)
+        effects = list(self.dispatch_ready(now))
         if not was_waiting and self.queue.waiting(workspace):
-            effects.extend(self.tell(now))
+            effects.extend(self.send_bids(now))
         return effects
 
-    def pump(self, now: float) -> Sequence[EntryEffect]:
-        """Send to sides believed free, lowest tags first."""
+    def dispatch_ready(self, now: float) -> Sequence[EntryEffect]:
+        """Dispatch to sides with free slots, lowest tags first."""
         effects: list[EntryEffect] = []
-        closed: set[str] = set()
-        while self.sides.some_free():
-            workspace = self._order.lowest(now, None)
+        excluded: set[str] = set()
+        while self.sides.has_free_slots():
+            workspace = self._scheduler.next_workspace(now, None)
             if workspace is None:
                 return effects
             affinity = self.queue.head(workspace).work.affinity
-            side = self.sides.free(now, affinity, closed)
+            side = self.sides.choose_free(now, affinity, excluded)
             if side is None:
                 return effects
-            step = self._next(now, side, _DIRECT, 'free slot')
-            if step is None:
-                closed.add(side.info.side)
+            effect = self._dispatch_next(now, side, _NO_GRANT, 'free slot')
+            if effect is None:
+                excluded.add(side.info.side)
             else:
-                effects.append(step)
+                effects.append(effect)
         return effects
 
     def grant(
@@ -133,144 +133,153 @@
         side_name: str,
         grant: Grant,
     ) -> Sequence[EntryEffect]:
-        """Use a granted slot for the lowest tag, or decline it."""
+        """Use a granted slot for the lowest tag, or decline the grant."""
         side = self.sides.find(side_name)
         if side is None:
             return (SendToSide(side_name, Decline(grant.number)),)
         side.grants_seen = max(side.grants_seen, grant.number)
         effects: list[EntryEffect] = []
         while side.breaker.allows(now):
-            step = self._next(now, side, grant, 'granted')
-            if step is None:
+            effect = self._dispatch_next(now, side, grant, 'granted')
+            if effect is None:
                 break
-            effects.append(step)
-            if isinstance(step, Dispatch):
+            effects.append(effect)
+            if isinstance(effect, Dispatch):
                 return effects
         effects.append(SendToSide(side_name, Decline(grant.number)))
         return effects
 
-    def welcome(self, now: float, side_name: str) -> Sequence[EntryEffect]:
-        """Tell a new side what waits."""
+    def initial_bids(self, now: float, side_name: str) -> Sequence[EntryEffect]:
+        """Return the first bids for a new side."""
         side = self.sides.find(side_name)
         if side is None or not len(self.queue):
             return ()
-        return (self._bid(now, side),)
+        return (self._send_bid(now, side),)
 
-    def load(
+    def update_load(
         self,
         now: float,
         side_name: str,
         load: SideLoad,
     ) -> Sequence[EntryEffect]:
-        """Take note of a side's load, and use what is free."""
+        """Apply a load report, and dispatch to free slots."""
         side = self.sides.find(side_name)
         if side is None:
             return ()
-        self.sides.learn(side, load)
+        self.sides.update(side, load)
         self.ledger.meet(load.virtual_time)
-        return self.pump(now)
+        return self.dispatch_ready(now)
 
-    def tell(self, now: float) -> Sequence[EntryEffect]:
-        """Send bids to a few sides."""
+    def send_bids(self, now: float) -> Sequence[EntryEffect]:
+        """Send bids to a few random sides."""
         return [
-            self._bid(now, side)
-            for side in self.sides.some_of(self.sides.usable(now), SIDES_TOLD)
+            self._send_bid(now, side)
+            for side in self.sides.choose_some(
+                self.sides.usable(now), BID_FANOUT
+            )
         ]
 
     def tick(self, now: float) -> Sequence[EntryEffect]:
-        """Expire deadlines; refresh bids and reports that are due."""
+        """Reject overdue requests; refresh bids and reports that are due."""
         ensure(
             self.open_requests == len(self.queue) + len(self.attempts),
-            'each open request waits or runs',
+            'each open request is queued or runs',
         )
         effects: list[EntryEffect] = []
-        for waiting in self.queue.overdue(now):
-            self._count(now, waiting.work.workspace)
+        for queued in self.queue.overdue(now):
+            self._update_waiting(now, queued.work.workspace)
             self.open_requests -= 1
-            effects.append(give_up(waiting, ErrorKind.NOT_RUN_DEADLINE))
-        if self.sides.some_slots():
-            self._side_seconds = now
-        elif self._no_side(now):
-            effects.extend(self._give_up_all(now))
-        effects.extend(self.pump(now))
-        effects.extend(self._refresh(now))
-        effects.extend(self._retell(now))
-        effects.extend(self._holds.due(now))
+            effects.append(rejection_for(queued, ErrorKind.NOT_RUN_DEADLINE))
+        if self.sides.has_slots():
+            self._slots_seen_seconds = now
+        elif self._lacks_slots(now):
+            effects.extend(self._reject_all(now))
+        effects.extend(self.dispatch_ready(now))
+        effects.extend(self._refresh_bids(now))
+        effects.extend(self._rebid(now))
+        effects.extend(self._wait_notices.due(now))
         effects.extend(self._reporter.due(now))
         return effects
 
     def cancel(self, now: float, request_id: str) -> None:
-        """Forget a waiting request."""
-        waiting = self.queue.remove(request_id)
-        if waiting is not None:
+        """Remove a queued request."""
+        queued = self.queue.remove(request_id)
+        if queued is not None:
             self.open_requests -= 1
-            self._count(now, waiting.work.workspace)
+            self._update_waiting(now, queued.work.workspace)
 
-    def reopened(self, now: float, workspace: str) -> Sequence[EntryEffect]:
-        """Use what a settled attempt made possible.
+    def attempt_settled(
+        self, now: float, workspace: str
+    ) -> Sequence[EntryEffect]:
+        """Dispatch requests that waited for a settled attempt.
 
         :param now: monotonic time.
         :param workspace: whose attempt ended; it may have been at its limit.
-        :return: dispatches, or bids for work that was held at the limit.
+        :return: dispatches, or bids for requests that the limit delayed.
         """
-        effects = list(self.pump(now))
-        if self.queue.waiting(workspace) and self._order.room(workspace) == 1:
-            effects.extend(self.tell(now))
+        effects = list(self.dispatch_ready(now))
+        if (
+            self.queue.waiting(workspace)
+            and self._scheduler.free_concurrency(workspace) == 1
+        ):
+            effects.extend(self.send_bids(now))
         return effects
 
     def bids(self, side: Side) -> Bids:
-        """Compute the present bids for a side."""
-        return self._order.bids(self._name, side)
+        """Return the current bids for a side."""
+        return self._scheduler.bids(self._name, side)
 
-    def _next(
+    def _dispatch_next(
         self,
         now: float,
         side: Side,
         grant: Grant,
         reason: str,
     ) -> Dispatch | Reject | None:
-        workspace = self._order.lowest(now, side, grant.workspace)
+        workspace = self._scheduler.next_workspace(now, side, grant.workspace)
         if workspace is None:
             return None
-        self._order.check(now, workspace, side)
-        first = self._order.next_of(now, workspace, side)
+        self._scheduler.ensure_fair(now, workspace, side)
+        first = self._scheduler.next_request(now, workspace, side)
         if first is None:
             return None
         affinity = first.work.affinity
-        warm = self.sides.warm(affinity, side.info.side)
-        waiting = self.queue.take(
+        cached = self.sides.caches_prefix(affinity, side.info.side)
+        queued = self.queue.dequeue(
             now,
             first,
-            (affinity,) if warm else (),
-            lambda near: not self._order.closed(now, near, side),
+            (affinity,) if cached else (),
+            lambda candidate: (
+                not self._scheduler.is_excluded(now, candidate, side)
+            ),
         )
-        self._count(now, workspace)
+        self._update_waiting(now, workspace)
         strikes = self._shared.strikes
-        if strikes.condemned_seconds(now, waiting.work.fingerprint) > 0:
+        if strikes.condemned_seconds(now, queued.work.fingerprint) > 0:
             self.open_requests -= 1
-            return give_up(waiting, ErrorKind.CRASHES_SERVERS)
-        return self._dispatch(now, waiting, side, grant.number, reason)
+            return rejection_for(queued, ErrorKind.CRASHES_SERVERS)
+        return self._dispatch(now, queued, side, grant.number, reason)
 
     def _dispatch(
         self,
         now: float,
-        waiting: Waiting,
+        queued: QueuedRequest,
         side: Side,
         grant: int,
         reason: str,
     ) -> Dispatch:
-        work = waiting.work
-        waiting.attempts += 1
+        work = queued.work
+        queued.attempts += 1
         attempt = Attempt(
             self._shared.attempt_id(),
-            waiting,
+            queued,
             side.info.side,
             side.info.backend_server,
             side.breaker.sent(),
-            self._order.suspect(now, work),
+            self._scheduler.is_suspect(now, work),
         )
         self.attempts[attempt.attempt_id] = attempt
-        self._reporter.dispatched()
+        self._reporter.count_dispatch()
         tag = self.ledger.tag(work.workspace)
         weight = self._shared.limits(work.workspace).weight
         self.ledger.charge(
@@ -280,58 +289,62 @@
             work.hint_cost,
             weight,
         )
-        self.sides.remember(work.affinity, side.info.side)
+        self.sides.record_prefix(work.affinity, side.info.side)
         if not grant:
             side.free -= 1
-        side.bid_seconds = now
+        side.last_bid_seconds = now
         return Dispatch(
             work.request_id,
             attempt.attempt_id,
             side.info.side,
             grant,
             tag,
-            min(_HOLD_SECONDS, work.deadline_seconds - now),
+            min(_MAX_SIDE_WAIT_SECONDS, work.deadline_seconds - now),
             reason,
             attempt.suspect,
         )
 
-    def _bid(self, now: float, side: Side) -> SendToSide:
-        side.bid_seconds = now
+    def _send_bid(self, now: float, side: Side) -> SendToSide:
+        side.last_bid_seconds = now
         return SendToSide(side.info.side, self.bids(side))
 
-    def _count(self, now: float, workspace: str) -> None:
+    def _update_waiting(self, now: float, workspace: str) -> None:
         self.ledger.wait(now, workspace, self.queue.waiting(workspace))
 
-    def _refresh(self, now: float) -> Sequence[EntryEffect]:
+    def _refresh_bids(self, now: float) -> Sequence[EntryEffect]:
         if not len(self.queue):
             return ()
         return [
-            self._bid(now, side)
+            self._send_bid(now, side)
             for side in self.sides.usable(now)
-            if now - side.bid_seconds >= REFRESH_SECONDS
+            if now - side.last_bid_seconds >= BID_REFRESH_SECONDS
         ]
 
-    def _retell(self, now: float) -> Sequence[EntryEffect]:
-        """Bid again for work that was kept from sides with room.
+    def _rebid(self, now: float) -> Sequence[EntryEffect]:
+        """Bid again for requests that were excluded from sides with free slots.
 
-        Its bid there was declined, or was made when the side was closed to
-        it. Until the next refresh the side would stand idle beside it.
+        The earlier bid was declined, or was sent while the side was excluded
+        for the request. Until the next refresh the side would be idle.
         """
-        due = now - self._retold_seconds >= _RETELL_SECONDS
-        if not due or not self._order.some_kept(now):
+        due = now - self._rebid_seconds >= _REBID_SECONDS
+        if not due or not self._scheduler.has_restricted_work(now):
             return ()
-        self._retold_seconds = now
-        asked = self.sides.some_of(self.sides.usable(now), _SIDES_LOOKED_AT)
-        fit = [side for side in asked if self._order.open_to_any(now, side)]
-        return [self._bid(now, side) for side in fit[:SIDES_TOLD]]
+        self._rebid_seconds = now
+        sampled = self.sides.choose_some(
+            self.sides.usable(now), _MAX_SIDES_CHECKED
+        )
+        eligible = [
+            side for side in sampled if self._scheduler.has_work_for(now, side)
+        ]
+        return [self._send_bid(now, side) for side in eligible[:BID_FANOUT]]
 
-    def _no_side(self, now: float) -> bool:
-        return now - self._side_seconds > _NO_SIDE_SECONDS
+    def _lacks_slots(self, now: float) -> bool:
+        return now - self._slots_seen_seconds > _NO_SIDE_GRACE_SECONDS
 
-    def _give_up_all(self, now: float) -> Sequence[EntryEffect]:
+    def _reject_all(self, now: float) -> Sequence[EntryEffect]:
         effects: list[EntryEffect] = []
-        for waiting in self.queue.clear():
-            self._count(now, waiting.work.workspace)
+        for queued in self.queue.clear():
+            self._update_waiting(now, queued.work.workspace)
             self.open_requests -= 1
-            effects.append(give_up(waiting, ErrorKind.NOT_RUN_NO_SERVER))
+            effects.append(rejection_for(queued, ErrorKind.NOT_RUN_NO_SERVER))
         return effects
--- a/src/sardinetrack/routing/queue.py
+++ b/src/sardinetrack/routing/queue.py
@@ -1,4 +1,4 @@
-"""Waiting work of one pool at one entry."""
+"""Queues of one pool at one entry."""
 
 from __future__ import annotations
 
@@ -12,167 +12,171 @@
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.routing.api import HoldReason, Work
 
-_WINDOW: Final = 4
-"""How far a request may be passed by one whose prefix is cached."""
-_GAIN: Final = 0.2
-_FIRST_INTERVAL_SECONDS: Final = 1.0
+_LOOKAHEAD: Final = 4
+"""Requests at the front among which one with a cached prefix goes first."""
+_SMOOTHING: Final = 0.2
+_INITIAL_INTERVAL_SECONDS: Final = 1.0
 
 
 @dataclass(slots=True)
-class Waiting:
-    """One request that waits, or runs, with what was tried."""
+class QueuedRequest:
+    """A request that is queued or running, with its earlier attempts."""
 
     work: Work
-    since_seconds: float
+    submitted_seconds: float
     attempts: int = 0
-    avoid: frozenset[str] = frozenset()
-    """Sides that failed it."""
-    strike: int = 0
-    """Number of the last strike told of it; 0 for none."""
-    refusals: int = 0
-    """In a row, while it was suspected of a crash."""
-    closed_until: dict[str, float] = field(default_factory=dict)
-    """Sides that refused it while it was suspected, and until when."""
-    ran: ErrorKind | None = None
-    """What an earlier attempt that may have run amounts to."""
+    failed_sides: frozenset[str] = frozenset()
+    """Sides at which it failed."""
+    strike_number: int = 0
+    """Number of the last strike sent for it; 0 for none."""
+    consecutive_refusals: int = 0
+    """While it was a suspect."""
+    excluded_until: dict[str, float] = field(default_factory=dict)
+    """Sides that refused it as a suspect, with the end of their exclusion."""
+    previous_error: ErrorKind | None = None
+    """Error of the last attempt that may have run."""
     queued_seconds: float = 0
-    """When it was last put in line."""
-    told_hold: HoldReason | None = None
-    """Why it waits, as last told."""
+    """When it was last queued, in monotonic time."""
+    reported_reason: HoldReason | None = None
+    """Why it waits, as last reported."""
 
 
-def _always(waiting: Waiting) -> bool:
+def _always(queued: QueuedRequest) -> bool:
     return True
 
 
 @dataclass(slots=True)
-class _Line:
-    waiting: deque[Waiting] = field(default_factory=deque)
-    interval_seconds: float = _FIRST_INTERVAL_SECONDS
-    taken_seconds: float | None = None
+class _WorkspaceQueue:
+    pending: deque[QueuedRequest] = field(default_factory=deque)
+    interval_seconds: float = _INITIAL_INTERVAL_SECONDS
+    dequeued_seconds: float | None = None
 
 
-class WorkQueue:
-    """First-in-first-out lines, one for each workspace."""
+class RequestQueues:
+    """First-in-first-out queues, one for each workspace."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._lines: dict[str, _Line] = {}
+        self._queues: dict[str, _WorkspaceQueue] = {}
         self._workspaces: dict[str, str] = {}
-        self._earliest_seconds = math.inf
-        """No deadline passes before; may be too early, never too late."""
+        self._earliest_deadline_seconds = math.inf
+        """Lower bound of the queued requests' deadlines."""
 
     def __len__(self) -> int:
-        """Count all waiting requests."""
+        """Count all queued requests."""
         return len(self._workspaces)
 
     def workspaces(self) -> Iterable[str]:
-        """List the workspaces with waiting work."""
-        return [name for name, line in self._lines.items() if line.waiting]
+        """Return the workspaces with queued requests."""
+        return [name for name, queue in self._queues.items() if queue.pending]
 
     def waiting(self, workspace: str) -> int:
-        """Count the waiting requests of a workspace."""
-        line = self._lines.get(workspace)
-        return len(line.waiting) if line else 0
+        """Count the queued requests of a workspace."""
+        queue = self._queues.get(workspace)
+        return len(queue.pending) if queue else 0
 
-    def put(self, waiting: Waiting, *, first: bool = False) -> None:
+    def put(self, queued: QueuedRequest, *, at_front: bool = False) -> None:
         """Add a request.
 
-        :param waiting: the request.
-        :param first: it waited before and goes to the head.
+        :param queued: the request.
+        :param at_front: it was queued before and goes to the front.
         """
-        work = waiting.work
-        line = self._lines.setdefault(work.workspace, _Line())
+        work = queued.work
+        queue = self._queues.setdefault(work.workspace, _WorkspaceQueue())
         self._workspaces[work.request_id] = work.workspace
-        self._earliest_seconds = min(
-            self._earliest_seconds,
+        self._earliest_deadline_seconds = min(
+            self._earliest_deadline_seconds,
             work.deadline_seconds,
         )
-        if first:
-            line.waiting.appendleft(waiting)
+        if at_front:
+            queue.pending.appendleft(queued)
         else:
-            line.waiting.append(waiting)
+            queue.pending.append(queued)
 
-    def head(self, workspace: str) -> Waiting:
-        """Look at the request that is first in line."""
-        return self._lines[workspace].waiting[0]
+    def head(self, workspace: str) -> QueuedRequest:
+        """Return the first request without removing it."""
+        return self._queues[workspace].pending[0]
 
-    def line(self, workspace: str) -> Iterable[Waiting]:
-        """Look at the requests of a workspace, first in line first."""
-        return self._lines[workspace].waiting
+    def requests(self, workspace: str) -> Iterable[QueuedRequest]:
+        """Return the requests of a workspace in queue order."""
+        return self._queues[workspace].pending
 
-    def take(
+    def dequeue(
         self,
         now: float,
-        waiting: Waiting,
-        warm: Collection[int] = (),
-        may_pass: Callable[[Waiting], bool] = _always,
-    ) -> Waiting:
-        """Take the next request.
+        queued: QueuedRequest,
+        cached_prefixes: Collection[int] = (),
+        may_run: Callable[[QueuedRequest], bool] = _always,
+    ) -> QueuedRequest:
+        """Remove and return the next request.
 
         :param now: monotonic time.
-        :param waiting: the one whose turn it is.
-        :param warm: prefixes for which one may pass a few others.
-        :param may_pass: whether a request may go now.
-        :return: it, or a near one with a warm prefix.
+        :param queued: the request that is next.
+        :param cached_prefixes: hashes of prefixes whose requests may overtake
+            a few others.
+        :param may_run: whether a request may run now.
+        :return: that request, or one near the front with a cached prefix.
         """
-        line = self._lines[waiting.work.workspace]
-        for near in islice(line.waiting, _WINDOW):
-            if near.work.affinity in warm and may_pass(near):
-                waiting = near
+        queue = self._queues[queued.work.workspace]
+        for candidate in islice(queue.pending, _LOOKAHEAD):
+            if candidate.work.affinity in cached_prefixes and may_run(
+                candidate
+            ):
+                queued = candidate
                 break
-        line.waiting.remove(waiting)
-        self._workspaces.pop(waiting.work.request_id)
-        self._learn(now, line)
-        return waiting
+        queue.pending.remove(queued)
+        self._workspaces.pop(queued.work.request_id)
+        self._update_interval(now, queue)
+        return queued
 
-    def remove(self, request_id: str) -> Waiting | None:
-        """Take out one request by its id."""
+    def remove(self, request_id: str) -> QueuedRequest | None:
+        """Remove one request by its id."""
         workspace = self._workspaces.pop(request_id, None)
         if workspace is None:
             return None
-        line = self._lines[workspace].waiting
-        waiting = next(one for one in line if one.work.request_id == request_id)
-        line.remove(waiting)
-        return waiting
-
-    def drained_seconds(self, workspace: str) -> float:
-        """Tell when the line will have drained at its present rate."""
-        line = self._lines.get(workspace)
-        if line is None:
+        queue = self._queues[workspace].pending
+        queued = next(one for one in queue if one.work.request_id == request_id)
+        queue.remove(queued)
+        return queued
+
+    def seconds_to_drain(self, workspace: str) -> float:
+        """Return how long the queue takes to drain at its current rate."""
+        queue = self._queues.get(workspace)
+        if queue is None:
             return 0
-        return len(line.waiting) * line.interval_seconds
+        return len(queue.pending) * queue.interval_seconds
 
-    def overdue(self, now: float) -> list[Waiting]:
-        """Take out the requests whose deadline has passed."""
-        if now < self._earliest_seconds:
+    def overdue(self, now: float) -> list[QueuedRequest]:
+        """Remove and return the requests whose deadline has passed."""
+        if now < self._earliest_deadline_seconds:
             return []
         overdue = [
-            waiting
-            for waiting in self._all()
-            if waiting.work.deadline_seconds <= now
+            queued
+            for queued in self._all_requests()
+            if queued.work.deadline_seconds <= now
         ]
-        for late in overdue:
-            self.remove(late.work.request_id)
-        left = [waiting.work.deadline_seconds for waiting in self._all()]
-        self._earliest_seconds = min(left, default=math.inf)
+        for expired in overdue:
+            self.remove(expired.work.request_id)
+        deadlines = [
+            queued.work.deadline_seconds for queued in self._all_requests()
+        ]
+        self._earliest_deadline_seconds = min(deadlines, default=math.inf)
         return overdue
 
-    def clear(self) -> list[Waiting]:
-        """Take out everything."""
-        waiting = list(self._all())
-        self._lines.clear()
+    def clear(self) -> list[QueuedRequest]:
+        """Remove and return all requests."""
+        removed = list(self._all_requests())
+        self._queues.clear()
         self._workspaces.clear()
-        return waiting
+        return removed
 
-    def _all(self) -> Iterator[Waiting]:
-        for line in self._lines.values():
-            yield from line.waiting
+    def _all_requests(self) -> Iterator[QueuedRequest]:
+        for queue in self._queues.values():
+            yield from queue.pending
 
-    def _learn(self, now: float, line: _Line) -> None:
-        if line.taken_seconds is not None and line.waiting:
-            interval_seconds = now - line.taken_seconds
-            line.interval_seconds += _GAIN * (
-                interval_seconds - line.interval_seconds
+    def _update_interval(self, now: float, queue: _WorkspaceQueue) -> None:
+        if queue.dequeued_seconds is not None and queue.pending:
+            interval_seconds = now - queue.dequeued_seconds
+            queue.interval_seconds += _SMOOTHING * (
+                interval_seconds - queue.interval_seconds
             )
-        line.taken_seconds = now
+        queue.dequeued_seconds = now
--- a/src/sardinetrack/routing/reporting.py
+++ b/src/sardinetrack/routing/reporting.py
@@ -1,4 +1,4 @@
-"""When an entry tells its peers what its workspaces received."""
+"""Schedule of an entry's service reports to its peers."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
 from sardinetrack.routing.shared import Identity
 
 MESSAGES_PER_REQUEST: Final = 0.8
-"""Spent on reports; short requests are reported more often than long ones."""
-LONGEST_SECONDS: Final = 2.0
-CALM_SECONDS: Final = 6.0
-"""Between reports while nothing waits anywhere: nothing has to be ordered."""
-SHORTEST_SECONDS: Final = 0.1
+"""Budget for reports; short requests are reported more often than long
+ones."""
+MAX_INTERVAL_SECONDS: Final = 2.0
+IDLE_INTERVAL_SECONDS: Final = 6.0
+"""Between reports while no entry has queued requests: tags are not compared
+then."""
+MIN_INTERVAL_SECONDS: Final = 0.1
 _REPEAT_SECONDS: Final = 8.0
-"""Rows are repeated so long after a change, in case a report is lost."""
+"""How long after a change a row is repeated, in case a report is lost."""
 
 
 class Reporter:
-    """Reports after some dispatches, or some time after a change."""
+    """Sends a report after some dispatches, or some time after a change."""
 
     def __init__(self, pool: str, identity: Identity, ledger: Ledger) -> None:
-        """Report one pool's ledger."""
         self._pool = pool
         self._identity = identity
         self._ledger = ledger
         self._dispatched = 0
         self._sent_seconds = float('-inf')
 
-    def dispatched(self) -> None:
+    def count_dispatch(self) -> None:
         """Count a dispatch."""
         self._dispatched += 1
 
     def due(self, now: float) -> Sequence[SendToEntries]:
-        """Report if it is time.
+        """Return a report if one is due.
 
         :param now: monotonic time.
-        :return: a report or nothing.
+        :return: one report, or none.
         """
         elapsed_seconds = now - self._sent_seconds
-        wanted = self._ledger.live_peers / MESSAGES_PER_REQUEST
-        busy = self._dispatched >= max(1, wanted)
-        if elapsed_seconds < self._pause_seconds(busy=busy):
+        threshold = self._ledger.live_peers / MESSAGES_PER_REQUEST
+        busy = self._dispatched >= max(1, threshold)
+        if elapsed_seconds < self._interval_seconds(busy=busy):
             return ()
         rows = self._ledger.rows(now - _REPEAT_SECONDS)
         if not rows:
@@ -60,7 +61,7 @@
         )
         return (SendToEntries(report),)
 
-    def _pause_seconds(self, *, busy: bool) -> float:
+    def _interval_seconds(self, *, busy: bool) -> float:
         if not any(True for _ in self._ledger.backlogged()):
-            return CALM_SECONDS
-        return SHORTEST_SECONDS if busy else LONGEST_SECONDS
+            return IDLE_INTERVAL_SECONDS
+        return MIN_INTERVAL_SECONDS if busy else MAX_INTERVAL_SECONDS
--- a/src/sardinetrack/routing/retries.py
+++ b/src/sardinetrack/routing/retries.py
@@ -1,4 +1,4 @@
-"""Retry budget: retries as a part of first attempts."""
+"""Retry budget: retries as a fraction of first attempts."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class RetryBudget:
-    """Gains a part of a retry by each first attempt.
+    """Each first attempt adds a fraction of a retry to the budget.
 
-    Every entry keeps its own; the sum over the fleet stays the same part of
-    the fleet's first attempts, however the load is spread.
+    Every entry has its own budget; over the fleet, retries stay the same
+    fraction of first attempts, however the load is distributed.
     """
 
     def __init__(self, ratio: float = _RATIO, burst: float = _BURST) -> None:
-        """Start with a full burst.
+        """Create a full budget.
 
-        :param ratio: retries earned by one first attempt.
-        :param burst: retries that may be saved up.
+        :param ratio: retries added by one first attempt.
+        :param burst: most retries that the budget holds.
         """
         self._ratio = ratio
         self._burst = burst
-        self._saved = burst
+        self._tokens = burst
 
     def first_attempt(self) -> None:
-        """Earn."""
-        self._saved = min(self._burst, self._saved + self._ratio)
+        """Add the fraction of a retry for one first attempt."""
+        self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Spend one retry if it is there."""
-        if self._saved < 1:
+        """Spend one retry; return whether the budget allowed it."""
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
--- a/src/sardinetrack/routing/router.py
+++ b/src/sardinetrack/routing/router.py
@@ -1,4 +1,4 @@
-"""Routing of one entry: hands each event to the pool that it concerns."""
+"""Routing of one entry: passes each event to its pool."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
     SideInfo,
     Work,
 )
-from sardinetrack.routing.chance import Chance
-from sardinetrack.routing.outcome import Outcome
+from sardinetrack.routing.outcome_handler import OutcomeHandler
 from sardinetrack.routing.pool import PoolRouter
-from sardinetrack.routing.shared import Identity, Shared
+from sardinetrack.routing.rng import RandomSource
+from sardinetrack.routing.shared import Identity, SharedState
 
-_FORGET_SECONDS: Final = 10.0
+_STRIKE_CLEANUP_SECONDS: Final = 10.0
 
 
 class Router(Routing):
-    """Owns the waiting work of one entry."""
+    """Routes the requests of one entry, with a ``PoolRouter`` per pool."""
 
-    def __init__(self, identity: Identity, random: Chance) -> None:
-        """Start empty.
+    def __init__(self, identity: Identity, rng: RandomSource) -> None:
+        """Create a router without pools.
 
-        :param identity: names this process.
-        :param random: source of all choices.
+        :param identity: of this process.
+        :param rng: random number generator for all choices.
         """
-        self._shared = Shared(identity, random)
-        self._outcome = Outcome(self._shared)
+        self._shared = SharedState(identity, rng)
+        self._outcome_handler = OutcomeHandler(self._shared)
         self._pools: dict[str, PoolRouter] = {}
         self._pool_of_side: dict[str, PoolRouter] = {}
-        self._forget_seconds = float(0)
+        self._cleanup_seconds = float(0)
 
     def configure(
         self,
@@ -55,27 +55,27 @@
         workspaces: Sequence[Workspace],
         pools: Sequence[Pool],
     ) -> Sequence[EntryEffect]:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self._shared.configure(workspaces)
         for pool in pools:
             self._pool(pool.name)
         effects: list[EntryEffect] = []
-        for router in self._pools.values():
-            effects.extend(router.pump(now))
+        for pool_router in self._pools.values():
+            effects.extend(pool_router.dispatch_ready(now))
         return effects
 
     def side_up(self, now: float, info: SideInfo) -> Sequence[EntryEffect]:
-        """Use a side whose link is up."""
+        """Start using a side whose link is up."""
         pool = self._pool(info.pool)
         self._pool_of_side[info.side] = pool
-        pool.sides.up(info, self._shared.breaker(info.backend_server))
-        return pool.welcome(now, info.side)
+        pool.sides.add(info, self._shared.breaker(info.backend_server))
+        return pool.initial_bids(now, info.side)
 
     def side_down(self, now: float, side: str) -> Sequence[EntryEffect]:
-        """Use a side no longer: its link broke or it is leaving."""
+        """Stop using a side: its link broke or it is draining."""
         pool = self._pool_of_side.pop(side, None)
         if pool is not None:
-            pool.sides.down(side)
+            pool.sides.remove(side)
         return ()
 
     def load(
@@ -84,11 +84,11 @@
         side: str,
         load: SideLoad,
     ) -> Sequence[EntryEffect]:
-        """Take note of what a side can take."""
+        """Apply a load report of a side."""
         pool = self._pool_of_side.get(side)
         if pool is None:
             return ()
-        return pool.load(now, side, load)
+        return pool.update_load(now, side, load)
 
     def submit(self, now: float, work: Work) -> Sequence[EntryEffect]:
         """Dispatch, queue or reject a new request."""
@@ -98,7 +98,7 @@
         return pool.submit(now, work)
 
     def cancel(self, now: float, request_id: str) -> Sequence[EntryEffect]:
-        """Forget a waiting request whose caller went away."""
+        """Remove a queued request whose caller disconnected."""
         for pool in self._pools.values():
             pool.cancel(now, request_id)
         return ()
@@ -109,7 +109,7 @@
         side: str,
         grant: Grant,
     ) -> Sequence[EntryEffect]:
-        """Use a slot that a side set aside, or decline it."""
+        """Use a slot that a side granted, or decline the grant."""
         pool = self._pool_of_side.get(side)
         if pool is None:
             return (SendToSide(side, Decline(grant.number)),)
@@ -121,8 +121,8 @@
         attempt_id: str,
         cost: float,
     ) -> Sequence[EntryEffect]:
-        """True up the charge of a running attempt to its cost so far."""
-        pool = self._running_in(attempt_id)
+        """Adjust the charge of a running attempt to its cost so far."""
+        pool = self._pool_of_attempt(attempt_id)
         if pool is not None:
             pool.ledger.progress(now, attempt_id, cost)
         return ()
@@ -137,12 +137,12 @@
         answered: bool,
     ) -> Sequence[EntryEffect]:
         """Settle an attempt; may queue the request again or reject it."""
-        pool = self._running_in(attempt_id)
+        pool = self._pool_of_attempt(attempt_id)
         if pool is None:
             return ()
         attempt = pool.attempts.pop(attempt_id)
         pool.ledger.settle(now, attempt_id, cost)
-        effects = self._outcome.ended(
+        effects = self._outcome_handler.handle(
             now,
             pool,
             attempt,
@@ -156,29 +156,29 @@
         now: float,
         report: ServiceReport,
     ) -> Sequence[EntryEffect]:
-        """Take in what workspaces received through another entry."""
+        """Apply a report of the service that workspaces received elsewhere."""
         self._pool(report.pool).ledger.hear(now, report)
         return ()
 
     def peer_linked(self, now: float, entry: str) -> Sequence[Strike]:
-        """Note that another entry is linked."""
-        news = self._shared.news
+        """Handle a new link to another entry; return the active strikes."""
+        strike_sync = self._shared.strike_sync
         strikes = [
-            replace(strike, number=news.next_number())
+            replace(strike, number=strike_sync.next_number())
             for strike in self._shared.strikes.holding(now)
         ]
-        news.linked(entry, strikes[-1].number if strikes else 0)
+        strike_sync.track_peer(entry, strikes[-1].number if strikes else 0)
         return strikes
 
     def peer_lost(self, now: float, entry: str) -> Sequence[EntryEffect]:
-        """Note that another entry is gone or cut off."""
+        """Handle the loss of the link to another entry."""
         for pool in self._pools.values():
             pool.ledger.lose(entry)
-        self._shared.news.lost(entry)
-        return self._shared.news.due(now)
+        self._shared.strike_sync.untrack_peer(entry)
+        return self._shared.strike_sync.due(now)
 
     def strike(self, now: float, strike: Strike) -> Sequence[EntryEffect]:
-        """Note that a request crashed a backend server."""
+        """Record that a request was running when a backend server crashed."""
         self._shared.strikes.add(now, strike)
         return ()
 
@@ -188,27 +188,27 @@
         entry: str,
         number: int,
     ) -> Sequence[EntryEffect]:
-        """Note that another entry knows of the strikes up to a number."""
-        self._shared.news.note(entry, number)
-        return self._shared.news.due(now)
+        """Handle another entry's acknowledgement of strikes up to a number."""
+        self._shared.strike_sync.acknowledge(entry, number)
+        return self._shared.strike_sync.due(now)
 
     def answer(self, now: float, reject: Reject) -> Sequence[EntryEffect]:
-        """Let an error answer go, or hold it until other entries may know."""
-        return self._shared.news.answer(now, reject)
+        """Return an error response, or delay it until peers have the strike."""
+        return self._shared.strike_sync.deliver(now, reject)
 
     def tick(self, now: float) -> Sequence[EntryEffect]:
-        """Expire deadlines; refresh bids and reports that are due."""
+        """Reject overdue requests; refresh bids and reports that are due."""
         effects: list[EntryEffect] = []
         for pool in self._pools.values():
             effects.extend(pool.tick(now))
-        effects.extend(self._shared.news.due(now))
-        if now - self._forget_seconds >= _FORGET_SECONDS:
-            self._forget_seconds = now
-            self._shared.strikes.forget(now)
+        effects.extend(self._shared.strike_sync.due(now))
+        if now - self._cleanup_seconds >= _STRIKE_CLEANUP_SECONDS:
+            self._cleanup_seconds = now
+            self._shared.strikes.remove_expired(now)
         return effects
 
     def bids_for(self, side: str) -> Bids:
-        """Compute the present bids for a side, to ride on a dispatch."""
+        """Return the current bids for a side, to be sent with a run request."""
         pool = self._pool_of_side.get(side)
         found = pool.sides.find(side) if pool else None
         if pool is None or found is None:
@@ -222,7 +222,7 @@
             self._pools[name] = pool
         return pool
 
-    def _running_in(self, attempt_id: str) -> PoolRouter | None:
+    def _pool_of_attempt(self, attempt_id: str) -> PoolRouter | None:
         for pool in self._pools.values():
             if attempt_id in pool.attempts:
                 return pool
--- a/src/sardinetrack/routing/shared.py
+++ b/src/sardinetrack/routing/shared.py
@@ -1,4 +1,4 @@
-"""What the pools of one entry share."""
+"""State that the pools of one entry share."""
 
 from __future__ import annotations
 
@@ -8,55 +8,55 @@
 
 from sardinetrack.catalogue.api import Workspace, WorkspaceLimits
 from sardinetrack.routing.breaker import Breaker
-from sardinetrack.routing.chance import Chance
-from sardinetrack.routing.news import CrashNews
 from sardinetrack.routing.retries import RetryBudget
+from sardinetrack.routing.rng import RandomSource
+from sardinetrack.routing.strike_sync import StrikeSync
 from sardinetrack.routing.strikes import StrikeBook
 
 _UNKNOWN_LIMITS: Final = WorkspaceLimits(1.0, 1, 1.0, 1)
-"""For work that still waits when its workspace is taken away."""
+"""For requests still queued when their workspace is deleted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Names one process of an entry."""
+    """Name and incarnation of an entry's process."""
 
     entry: str
     incarnation: str
 
 
-class Shared:
-    """Limits, breakers, strikes, retries and attempt ids of one entry."""
+class SharedState:
+    """Limits, breakers, strikes, retry budget and attempt ids of one entry."""
 
-    def __init__(self, identity: Identity, random: Chance) -> None:
-        """Start empty.
+    def __init__(self, identity: Identity, rng: RandomSource) -> None:
+        """Create the state without limits and breakers.
 
         :param identity: of this process.
-        :param random: source of all choices.
+        :param rng: random number generator for all choices.
         """
         self.identity = identity
-        self.random = random
+        self.rng = rng
         self.strikes = StrikeBook()
-        self.news = CrashNews()
+        self.strike_sync = StrikeSync()
         self.retries = RetryBudget()
         self._limits: dict[str, WorkspaceLimits] = {}
         self._breakers: dict[str, Breaker] = {}
         self._attempts = 0
 
     def configure(self, workspaces: Iterable[Workspace]) -> None:
-        """Put the limits in force."""
+        """Apply the limits."""
         self._limits = {one.name: one.limits for one in workspaces}
 
     def limits(self, workspace: str) -> WorkspaceLimits:
-        """Find the limits of a workspace."""
+        """Return the limits of a workspace."""
         return self._limits.get(workspace, _UNKNOWN_LIMITS)
 
     def breaker(self, backend_server: str) -> Breaker:
-        """Find the breaker of a backend server; it outlives links."""
+        """Return the breaker of a backend server; it is kept across links."""
         return self._breakers.setdefault(backend_server, Breaker())
 
     def attempt_id(self) -> str:
-        """Name a new attempt, unlike any of other processes."""
+        """Return a new attempt id, unique among all processes."""
         self._attempts += 1
         identity = self.identity
         return f'{identity.entry}.{identity.incarnation}.{self._attempts}'
--- a/src/sardinetrack/routing/strikes.py
+++ b/src/sardinetrack/routing/strikes.py
@@ -1,4 +1,4 @@
-"""Requests that were running when backend servers crashed."""
+"""Strikes: records of requests running when a backend server crashed."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 
 from sardinetrack.messages.api import Strike
 
-STRIKE_SECONDS: Final = 600.0
-SERVERS_TO_CONDEMN: Final = 2
+STRIKE_TTL_SECONDS: Final = 600.0
+SERVERS_TO_BLOCK: Final = 2
 _MAX_FINGERPRINTS: Final = 10_000
-_MOST_TOLD: Final = 200
-"""Fingerprints told to a new peer; all would overflow the link's outbox."""
+_MAX_SENT_FINGERPRINTS: Final = 200
+"""To a new peer; sending all would overflow the link's outbox."""
 
 
 class StrikeBook:
-    """Counts the different servers that crashed under a fingerprint."""
+    """Counts the different servers that crashed while a fingerprint ran."""
 
-    def __init__(self, servers_to_condemn: int = SERVERS_TO_CONDEMN) -> None:
-        """Start empty.
+    def __init__(self, servers_to_block: int = SERVERS_TO_BLOCK) -> None:
+        """Create a registry without strikes.
 
-        :param servers_to_condemn: different ones that crashed.
+        :param servers_to_block: different servers that crash before a
+            fingerprint is blocked.
         """
-        self._condemns = servers_to_condemn
+        self._servers_to_block = servers_to_block
         self._expiries: dict[str, dict[str, float]] = {}
 
     def __len__(self) -> int:
@@ -30,10 +31,10 @@
         return len(self._expiries)
 
     def add(self, now: float, strike: Strike) -> None:
-        """Note a strike.
+        """Record a strike.
 
         :param now: monotonic time.
-        :param strike: own or heard from a peer.
+        :param strike: of this entry or received from a peer.
         """
         if not strike.fingerprint:
             return
@@ -44,20 +45,20 @@
             self._expiries.pop(next(iter(self._expiries)))
 
     def count(self, now: float, fingerprint: str) -> int:
-        """Count the servers with a strike that holds."""
+        """Count the servers with an active strike."""
         expiries = self._expiries.get(fingerprint, {})
         return sum(expiry > now for expiry in expiries.values())
 
     def condemned_seconds(self, now: float, fingerprint: str) -> float:
-        """Tell how long a fingerprint is refused; 0 when it is not."""
-        if self.count(now, fingerprint) < self._condemns:
+        """Return how long a fingerprint stays blocked; 0 when it is not."""
+        if self.count(now, fingerprint) < self._servers_to_block:
             return 0
         expiries = sorted(self._expiries[fingerprint].values(), reverse=True)
-        return max(0, expiries[self._condemns - 1] - now)
+        return max(0, expiries[self._servers_to_block - 1] - now)
 
     def holding(self, now: float) -> list[Strike]:
-        """List the strikes that hold; the newest when they are very many."""
-        newest = list(self._expiries)[-_MOST_TOLD:]
+        """Return the active strikes of the newest fingerprints."""
+        newest = list(self._expiries)[-_MAX_SENT_FINGERPRINTS:]
         return [
             Strike(fingerprint, server, expiry - now)
             for fingerprint in newest
@@ -66,16 +67,17 @@
         ]
 
     def clear(self, fingerprint: str) -> Sequence[Strike]:
-        """Forget the strikes of a request that ran to its end.
+        """Remove the strikes of a request that completed.
 
         :param fingerprint: of the request.
-        :return: strikes that expire at once; they clear it at other entries.
+        :return: strikes that expire immediately, to clear the request at
+            other entries.
         """
         servers = self._expiries.pop(fingerprint, {})
         return [Strike(fingerprint, server, 0) for server in servers]
 
-    def forget(self, now: float) -> None:
-        """Drop expired strikes."""
+    def remove_expired(self, now: float) -> None:
+        """Remove expired strikes."""
         for fingerprint in list(self._expiries):
             if not self.count(now, fingerprint):
                 self._expiries.pop(fingerprint)
--- a/tests/routing/breaker.feature
+++ b/tests/routing/breaker.feature
@@ -1,30 +1,30 @@
 Feature: Breakers, retries and strikes
 
-  Scenario: A late success of an older generation closes nothing
+  Scenario: A late success of an older generation does not close the breaker
     A request is sent, then three others fail and open the breaker. The first
-    one succeeds late. The server has failed since, so the breaker must stay
-    open until a probe of its own generation succeeds.
+    request succeeds late. The server has failed since, so the breaker must
+    stay open until a probe of the current generation succeeds.
 
-    Given a breaker with a request on its way
+    Given a breaker with a request in flight
     When 3 requests fail
     And the first request succeeds late
     Then the breaker is open
 
-  Scenario: One waiting request probes an open breaker
-    Given a breaker with a request on its way
+  Scenario: One request probes an open breaker after the cooldown
+    Given a breaker with a request in flight
     When 3 requests fail
     And the cooldown passes
-    Then one request is let through and no second one
+    Then one request is allowed and no second one
 
   Scenario: A probe that fails lengthens the cooldown
-    Given a breaker with a request on its way
+    Given a breaker with a request in flight
     When 3 requests fail
     And the cooldown passes
     And the probe fails
-    Then the breaker stays shut out for the first cooldown
+    Then the breaker stays open longer than the initial cooldown
 
-  Scenario Outline: The end of the probe decides
-    Given a breaker with a request on its way
+  Scenario Outline: The outcome of the probe decides the state
+    Given a breaker with a request in flight
     When 3 requests fail
     And the cooldown passes
     And the probe <ends>
@@ -34,37 +34,38 @@
       | ends                | state  |
       | succeeds            | closed |
       | fails               | open   |
-      | ends without a word | open   |
+      | ends inconclusively | open   |
 
-  Scenario: A late failure of an older generation ends no probe
+  Scenario: A late failure of an older generation does not end a probe
     A request is sent, then three others fail and open the breaker. While a
-    probe is out the first request fails late. It says how the server was: the
-    probe alone decides, and no other request goes out beside it.
+    probe is in flight the first request fails late. Its failure shows an
+    earlier state of the server: only the probe decides, and no other request
+    is sent until then.
 
-    Given a breaker with a request on its way
+    Given a breaker with a request in flight
     When 3 requests fail
     And the cooldown passes
-    And a probe goes out
+    And a probe is sent
     And the first request fails late
     Then the breaker has the state "half_open"
-    And the breaker lets nothing through
+    And the breaker allows no request
 
-  Scenario: Retries stay a tenth of first attempts
+  Scenario: Retries are limited to a tenth of first attempts
     Given a retry budget that is used up
-    When 100 first attempts are made and retried while it lasts
+    When 100 first attempts are each retried if the budget allows it
     Then at most 10 retries were allowed
 
-  Scenario: One crash condemns nobody
+  Scenario: One crash blocks no request
     Given print was running when server one crashed
-    Then print is not condemned
+    Then print is not blocked
 
-  Scenario: Crashes of two servers condemn a request for a while
+  Scenario: Crashes of two servers block a request for a limited time
     Given print was running when server one crashed
     And print was running when server two crashed
-    Then print is condemned for at most 600 seconds
+    Then print is blocked for at most 600 seconds
 
-  Scenario: A whole answer clears the strikes of an innocent request
+  Scenario: A complete response clears the strikes of an innocent request
     Given print was running when server one crashed
-    When print is answered whole
+    When a complete response is received for print
     And print was running when server two crashed
-    Then print is not condemned
+    Then print is not blocked
--- a/tests/routing/crash_world.py
+++ b/tests/routing/crash_simulation.py
@@ -1,4 +1,4 @@
-"""Entries whose news of crashes arrive late, and one caller that tries all."""
+"""Simulates entries that receive strikes late, and a caller that retries."""
 
 from __future__ import annotations
 
@@ -23,38 +23,38 @@
 ENTRIES = ('a', 'b', 'c')
 SERVERS = tuple(f'engine{number}' for number in range(8))
 _STEP_SECONDS = 0.1
-_LONGEST_STEPS = 10_000
+_MAX_STEPS = 10_000
 
 
-class CrashWorld:
-    """Every server dies under the one request that is sent here."""
+class CrashSimulation:
+    """Every server crashes while it runs the one request that is sent here."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._now = float(0)
         self._number = 0
-        self._told: Reject | None = None
+        self._response: Reject | None = None
         self._attempts: deque[tuple[Router, Dispatch]] = deque()
-        self._pipes = {pair: deque() for pair in permutations(ENTRIES, 2)}
+        self._links = {pair: deque() for pair in permutations(ENTRIES, 2)}
         self._routers = {name: self._entry(name) for name in ENTRIES}
-        for name, other in self._pipes:
+        for name, other in self._links:
             self._routers[name].peer_linked(0, other)
         self.crashed: set[str] = set()
 
-    def ask(self) -> Reject:
-        """Send the request once more and wait for its answer."""
-        self._told = None
+    def send(self) -> Reject:
+        """Send the request again and return its error response."""
+        self._response = None
         self._number += 1
         name = self._random.choice(ENTRIES)
         work = Work(
             f'r{self._number}', 'pilot', POOL, 1, self._now + 60, True, 'print'
         )
-        self._take(name, self._routers[name].submit(self._now, work))
-        for _ in range(_LONGEST_STEPS):
-            if self._told is not None:
-                return self._told
+        self._handle_effects(name, self._routers[name].submit(self._now, work))
+        for _ in range(_MAX_STEPS):
+            if self._response is not None:
+                return self._response
             self._step(name)
-        raise AssertionError('no answer')
+        raise AssertionError('no response')
 
     def _entry(self, name: str) -> Router:
         router = Router(Identity(name, 'first'), self._random)
@@ -68,21 +68,21 @@
         return router
 
     def _step(self, name: str) -> None:
-        waiting = [pair for pair, pipe in self._pipes.items() if pipe]
+        waiting = [pair for pair, messages in self._links.items() if messages]
         if self._attempts:
             self._crash(name)
         elif waiting and self._random.randrange(2):
             self._deliver(*self._random.choice(waiting))
         else:
             self._now += 0 if waiting else _STEP_SECONDS
-            self._take(name, self._routers[name].tick(self._now))
+            self._handle_effects(name, self._routers[name].tick(self._now))
 
     def _crash(self, name: str) -> None:
         router, dispatch = self._attempts.popleft()
         self.crashed.add(dispatch.side)
-        dead = SideLoad('first', SidePhase.SERVING, 0, 0, 0)
-        for one in self._routers.values():
-            one.load(self._now, dispatch.side, dead)
+        no_slots = SideLoad('first', SidePhase.SERVING, 0, 0, 0)
+        for other in self._routers.values():
+            other.load(self._now, dispatch.side, no_slots)
         effects = router.ended(
             self._now,
             dispatch.attempt_id,
@@ -90,19 +90,19 @@
             cost=0,
             answered=self._random.randrange(3) == 0,
         )
-        self._take(name, effects)
+        self._handle_effects(name, effects)
 
     def _deliver(self, sender: str, receiver: str) -> None:
-        message = self._pipes[sender, receiver].popleft()
+        message = self._links[sender, receiver].popleft()
         router = self._routers[receiver]
         if isinstance(message, Strike):
             router.strike(self._now, message)
-            self._pipes[receiver, sender].append(message.number)
+            self._links[receiver, sender].append(message.number)
         else:
-            noted = router.strike_noted(self._now, sender, message)
-            self._take(receiver, noted)
+            effects = router.strike_noted(self._now, sender, message)
+            self._handle_effects(receiver, effects)
 
-    def _take(self, name: str, effects) -> None:
+    def _handle_effects(self, name: str, effects) -> None:
         pending = deque(effects)
         while pending:
             effect = pending.popleft()
@@ -110,17 +110,17 @@
                 case Dispatch():
                     self._attempts.append((self._routers[name], effect))
                 case Reject():
-                    pending.extend(self._answer(name, effect))
+                    pending.extend(self._reject(name, effect))
                 case SendToEntries(message=Strike() as strike):
-                    self._tell(name, strike)
+                    self._send_strike(name, strike)
 
-    def _answer(self, name: str, reject: Reject):
+    def _reject(self, name: str, reject: Reject):
         if reject.strike:
             return self._routers[name].answer(self._now, reject)
-        self._told = reject
+        self._response = reject
         return ()
 
-    def _tell(self, name: str, strike: Strike) -> None:
-        for sender, receiver in self._pipes:
+    def _send_strike(self, name: str, strike: Strike) -> None:
+        for sender, receiver in self._links:
             if sender == name:
-                self._pipes[sender, receiver].append(strike)
+                self._links[sender, receiver].append(strike)
--- a/tests/routing/environment.py
+++ b/tests/routing/environment.py
@@ -1,4 +1,4 @@
-"""Make the shared pieces of these tests importable."""
+"""Make the helper modules of these tests importable."""
 
 from __future__ import annotations
 
--- a/tests/routing/steps/breaker_steps.py
+++ b/tests/routing/steps/breaker_steps.py
@@ -6,15 +6,15 @@
 
 from sardinetrack.messages.api import Strike
 from sardinetrack.routing.breaker import (
-    FIRST_COOLDOWN_SECONDS,
+    INITIAL_COOLDOWN_SECONDS,
     Breaker,
     BreakerState,
 )
 from sardinetrack.routing.retries import RetryBudget
-from sardinetrack.routing.strikes import STRIKE_SECONDS, StrikeBook
+from sardinetrack.routing.strikes import STRIKE_TTL_SECONDS, StrikeBook
 
 
-@given('a breaker with a request on its way')
+@given('a breaker with a request in flight')
 def start_breaker(context):
     context.now = 0
     context.breaker = Breaker()
@@ -34,7 +34,7 @@
 
 @when('the cooldown passes')
 def pass_cooldown(context):
-    context.now += FIRST_COOLDOWN_SECONDS
+    context.now += INITIAL_COOLDOWN_SECONDS
 
 
 @when('the probe fails')
@@ -47,12 +47,12 @@
     context.breaker.succeeded(context.breaker.sent())
 
 
-@when('the probe ends without a word')
+@when('the probe ends inconclusively')
 def end_probe(context):
     context.breaker.undecided(context.breaker.sent())
 
 
-@when('a probe goes out')
+@when('a probe is sent')
 def send_probe(context):
     assert context.breaker.allows(context.now)
     context.breaker.sent()
@@ -68,8 +68,8 @@
     assert context.breaker.state is BreakerState(state)
 
 
-@then('the breaker lets nothing through')
-def check_shut(context):
+@then('the breaker allows no request')
+def check_none_allowed(context):
     assert not context.breaker.allows(context.now)
 
 
@@ -79,16 +79,16 @@
     assert not context.breaker.allows(context.now)
 
 
-@then('one request is let through and no second one')
+@then('one request is allowed and no second one')
 def check_probe(context):
     assert context.breaker.allows(context.now)
     context.breaker.sent()
     assert not context.breaker.allows(context.now)
 
 
-@then('the breaker stays shut out for the first cooldown')
+@then('the breaker stays open longer than the initial cooldown')
 def check_longer(context):
-    assert not context.breaker.allows(context.now + FIRST_COOLDOWN_SECONDS)
+    assert not context.breaker.allows(context.now + INITIAL_COOLDOWN_SECONDS)
 
 
 @given('a retry budget that is used up')
@@ -98,7 +98,7 @@
     assert not context.budget.take()
 
 
-@when('{count:d} first attempts are made and retried while it lasts')
+@when('{count:d} first attempts are each retried if the budget allows it')
 def attempt(context, count):
     context.retries = 0
     for _ in range(count):
@@ -113,21 +113,21 @@
 
 @step('{fingerprint} was running when server {server} crashed')
 def crash(context, fingerprint, server):
-    if 'book' not in context:
-        context.book = StrikeBook()
-    context.book.add(0, Strike(fingerprint, server, STRIKE_SECONDS))
+    if 'strikes' not in context:
+        context.strikes = StrikeBook()
+    context.strikes.add(0, Strike(fingerprint, server, STRIKE_TTL_SECONDS))
 
 
-@when('{fingerprint} is answered whole')
+@when('a complete response is received for {fingerprint}')
 def answer(context, fingerprint):
-    context.book.clear(fingerprint)
+    context.strikes.clear(fingerprint)
 
 
-@then('{fingerprint} is not condemned')
+@then('{fingerprint} is not blocked')
 def check_innocent(context, fingerprint):
-    assert not context.book.condemned_seconds(0, fingerprint)
+    assert not context.strikes.condemned_seconds(0, fingerprint)
 
 
-@then('{fingerprint} is condemned for at most {seconds:g} seconds')
-def check_condemned(context, fingerprint, seconds):
-    assert 0 < context.book.condemned_seconds(0, fingerprint) <= seconds
+@then('{fingerprint} is blocked for at most {seconds:g} seconds')
+def check_blocked(context, fingerprint, seconds):
+    assert 0 < context.strikes.condemned_seconds(0, fingerprint) <= seconds
--- a/tests/routing/steps/router_steps.py
+++ b/tests/routing/steps/router_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the routing of one entry."""
+"""Steps for the routing decisions of one entry."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 from sardinetrack.routing.shared import Identity
 
 POOL = 'ice-llm'
-WAITING = 8
+QUEUE_LIMIT = 8
 
 
 def workspace(name):
-    limits = WorkspaceLimits(1.0, 100, 1000.0, WAITING)
+    limits = WorkspaceLimits(1.0, 100, 1000.0, QUEUE_LIMIT)
     return Workspace(name, 'owner', ServiceClass.STANDARD, limits, frozenset())
 
 
@@ -91,14 +91,14 @@
     context.effects.extend(context.router.submit(context.now, work))
 
 
-@given('{name} fills its waiting line')
-def fill_line(context, name):
-    for number in range(WAITING):
+@given('{name} fills its queue')
+def fill_queue(context, name):
+    for number in range(QUEUE_LIMIT):
         submit(context, name, f'fill{number}')
 
 
-@given('a peer strikes {fingerprint} at server {server}')
-def strike(context, fingerprint, server):
+@given('a peer reports a strike against {fingerprint} at server {server}')
+def report_strike(context, fingerprint, server):
     context.router.strike(context.now, Strike(fingerprint, server, 60.0))
 
 
@@ -134,7 +134,7 @@
     end(context, request, AttemptEnd.NOT_STARTED)
 
 
-@when('the server fails under {request}')
+@when('the server fails while it runs {request}')
 def fail(context, request):
     end(context, request, AttemptEnd.FAILED)
 
@@ -155,12 +155,12 @@
     assert len(attempts(context, request)) == count, context.effects
 
 
-@then('{request} still waits')
+@then('{request} is still queued')
 def check_waits(context, request):
     assert not attempts(context, request), context.effects
 
 
-@then('the side hears a bid of {name}')
+@then('the side receives a bid of {name}')
 def check_bid(context, name):
     rows = [
         row.workspace
@@ -187,8 +187,8 @@
     assert kinds == [kind], context.effects
 
 
-@when('the side announces {count:d} free slot')
-def announce(context, count):
+@when('the side reports {count:d} free slot')
+def report_load(context, count):
     load = SideLoad('first', SidePhase.SERVING, 1, 0, count)
     context.effects.extend(context.router.load(context.now, 's1', load))
 
@@ -218,14 +218,18 @@
         context.router.load(0, name, load)
 
 
-@then('no side without slots hears one')
-def none_told(context):
-    told = [one.side for one in context.effects if isinstance(one, SendToSide)]
-    assert set(told) == {'s1'}, told
+@then('no side without slots receives a bid')
+def check_no_bids(context):
+    receivers = [
+        one.side for one in context.effects if isinstance(one, SendToSide)
+    ]
+    assert set(receivers) == {'s1'}, receivers
 
 
-@then('a new peer is told of {fingerprint} at servers {servers}')
-def told_strikes(context, fingerprint, servers):
+@then(
+    'a new peer receives the strikes against {fingerprint} at servers {servers}'
+)
+def check_strikes(context, fingerprint, servers):
     expected = [
         Strike(fingerprint, server, 60.0 - context.now, number)
         for number, server in enumerate(servers.split(' and '), start=1)
@@ -233,11 +237,11 @@
     assert context.router.peer_linked(context.now, 'new') == expected
 
 
-@then('{request} is told once to wait as {reason}')
-def told_hold(context, request, reason):
-    told = [
+@then('one notice reports that {request} waits because of {reason}')
+def check_notice(context, request, reason):
+    reasons = [
         effect.reason.value
         for effect in context.effects
         if isinstance(effect, Held) and effect.request_id == request
     ]
-    assert told == [reason], told
+    assert reasons == [reason], reasons
--- a/tests/routing/steps/suspects_steps.py
+++ b/tests/routing/steps/suspects_steps.py
@@ -1,11 +1,11 @@
-"""Steps for requests that ran beside a crash."""
+"""Steps for requests that were running at a crash."""
 
 from __future__ import annotations
 
 from random import Random
 
 from behave import given, then, when
-from crash_world import CrashWorld
+from crash_simulation import CrashSimulation
 from router_steps import POOL, attempts, end, pool, workspace
 
 from sardinetrack.errors.api import ErrorKind
@@ -30,10 +30,10 @@
 from sardinetrack.routing.shared import Identity
 
 _SEEDS = 300
-_SENDINGS = 8
+_ATTEMPTS = 8
 
 
-def announce(context, side, *, limit, free):
+def report_load(context, side, *, limit, free):
     load = SideLoad('first', SidePhase.SERVING, limit, limit - free, free)
     context.effects.extend(context.router.load(context.now, side, load))
 
@@ -59,7 +59,7 @@
     for side in context.sides:
         info = SideInfo(side, POOL, f'engine-{side}', 'galata', '127.0.0.1:1')
         context.router.side_up(0, info)
-        announce(context, side, limit=1, free=1)
+        report_load(context, side, limit=1, free=1)
 
 
 @given("pilot's p1 runs at one of them")
@@ -71,14 +71,14 @@
     )
 
 
-@given('another server has died')
-def other_dies(context):
-    announce(context, context.other, limit=0, free=0)
+@given('another server has crashed')
+def other_crashes(context):
+    report_load(context, context.other, limit=0, free=0)
 
 
 @given('the other side is full')
 def fill_other(context):
-    announce(context, context.other, limit=1, free=0)
+    report_load(context, context.other, limit=1, free=0)
 
 
 @given('the entries b and c are linked')
@@ -87,15 +87,15 @@
         assert not context.router.peer_linked(context.now, entry)
 
 
-@when('servers die under p1 at one side and then at the other')
-def both_die(context):
+@when('servers crash while they run p1 at one side and then at the other')
+def both_crash(context):
     submit(context, 'p1')
     for _ in context.sides:
-        announce(context, where(context, 'p1'), limit=0, free=0)
+        report_load(context, where(context, 'p1'), limit=0, free=0)
         end(context, 'p1', AttemptEnd.FAILED)
-    answer = only_reject(context)
-    context.effects.remove(answer)
-    context.effects.extend(context.router.answer(context.now, answer))
+    rejection = only_reject(context)
+    context.effects.remove(rejection)
+    context.effects.extend(context.router.answer(context.now, rejection))
     context.numbers = [
         effect.message.number
         for effect in context.effects
@@ -104,28 +104,28 @@
     assert not rejects(context), context.effects
 
 
-@when('b has noted both crashes, and c the first one')
-def first_noted(context):
-    note(context, 'b', context.numbers[1])
-    note(context, 'c', context.numbers[0])
+@when('b has acknowledged both strikes, and c the first one')
+def first_acknowledged(context):
+    acknowledge(context, 'b', context.numbers[1])
+    acknowledge(context, 'c', context.numbers[0])
 
 
-@when('c has noted the second crash')
-def second_noted(context):
-    note(context, 'c', context.numbers[1])
+@when('c has acknowledged the second strike')
+def second_acknowledged(context):
+    acknowledge(context, 'c', context.numbers[1])
 
 
 @when('the link to c breaks and comes back')
-def link_blinks(context):
+def link_reconnects(context):
     context.effects.extend(context.router.peer_lost(context.now, 'c'))
-    told = context.router.peer_linked(context.now, 'c')
-    context.told = [strike.number for strike in told]
-    assert len(told) == 2, told
+    received = context.router.peer_linked(context.now, 'c')
+    context.received = [strike.number for strike in received]
+    assert len(received) == 2, received
 
 
-@when('c has noted all that it was told as it linked')
-def all_noted(context):
-    note(context, 'c', max(context.told))
+@when('c has acknowledged all strikes received when it linked')
+def all_acknowledged(context):
+    acknowledge(context, 'c', max(context.received))
 
 
 @when('the link to c breaks')
@@ -133,84 +133,88 @@
     context.effects.extend(context.router.peer_lost(context.now, 'c'))
 
 
-@then('p1 waits for c to know of the crash')
-def still_held(context):
+@then('the response to p1 waits for the acknowledgement of c')
+def still_delayed(context):
     assert not rejects(context), context.effects
-    assert holds(context)[-1].reason is HoldReason.CRASH_NEWS
+    assert notices(context)[-1].reason is HoldReason.CRASH_NEWS
 
 
-@then('the log tells that b and c may not know of the crash')
-def told_unaware(context):
-    last = holds(context)[-1]
+@then('a notice lists b and c as entries without the strike')
+def check_unacknowledged(context):
+    last = notices(context)[-1]
     assert last.reason is HoldReason.CRASH_UNKNOWN, last
     assert last.waits_for == ('b', 'c'), last
 
 
-@then('p1 is refused as {kind} after {count:d} attempts')
-def refused_after(context, kind, count):
-    answer = only_reject(context)
-    assert answer.kind.value == kind, answer
-    assert not answer.strike, answer
+@then('p1 gets the error {kind} after {count:d} attempts')
+def rejected_after(context, kind, count):
+    rejection = only_reject(context)
+    assert rejection.kind.value == kind, rejection
+    assert not rejection.strike, rejection
     assert len(attempts(context, 'p1')) == count, context.effects
 
 
 @then(
-    'at most {limit:d} of 8 servers have died, '
-    'and the last sendings are refused'
+    'at most {limit:d} of 8 servers have crashed, '
+    'and the last request is rejected'
 )
-def at_most_died(context, limit):
+def at_most_crashed(context, limit):
     for seed in range(_SEEDS):
-        world = CrashWorld(Random(seed))
-        answers = [world.ask().kind for _ in range(_SENDINGS)]
-        assert len(world.crashed) <= limit, (seed, world.crashed)
-        assert answers[-1] is ErrorKind.CRASHES_SERVERS, (seed, answers)
+        simulation = CrashSimulation(Random(seed))
+        rejections = [simulation.send().kind for _ in range(_ATTEMPTS)]
+        assert len(simulation.crashed) <= limit, (seed, simulation.crashed)
+        assert rejections[-1] is ErrorKind.CRASHES_SERVERS, (seed, rejections)
 
 
-def note(context, entry, number):
-    noted = context.router.strike_noted(context.now, entry, number)
-    context.effects.extend(noted)
+def acknowledge(context, entry, number):
+    released = context.router.strike_noted(context.now, entry, number)
+    context.effects.extend(released)
 
 
 def only_reject(context):
-    answers = rejects(context)
-    assert len(answers) == 1, context.effects
-    return answers[0]
+    rejections = rejects(context)
+    assert len(rejections) == 1, context.effects
+    return rejections[0]
 
 
 def rejects(context):
     return [one for one in context.effects if isinstance(one, Reject)]
 
 
-def holds(context):
+def notices(context):
     return [one for one in context.effects if isinstance(one, Held)]
 
 
-@when('a peer tells that p1 ran at a crash of server {server}')
-@given('a peer has told that p1 ran at a crash of server {server}')
+@when('a peer reports that p1 ran at a crash of server {server}')
+@given('a peer has reported that p1 ran at a crash of server {server}')
 def peer_strikes(context, server):
     context.router.strike(context.now, Strike('print-p1', server, 60.0))
 
 
-@when("pilot's p1 runs at one of them and has its whole answer")
-def run_whole(context):
+@when("pilot's p1 runs at one of them and gets a complete response")
+def run_completely(context):
     submit(context, 'p1')
     context.now += 0.1
     context.effects.extend(context.router.tick(context.now))
     end(context, 'p1', AttemptEnd.WHOLE)
 
 
-@then('all entries hear that it was not to blame for the crash of {server}')
-def all_hear(context, server):
-    told = [
+@then(
+    'a message that clears the strike of server {server} is sent to all entries'
+)
+def all_informed(context, server):
+    sent = [
         effect.message
         for effect in context.effects
         if isinstance(effect, SendToEntries)
         and isinstance(effect.message, Strike)
     ]
-    assert told == [Strike('print-p1', server, 0)], told
+    assert sent == [Strike('print-p1', server, 0)], sent
 
 
-@when('a peer tells the same, and that p1 ran at a crash of server {server}')
+@when(
+    'another entry receives both, and that p1 ran at a crash of server {server}'
+)
 def peer_clears(context, server):
     context.router = Router(Identity('b', 'first'), Random(1))
     context.router.configure(0, [workspace('pilot')], [pool()])
@@ -224,7 +228,7 @@
     for side in context.sides:
         info = SideInfo(side, POOL, f'engine-{side}', 'galata', '127.0.0.1:1')
         context.router.side_up(context.now, info)
-        announce(context, side, limit=1, free=1)
+        report_load(context, side, limit=1, free=1)
     before = len(attempts(context, 'p1'))
     submit(context, 'p1')
     context.now += 0.1
@@ -232,13 +236,13 @@
     assert len(attempts(context, 'p1')) == before + 1, context.effects
 
 
-@when('its server dies under p1 and its side loses its slots')
-def server_dies(context):
-    announce(context, context.struck, limit=0, free=0)
+@when('its server crashes while it runs p1 and its side loses its slots')
+def server_crashes(context):
+    report_load(context, context.struck, limit=0, free=0)
     end(context, 'p1', AttemptEnd.FAILED)
 
 
-@when('its server fails under p1')
+@when('its server fails while it runs p1')
 def server_fails(context):
     end(context, 'p1', AttemptEnd.FAILED)
 
@@ -251,34 +255,34 @@
 
 @when('the two sides that p1 is sent to refuse it')
 def all_refuse(context):
-    asked = set()
+    refusing = set()
     for _ in range(2):
-        asked.add(where(context, 'p1'))
+        refusing.add(where(context, 'p1'))
         end(context, 'p1', AttemptEnd.NOT_STARTED)
-    assert len(asked) == 2, asked
-    assert context.struck not in asked, asked
-    context.asked = sorted(asked)
+    assert len(refusing) == 2, refusing
+    assert context.struck not in refusing, refusing
+    context.refusing = sorted(refusing)
 
 
 @when('a second passes, and one of these grants a slot')
 def later_grant(context):
     context.now += 1
     context.effects.extend(context.router.tick(context.now))
-    context.other = context.asked[0]
+    context.other = context.refusing[0]
     context.effects.extend(
         context.router.grant(context.now, context.other, Grant(1, 1)),
     )
 
 
-@when('the side that failed p1 announces 1 free slot')
-def failed_announces(context):
-    announce(context, context.struck, limit=1, free=1)
+@when('the side at which p1 failed reports 1 free slot')
+def failed_reports(context):
+    report_load(context, context.struck, limit=1, free=1)
 
 
-@when('the side that failed p1 announces 2 free slots, the other one 1')
-def both_announce(context):
-    announce(context, context.struck, limit=2, free=2)
-    announce(context, context.other, limit=1, free=1)
+@when('the side at which p1 failed reports 2 free slots, the other one 1')
+def both_report(context):
+    report_load(context, context.struck, limit=2, free=2)
+    report_load(context, context.other, limit=1, free=1)
 
 
 @then('p1 runs there')
@@ -287,16 +291,16 @@
     assert attempts(context, 'p1')[-1].grant == 1, context.effects
 
 
-@then('the other side hears of p1 in this time')
-def hears(context):
-    told = [
+@then('the other side receives another bid for p1 in this time')
+def receives_bids(context):
+    received = [
         effect.side
         for effect in context.effects
         if isinstance(effect, SendToSide)
         and isinstance(effect.message, Bids)
         and any(row.waiting for row in effect.message.rows)
     ]
-    assert told.count(context.other) > 1, context.effects
+    assert received.count(context.other) > 1, context.effects
 
 
 @then('p2 runs there')
@@ -304,7 +308,7 @@
     assert [one.side for one in attempts(context, 'p2')] == [context.struck]
 
 
-@then('p1 still waits for the other side')
+@then('p1 is still queued for the other side')
 def first_waits(context):
     assert len(attempts(context, 'p1')) == 1, context.effects
 
