--- a/src/sardinetrack/messages/__init__.py
+++ b/src/sardinetrack/messages/__init__.py
@@ -1,3 +1,3 @@
-"""Typed messages between entries and sides, and their JSON codec."""
+"""Typed messages between entries and sides, and their JSON codecs."""
 
 from __future__ import annotations
--- a/src/sardinetrack/messages/api.py
+++ b/src/sardinetrack/messages/api.py
@@ -2,8 +2,8 @@
 
 A control link is one WebSocket with JSON text frames, opened by an entry to
 a side or to another entry. Messages on one link arrive in order or not at
-all. Every message states the whole of what it speaks of, so that a lost one
-is mended by the next.
+all. Every message carries complete state, no differences, so that the next
+one makes up for a lost one.
 """
 
 from __future__ import annotations
@@ -14,74 +14,75 @@
 
 
 class SidePhase(StrEnum):
-    """Whether a side takes new work."""
+    """Whether a side accepts new requests."""
 
     SERVING = 'serving'
     DRAINING = 'draining'
 
 
 class BidRow(Struct, frozen=True, array_like=True):
-    """Waiting work of one workspace at one entry."""
+    """Queued requests of one workspace at one entry."""
 
     workspace: str
     tag: float
-    """Virtual time: service received per weight, in cost units."""
+    """Virtual start time: service received per weight, in cost units."""
     waiting: int
     hint_cost: float
-    """Expected cost of the head request, per weight."""
+    """Expected cost of the first request in the queue, per weight."""
 
 
 class Bids(Struct, frozen=True, tag='bids'):
-    """All bids of an entry for the pool of a side; replaces earlier ones."""
+    """All bids of an entry for a side's pool; replaces its earlier bids."""
 
     pool: str
     grants_seen: int
     """Highest grant number of this side whose charge the tags include."""
     rows: tuple[BidRow, ...]
-    """Lowest tags first; may be cut short."""
+    """Lowest tags first; rows with the highest tags may be omitted."""
 
 
 class Grant(Struct, frozen=True, tag='grant'):
-    """A slot of a side set aside for an entry, which picks the request."""
+    """A slot that a side reserves for an entry, which chooses the request."""
 
     number: int
-    """Counts up for each link."""
+    """Counts the grants on each link."""
     valid_seconds: float
     workspace: str = ''
-    """Whose bid earned it; taken if its tag is still near the lowest."""
+    """Workspace whose bid won; it is chosen if its tag is still near the
+    lowest."""
 
 
 class Decline(Struct, frozen=True, tag='decline'):
-    """The entry has nothing left for the grant."""
+    """The entry has no queued request for the grant."""
 
     number: int
 
 
 class SideLoad(Struct, frozen=True, tag='load'):
-    """What a side can take; sent on change, batched, and with answers."""
+    """Load report of a side; sent on changes, batched, and with responses."""
 
     incarnation: str
     phase: SidePhase
     limit: int
     running: int
     free: int
-    """Slots that neither run nor are set aside."""
+    """Slots that neither run a request nor are reserved."""
     virtual_time: float = 0
-    """Tag of the last grant; an entry that starts empty begins there."""
+    """Tag of the last grant; an entry without state starts from it."""
 
 
 class ServiceRow(Struct, frozen=True, array_like=True):
-    """What one workspace received and holds through one entry."""
+    """Service received by one workspace, and its requests, at one entry."""
 
     workspace: str
     service: float
-    """Settled cost per weight since the entry started; never falls."""
+    """Settled cost per weight since the entry started; never decreases."""
     running: int
     waiting: int
     level: float = 0
-    """Settled tag of the workspace in the sender's view of the fleet."""
+    """Settled tag of the workspace, as the sender computes it for the fleet."""
     outstanding: float = 0
-    """Charged per weight for running requests, not settled yet."""
+    """Charge per weight for running requests, not settled yet."""
 
 
 class ServiceReport(Struct, frozen=True, tag='service'):
@@ -92,7 +93,7 @@
     pool: str
     rows: tuple[ServiceRow, ...]
     synced: bool = True
-    """False while the sender has heard no peer since it started."""
+    """False until the sender has received a peer's report since its start."""
 
 
 class ConfigObject(Struct, frozen=True, array_like=True):
@@ -112,7 +113,7 @@
 
 
 class ConfigDigest(Struct, frozen=True, tag='config_digest'):
-    """The sender's configuration in brief."""
+    """Revision and hash of the sender's configuration."""
 
     revision: int
     digest: str
@@ -120,17 +121,18 @@
 
 
 class Strike(Struct, frozen=True, tag='strike'):
-    """A request was running when its backend server crashed."""
+    """Record that a request was running when its backend server crashed."""
 
     fingerprint: str
     backend_server: str
     expires_in_seconds: float
     number: int = 0
-    """Counts up at its sender, which waits for it to be noted; 0 for none."""
+    """Counts the strikes of the sender, which waits for ``StrikeNoted``; 0 if
+    no acknowledgement is expected."""
 
 
 class StrikeNoted(Struct, frozen=True, tag='strike_noted'):
-    """The sender acts on all strikes up to a number of the receiver's."""
+    """Acknowledges all strikes of the receiver up to a number."""
 
     number: int
 
--- a/src/sardinetrack/messages/codec.py
+++ b/src/sardinetrack/messages/codec.py
@@ -1,4 +1,4 @@
-"""JSON codec of the messages."""
+"""JSON codec of the control link messages."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def encode(message: LinkMessage) -> bytes:
-    """Write a message as one line of JSON.
+    """Encode a message as one line of JSON.
 
     :param message: any message of a control link.
     :return: UTF-8 text.
@@ -20,10 +20,10 @@
 
 
 def decode(text: bytes | str) -> LinkMessage:
-    """Read and validate a message.
+    """Decode and validate a message.
 
     :param text: one frame of a control link.
     :return: the message.
-    :raises msgspec.DecodeError: the frame is no valid message.
+    :raises msgspec.DecodeError: the frame is not a valid message.
     """
     return _DECODER.decode(text)
--- a/src/sardinetrack/messages/run.py
+++ b/src/sardinetrack/messages/run.py
@@ -1,4 +1,4 @@
-"""Messages on the request's own connection from entry to side."""
+"""Messages on the HTTP connection that carries a request to a side."""
 
 from __future__ import annotations
 
@@ -14,71 +14,71 @@
 
 
 class RunOrder(Struct, frozen=True):
-    """What an entry asks of a side; travels as JSON in ``RUN_HEADER``."""
+    """Run request of an entry to a side; sent as JSON in ``RUN_HEADER``."""
 
     attempt_id: str
     incarnation: str
-    """The side process that is meant; any other refuses the order."""
+    """Of the addressed side process; any other refuses the run request."""
     entry: str
     workspace: str
     tag: float
     hint_cost: float
     grant: int
-    """Number of the grant; 0 for a request sent on the chance of a slot."""
+    """Number of the grant; 0 for a request sent without a grant."""
     wait_seconds: float
-    """How long the request may stay unstarted at the side."""
+    """How long the request may wait at the side before it starts."""
     idempotent: bool
     method: str
     path: str
-    """Path and query at the backend server."""
+    """Path and query for the backend server."""
     headers: tuple[tuple[str, str], ...]
     fingerprint: str
     suspect: bool
-    """It was running when another backend server crashed."""
+    """The request was running when another backend server crashed."""
     bids: tuple[tuple[str, float, int, float], ...] = ()
-    """The entry's fresh bids, see ``BidRow``; saves a message."""
+    """The entry's current bids, see ``BidRow``; saves a separate message."""
 
 
 class Fate(StrEnum):
-    """What a side knows of an attempt."""
+    """Status of an attempt at its side."""
 
     NOT_STARTED = 'not_started'
-    """Not started and, from this answer on, never will be."""
+    """Not started, and the side will not start it after this response."""
     RUNNING = 'running'
     FINISHED = 'finished'
     FAILED = 'failed'
-    """Started; the backend server gave no whole answer."""
+    """Started; the backend server sent no complete response."""
     STOPPED = 'stopped'
-    """Started; the side itself ended it, the backend server did not fail."""
+    """Started and stopped by the side; the backend server did not fail."""
     UNKNOWN = 'unknown'
-    """The side is younger than the attempt: it can't know."""
+    """The side process started after the attempt and has no record of it."""
 
 
 class RunResult(Struct, frozen=True):
-    """First word of a side on an order; JSON in ``RESULT_HEADER``."""
+    """A side's result of a run request; sent as JSON in ``RESULT_HEADER``."""
 
     fate: Fate
     incarnation: str
     status: int = 0
-    """Status of the backend server when it answered."""
+    """HTTP status of the backend server's response; 0 if there is none."""
     reason: str = ''
-    """Why the order was not started: ``busy``, ``draining``, ``expired``…"""
+    """Why the request was not started: ``busy``, ``draining``, ``expired``…"""
     free: int = 0
-    """Free slots at the side now."""
+    """Free slots at the side."""
 
 
 class AttemptQuery(Struct, frozen=True):
-    """A question after a broken connection; body of a POST."""
+    """Status query after a broken connection; body of a POST request."""
 
     attempt_id: str
     incarnation: str
-    """The side process that the order was sent to."""
+    """Of the side process to which the run request was sent."""
     cancel: bool
-    """Also stop it if it runs."""
+    """Also cancel the attempt if it runs."""
 
 
 class AttemptAnswer(Struct, frozen=True):
-    """The side's answer; ``NOT_STARTED`` is binding for the future."""
+    """Response to a status query; ``NOT_STARTED`` is final."""
 
     fate: Fate
     incarnation: str
--- a/src/sardinetrack/messages/run_codec.py
+++ b/src/sardinetrack/messages/run_codec.py
@@ -1,7 +1,7 @@
-"""Header texts of the run exchange.
+"""Codec of the header values of run requests and their results.
 
-Header fields travel as Latin-1 while JSON is UTF-8; the texts here are JSON
-bytes seen as Latin-1, so that no character is lost on the way.
+HTTP header values are Latin-1 while JSON is UTF-8. The values here are JSON
+bytes decoded as Latin-1, so that no character is lost.
 """
 
 from __future__ import annotations
@@ -17,46 +17,48 @@
 SERVER_HEADERS_HEADER: Final = 'sardinetrack-headers'
 """The backend server's own headers, as JSON pairs in lower case.
 
-Inside one header they can't be taken for those of the hop between side and
-entry: an answer to HEAD names the length of a body that does not follow.
+Inside one header they can't be confused with the headers of the hop between
+side and entry: a response to HEAD has the length of a body that is not sent.
 """
-_LATIN: Final = 'latin-1'
+_HEADER_ENCODING: Final = 'latin-1'
 
 
-def order_text(order: RunOrder) -> str:
-    """Write an order for ``RUN_HEADER``."""
-    return msgspec.json.encode(order).decode(_LATIN)
+def order_text(run_request: RunOrder) -> str:
+    """Encode a run request for ``RUN_HEADER``."""
+    return msgspec.json.encode(run_request).decode(_HEADER_ENCODING)
 
 
 def read_order(text: str) -> RunOrder:
-    """Read the text of ``RUN_HEADER``.
+    """Decode the value of ``RUN_HEADER``.
 
-    :raises msgspec.DecodeError: it is no valid order.
+    :raises msgspec.DecodeError: it is not a valid run request.
     """
-    return msgspec.json.decode(text.encode(_LATIN), type=RunOrder)
+    return msgspec.json.decode(text.encode(_HEADER_ENCODING), type=RunOrder)
 
 
 def result_text(run_result: RunResult) -> str:
-    """Write a result for ``RESULT_HEADER``."""
-    return msgspec.json.encode(run_result).decode(_LATIN)
+    """Encode a result for ``RESULT_HEADER``."""
+    return msgspec.json.encode(run_result).decode(_HEADER_ENCODING)
 
 
 def read_result(text: str) -> RunResult:
-    """Read the text of ``RESULT_HEADER``.
+    """Decode the value of ``RESULT_HEADER``.
 
-    :raises msgspec.DecodeError: it is no valid result.
+    :raises msgspec.DecodeError: it is not a valid result.
     """
-    return msgspec.json.decode(text.encode(_LATIN), type=RunResult)
+    return msgspec.json.decode(text.encode(_HEADER_ENCODING), type=RunResult)
 
 
 def server_headers_text(headers: ServerHeaders) -> str:
-    """Write the headers of a backend server."""
-    return msgspec.json.encode(headers).decode(_LATIN)
+    """Encode the headers of a backend server."""
+    return msgspec.json.encode(headers).decode(_HEADER_ENCODING)
 
 
 def read_server_headers(text: str) -> ServerHeaders:
-    """Read the headers of a backend server.
+    """Decode the headers of a backend server.
 
-    :raises msgspec.DecodeError: they are no pairs of text.
+    :raises msgspec.DecodeError: they are not pairs of strings.
     """
-    return msgspec.json.decode(text.encode(_LATIN), type=ServerHeaders)
+    return msgspec.json.decode(
+        text.encode(_HEADER_ENCODING), type=ServerHeaders
+    )
