--- a/src/sardinetrack/errors/__init__.py
+++ b/src/sardinetrack/errors/__init__.py
@@ -1,8 +1,14 @@
-"""The closed list of error kinds and the answer that each one gets."""
+"""All error kinds, and the response that a caller gets for each."""
 
 from __future__ import annotations
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import ANSWERS, Answer, answer_for
+from sardinetrack.errors.table import ERROR_RESPONSES, Answer, answer_for
 
-__all__ = ['ANSWERS', 'AnsweredError', 'Answer', 'ErrorKind', 'answer_for']
+__all__ = [
+    'ERROR_RESPONSES',
+    'AnsweredError',
+    'Answer',
+    'ErrorKind',
+    'answer_for',
+]
--- a/src/sardinetrack/errors/api.py
+++ b/src/sardinetrack/errors/api.py
@@ -1,4 +1,4 @@
-"""Error kinds, and the exception that carries one to the border."""
+"""Error kinds, and the exception that carries one to the HTTP response."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every way in which a call can fail; the value is the stable ``code``."""
+    """All kinds of errors; the value is the ``code`` in the response."""
 
     BAD_REQUEST = 'bad_request'
     BODY_TOO_LARGE = 'body_too_large'
@@ -40,7 +40,7 @@
 
 
 class AnsweredError(Exception):
-    """A failure that has an answer in the table."""
+    """An error that is sent to the caller; the table defines its response."""
 
     def __init__(
         self,
@@ -49,11 +49,12 @@
         *,
         retry_after_seconds: float | None = None,
     ) -> None:
-        """Remember the kind.
+        """Create an error of a kind.
 
-        :param kind: which row of the table answers this.
-        :param detail: what the caller may read about this one case.
-        :param retry_after_seconds: when it is worth coming back.
+        :param kind: key of the response in the table.
+        :param detail: about this case, sent to the caller.
+        :param retry_after_seconds: delay before a retry; ``None`` for the
+            default of the table.
         """
         super().__init__(f'{kind.value}: {detail}' if detail else kind.value)
         self.kind = kind
--- a/src/sardinetrack/errors/problem.py
+++ b/src/sardinetrack/errors/problem.py
@@ -1,4 +1,4 @@
-"""A mistake in what an operator has written."""
+"""Validation problems of settings files and catalogue entries."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One mistake in a settings file or a catalogue entry."""
+    """One problem of a settings file or a catalogue entry."""
 
     place: str
-    """Dotted path, or ``line L, column C``; empty for the whole."""
+    """Dotted path, or ``line L, column C``; empty for the whole input."""
     reason: str
 
     def __str__(self) -> str:
-        """Write the line that the operator reads."""
+        """Return the line that is shown to the operator."""
         return f'{self.place}: {self.reason}' if self.place else self.reason
 
 
 def path_of(place: tuple[Any, ...]) -> str:
-    """Write the place of a validation error as a dotted path."""
+    """Return the location of a validation error as a dotted path."""
     return '.'.join(str(part) for part in place)
 
 
 def reason_of(message: str) -> str:
-    """Strip what the validation library puts before a reason of ours."""
+    """Strip the prefix that pydantic adds to the text of a ``ValueError``."""
     return message.removeprefix(_VALUE_ERROR_PREFIX)
--- a/tests/errors/pages.feature
+++ b/tests/errors/pages.feature
@@ -1,18 +1,18 @@
-Feature: The pages on errors say what the table says
+Feature: The docs pages on errors agree with the table of error responses
 
   Scenario: The callers' page has one row for each error kind
     When the table of docs/callers.md is read
     Then its codes are the error kinds in their order
-    And each row has the status of its answer
-    And each row promises "not run" exactly where the answer does
-    And each row has the answer's default for coming back
+    And each row has the HTTP status of its response
+    And each row says "not run" exactly if its response does
+    And each row has its response's default for Retry-After
 
-  Scenario: The operators' page speaks of known codes only
+  Scenario: The operators' page contains only known codes
     Then every code in the tables of docs/operators.md is an error kind
-    And the failures of docs/operators.md name known codes as callers' answers
+    And the failures of docs/operators.md name known codes as callers' errors
 
-  Scenario: Every kind has exactly one answer
-    Then every error kind has an answer
+  Scenario: Every error kind has exactly one response
+    Then every error kind has a response
 
-  Scenario: An answer that says "not run" is marked so, and no other
-    Then the words "not run" stand in no message of an answer that may have run
+  Scenario: Only responses to requests that did not run say "not run"
+    Then no message contains "not run" if the request may have run
--- a/tests/errors/steps/pages_steps.py
+++ b/tests/errors/steps/pages_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the pages that describe the errors."""
+"""Steps for the docs pages that describe the errors."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from behave import then, when
 from behave.runner import Context
 
-from sardinetrack.errors import ANSWERS, ErrorKind, answer_for
+from sardinetrack.errors import ERROR_RESPONSES, ErrorKind, answer_for
 
 _DOCS = Path(__file__).parents[3] / 'docs'
 _CODE = re.compile('`([a-z_]+)`')
@@ -47,44 +47,44 @@
     assert [_kind(row) for row in context.rows] == list(ErrorKind)
 
 
-@then('each row has the status of its answer')
+@then('each row has the HTTP status of its response')
 def step_status(context: Context) -> None:
     for row in context.rows:
         assert int(row.status) == answer_for(_kind(row)).status, row
 
 
-@then('each row promises "not run" exactly where the answer does')
+@then('each row says "not run" exactly if its response does')
 def step_not_run(context: Context) -> None:
     for row in context.rows:
-        promise = 'yes' if answer_for(_kind(row)).not_run else 'no'
-        assert row.not_run == promise, row
+        expected = 'yes' if answer_for(_kind(row)).not_run else 'no'
+        assert row.not_run == expected, row
 
 
-@then("each row has the answer's default for coming back")
+@then("each row has its response's default for Retry-After")
 def step_retry_after(context: Context) -> None:
     for row in context.rows:
         seconds = answer_for(_kind(row)).retry_after_seconds
-        wanted = '-' if seconds is None else str(seconds)
-        assert row.retry_after == wanted, row
+        expected = '-' if seconds is None else str(seconds)
+        assert row.retry_after == expected, row
 
 
 @then('every code in the tables of docs/operators.md is an error kind')
 def step_operators(context: Context) -> None:
-    # The other table that begins with code names metrics; tests/cli compares
-    # each of its rows with a metric that is served.
-    firsts = [cells[0] for cells in _cells('operators.md')]
+    # The other table whose rows begin with code lists metrics; tests/cli
+    # compares each of its rows with a metric that is served.
+    first_cells = [cells[0] for cells in _cells('operators.md')]
     codes = [
         code
-        for first in firsts
-        if not first.startswith('`sardinetrack_')
-        for code in _CODE.findall(first)
+        for cell in first_cells
+        if not cell.startswith('`sardinetrack_')
+        for code in _CODE.findall(cell)
     ]
     assert codes
     for code in codes:
         assert ErrorKind(code)
 
 
-@then("the failures of docs/operators.md name known codes as callers' answers")
+@then("the failures of docs/operators.md name known codes as callers' errors")
 def step_failures(context: Context) -> None:
     page = (_DOCS / 'operators.md').read_text()
     table = page.partition('| Failure | Log and metrics | Callers get |')[2]
@@ -95,14 +95,14 @@
         assert ErrorKind(code)
 
 
-@then('every error kind has an answer')
+@then('every error kind has a response')
 def step_every_kind(context: Context) -> None:
-    assert set(ANSWERS) == set(ErrorKind)
+    assert set(ERROR_RESPONSES) == set(ErrorKind)
 
 
 @then(
-    'the words "not run" stand in no message of an answer that may have run',
+    'no message contains "not run" if the request may have run',
 )
 def step_words(context: Context) -> None:
-    for answer in ANSWERS.values():
-        assert answer.not_run or 'not run' not in answer.message
+    for response in ERROR_RESPONSES.values():
+        assert response.not_run or 'not run' not in response.message
