--- a/src/sardinetrack/charts/__init__.py
+++ b/src/sardinetrack/charts/__init__.py
@@ -1,4 +1,4 @@
-"""State charts in JSON files, and their interpreter."""
+"""State charts: their JSON files and the interpreter."""
 
 from __future__ import annotations
 
--- a/src/sardinetrack/charts/drain.py
+++ b/src/sardinetrack/charts/drain.py
@@ -1,4 +1,4 @@
-"""The chart of a graceful shutdown, which several parts run on."""
+"""The state chart of a graceful shutdown, used by entries and sides."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DrainState(StrEnum):
-    """How far a shutdown is."""
+    """States of the state chart ``drain``."""
 
     SERVING = 'serving'
     LEAVING = 'leaving'
@@ -18,7 +18,7 @@
 
 
 class DrainEvent(StrEnum):
-    """What moves a shutdown on."""
+    """Events of the state chart ``drain``."""
 
     DRAIN = 'drain'
     SHUT = 'shut'
--- a/src/sardinetrack/charts/errors.py
+++ b/src/sardinetrack/charts/errors.py
@@ -4,10 +4,10 @@
 
 
 class InvalidChartError(Exception):
-    """A chart's file describes no usable chart."""
+    """A file does not contain a valid state chart."""
 
     def __init__(self, chart: str, problems: tuple[str, ...]) -> None:
-        """Remember every problem of the file."""
+        """Create the error with all problems of the file."""
         listed = '; '.join(problems)
         super().__init__(f'chart {chart}: {listed}')
         self.chart = chart
@@ -15,10 +15,9 @@
 
 
 class IllegalEventError(Exception):
-    """The chart has no transition for this event in this state."""
+    """The state chart has no transition for this event in this state."""
 
     def __init__(self, chart: str, state: str, event: str) -> None:
-        """Remember where the event came."""
         super().__init__(
             f'chart {chart}: event {event} is illegal in state {state}',
         )
--- a/src/sardinetrack/charts/interpreter.py
+++ b/src/sardinetrack/charts/interpreter.py
@@ -1,4 +1,4 @@
-"""Interpreter of the state charts that lie beside this module as JSON."""
+"""Interpreter of the state charts in the JSON files of this package."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from sardinetrack.charts.errors import IllegalEventError, InvalidChartError
 from sardinetrack.charts.model import ChartFile, find_problems
 
-Place = tuple[str, str]
-"""A state and an event that comes in it."""
+StateEvent = tuple[str, str]
+"""A state, and an event that may occur in it."""
 
 
 class Chart:
-    """A validated chart; any number of states run on it."""
+    """A validated state chart, shared by any number of ``ChartState``."""
 
     def __init__(self, name: str, chart: ChartFile) -> None:
-        """Build a chart from a file's content.
+        """Build a state chart from a file's content.
 
-        :raises InvalidChartError: its parts don't fit together.
+        :raises InvalidChartError: the content is inconsistent.
         """
         problems = find_problems(chart)
         if problems:
@@ -33,17 +33,17 @@
         self.initial = chart.initial
         self.states = frozenset(chart.states)
         self.events = frozenset(chart.events)
-        # The library builds the machine; firing through it costs too much
-        # for a request's path (docs/design/charts.md).
-        self.moves: Mapping[Place, str] = MappingProxyType(
-            dict(_moves(_machine(chart)))
+        # The library only builds the machine; firing events through it is too
+        # slow for the request path (docs/design/charts.md).
+        self.targets: Mapping[StateEvent, str] = MappingProxyType(
+            dict(_targets(_machine(chart)))
         )
 
     @classmethod
     def parse(cls, name: str, text: bytes | str) -> Self:
-        """Read a chart from JSON text.
+        """Parse a state chart from JSON text.
 
-        :raises InvalidChartError: with every problem found.
+        :raises InvalidChartError: lists all problems found.
         """
         try:
             chart = msgspec.json.decode(text, type=ChartFile)
@@ -54,54 +54,53 @@
     @classmethod
     @cache
     def load(cls, name: str) -> Self:
-        """Read a chart of this package, once for each process.
+        """Load a state chart of this package, once for each process.
 
-        :raises InvalidChartError: there is no such file or it is no chart.
+        :raises InvalidChartError: the file is missing or not a valid chart.
         """
         path = resources.files(__package__) / f'{name}.json'
         try:
             text = path.read_bytes()
         except OSError as error:
-            raise InvalidChartError(name, ('there is no file',)) from error
+            raise InvalidChartError(name, ('file not found',)) from error
         return cls.parse(name, text)
 
     def start(self) -> ChartState:
-        """Enter the initial state."""
+        """Return a new ``ChartState`` in the initial state."""
         return ChartState(self)
 
     def allows(self, state: str, event: str) -> bool:
-        """Tell whether a state has a transition for the event."""
-        return (state, event) in self.moves
+        """Return whether a state has a transition for the event."""
+        return (state, event) in self.targets
 
     def after(self, state: str, event: str) -> str:
-        """Find the state that an event leads to.
+        """Return the state that an event leads to.
 
         :raises IllegalEventError: the state has no such transition.
         """
-        target = self.moves.get((state, event))
+        target = self.targets.get((state, event))
         if target is None:
             raise IllegalEventError(self.name, state, event)
         return target
 
 
 class ChartState:
-    """Where one owner stands on its chart."""
+    """Current state of one object on a state chart."""
 
     __slots__ = ('_chart', 'state')
 
     def __init__(self, chart: Chart) -> None:
-        """Stand in the chart's initial state."""
         self._chart = chart
         self.state = chart.initial
 
     def allows(self, event: str) -> bool:
-        """Tell whether the event is legal now."""
+        """Return whether the event is legal in the current state."""
         return self._chart.allows(self.state, event)
 
     def fire(self, event: str) -> str:
         """Follow the transition of an event.
 
-        :param event: what has happened.
+        :param event: the event that occurred.
         :return: the new state.
         :raises IllegalEventError: the state has no such transition.
         """
@@ -116,14 +115,17 @@
         initial=chart.initial,
         auto_transitions=False,
         transitions=[
-            [arrow.event, arrow.source, arrow.target]
-            for arrow in chart.transitions
+            [transition.event, transition.source, transition.target]
+            for transition in chart.transitions
         ],
     )
 
 
-def _moves(machine: Machine) -> Iterator[tuple[Place, str]]:
-    for arrow_event in machine.events:
-        for arrow in machine.get_transitions(arrow_event):
-            # No target means that the state stays.
-            yield (arrow.source, arrow_event), arrow.dest or arrow.source
+def _targets(machine: Machine) -> Iterator[tuple[StateEvent, str]]:
+    for event in machine.events:
+        for transition in machine.get_transitions(event):
+            # The library has no target for a transition to the same state.
+            yield (
+                (transition.source, event),
+                transition.dest or transition.source,
+            )
--- a/src/sardinetrack/charts/model.py
+++ b/src/sardinetrack/charts/model.py
@@ -1,4 +1,4 @@
-"""The shape of a chart's file."""
+"""Schema of the state chart files, and their validation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Transition(Struct, frozen=True, forbid_unknown_fields=True):
-    """One arrow of a chart."""
+    """One transition of a state chart."""
 
     event: str
     source: str
@@ -16,22 +16,22 @@
 
 
 class ChartFile(Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole chart as its file gives it."""
+    """Content of a state chart file."""
 
     about: str
     initial: str
     states: dict[str, str]
-    """Each state with one sentence on what holds in it."""
+    """Each state with one sentence that describes it."""
     events: dict[str, str]
-    """Each event with one sentence on what has happened."""
+    """Each event with one sentence that describes it."""
     transitions: tuple[Transition, ...]
 
 
 def find_problems(chart: ChartFile) -> tuple[str, ...]:
-    """Check that the parts of a chart fit together.
+    """Check that the content of a chart file is consistent.
 
-    :param chart: a file that has the right shape.
-    :return: one sentence for each problem, none for a usable chart.
+    :param chart: a file that matches the schema.
+    :return: one text for each problem, none for a valid chart.
     """
     return (
         *_initial_problems(chart),
@@ -44,30 +44,33 @@
 
 def _initial_problems(chart: ChartFile) -> Iterator[str]:
     if chart.initial not in chart.states:
-        yield f'initial: no state {chart.initial}'
+        yield f'initial: unknown state {chart.initial}'
 
 
 def _transition_problems(chart: ChartFile) -> Iterator[str]:
-    for index, arrow in enumerate(chart.transitions):
-        place = f'transitions[{index}]'
-        if arrow.event not in chart.events:
-            yield f'{place}.event: no event {arrow.event}'
-        if arrow.source not in chart.states:
-            yield f'{place}.source: no state {arrow.source}'
-        if arrow.target not in chart.states:
-            yield f'{place}.target: no state {arrow.target}'
+    for index, transition in enumerate(chart.transitions):
+        location = f'transitions[{index}]'
+        if transition.event not in chart.events:
+            yield f'{location}.event: unknown event {transition.event}'
+        if transition.source not in chart.states:
+            yield f'{location}.source: unknown state {transition.source}'
+        if transition.target not in chart.states:
+            yield f'{location}.target: unknown state {transition.target}'
 
 
 def _duplicates(chart: ChartFile) -> Iterator[str]:
     seen: set[tuple[str, str]] = set()
-    for arrow in chart.transitions:
-        if (arrow.source, arrow.event) in seen:
-            yield f'event {arrow.event} is ambiguous in state {arrow.source}'
-        seen.add((arrow.source, arrow.event))
+    for transition in chart.transitions:
+        if (transition.source, transition.event) in seen:
+            yield (
+                f'event {transition.event} is ambiguous '
+                f'in state {transition.source}'
+            )
+        seen.add((transition.source, transition.event))
 
 
 def _unused_events(chart: ChartFile) -> Iterator[str]:
-    used = {arrow.event for arrow in chart.transitions}
+    used = {transition.event for transition in chart.transitions}
     for event in chart.events:
         if event not in used:
             yield f'event {event} has no transition'
@@ -79,9 +82,9 @@
     while frontier:
         reached |= frontier
         frontier = {
-            arrow.target
-            for arrow in chart.transitions
-            if arrow.source in frontier
+            transition.target
+            for transition in chart.transitions
+            if transition.source in frontier
         } - reached
     for state in chart.states:
         if state not in reached:
--- a/src/sardinetrack/charts/typed.py
+++ b/src/sardinetrack/charts/typed.py
@@ -1,4 +1,4 @@
-"""Charts whose states and events the code names by enumerations."""
+"""State charts whose states and events are enumerations in the code."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TypedChart(Generic[StateT, EventT]):
-    """A chart of the package; its file and the enumerations agree."""
+    """A state chart of this package, with enumerations that match its file."""
 
     def __init__(
         self,
@@ -22,12 +22,13 @@
         states: type[StateT],
         events: type[EventT],
     ) -> None:
-        """Load a chart.
+        """Load a state chart.
 
-        :param name: of its file.
+        :param name: of the file, without its suffix.
         :param states: exactly the states of the file.
         :param events: exactly the events of the file.
-        :raises InvalidChartError: the file is no chart, or names others.
+        :raises InvalidChartError: the file is not a valid chart, or an
+            enumeration differs from it.
         """
         chart = Chart.load(name)
         problems = (
@@ -38,40 +39,39 @@
             raise InvalidChartError(name, problems)
         self.name = name
         self.initial = states(chart.initial)
-        self._moves = {
+        self._targets = {
             (states(source), events(event)): states(target)
-            for (source, event), target in chart.moves.items()
+            for (source, event), target in chart.targets.items()
         }
 
     def after(self, state: StateT, event: EventT) -> StateT:
-        """Find the state that an event leads to.
+        """Return the state that an event leads to.
 
         :raises IllegalEventError: the state has no such transition.
         """
-        target = self._moves.get((state, event))
+        target = self._targets.get((state, event))
         if target is None:
             raise IllegalEventError(self.name, state, event)
         return target
 
     def start(self) -> TypedState[StateT, EventT]:
-        """Enter the initial state."""
+        """Return a new ``TypedState`` in the initial state."""
         return TypedState(self)
 
 
 class TypedState(Generic[StateT, EventT]):
-    """Where one owner stands on its chart."""
+    """Current state of one object on a state chart."""
 
     __slots__ = ('_chart', 'state')
 
     def __init__(self, chart: TypedChart[StateT, EventT]) -> None:
-        """Stand in the chart's initial state."""
         self._chart = chart
         self.state = chart.initial
 
     def fire(self, event: EventT) -> StateT:
         """Follow the transition of an event.
 
-        :param event: what has happened.
+        :param event: the event that occurred.
         :return: the new state.
         :raises IllegalEventError: the state has no such transition.
         """
@@ -82,10 +82,10 @@
 def _differences(
     kind: str,
     in_file: frozenset[str],
-    in_code: Iterable[str],
+    in_enumeration: Iterable[str],
 ) -> Iterator[str]:
-    named = set(in_code)
-    for name in sorted(in_file - named):
-        yield f'{kind} {name} is not known to the code'
-    for name in sorted(named - in_file):
+    known = set(in_enumeration)
+    for name in sorted(in_file - known):
+        yield f'{kind} {name} is not in the enumeration'
+    for name in sorted(known - in_file):
         yield f'{kind} {name} is not in the file'
--- a/tests/charts/steps/interpreter_steps.py
+++ b/tests/charts/steps/interpreter_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the state charts."""
+"""Steps for the state charts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 _CHARTS = ('attempt', 'breaker', 'drain', 'lease', 'link', 'view')
-_MANY = 100
+_MAX_CHOICE = 100
 
 
 @when('the chart "{name}" is loaded twice')
@@ -39,13 +39,13 @@
     assert context.chart.start().state == state
 
 
-@given('a start on the chart "{name}"')
+@given('a new state on the chart "{name}"')
 def step_start(context: Context, name: str) -> None:
     context.chart = Chart.load(name)
     context.state = context.chart.start()
 
 
-@given('another start on the same chart')
+@given('another new state on the same chart')
 def step_other_start(context: Context) -> None:
     context.other = context.chart.start()
 
@@ -74,14 +74,14 @@
     try:
         context.state.fire(event)
     except IllegalEventError as error:
-        place = (error.chart, error.state, error.event)
-        assert place == (context.chart.name, before, event)
+        location = (error.chart, error.state, error.event)
+        assert location == (context.chart.name, before, event)
     else:
-        raise AssertionError('the event was taken')
+        raise AssertionError('the event was accepted')
     assert context.state.state == before
 
 
-@given('a chart of the states "{states}" that starts in "{initial}"')
+@given('a chart with the states "{states}" and the initial state "{initial}"')
 def step_chart(context: Context, states: str, initial: str) -> None:
     context.content = {
         'about': 'A switch.',
@@ -90,38 +90,44 @@
     }
 
 
-@given('its events are "{events}" and its arrows "{arrows}"')
-def step_arrows(context: Context, events: str, arrows: str) -> None:
+@given('its events are "{events}" and its transitions "{transitions}"')
+def step_transitions(context: Context, events: str, transitions: str) -> None:
     context.content['events'] = dict.fromkeys(events.split(), 'An event.')
     context.content['transitions'] = [
-        dict(zip(('source', 'event', 'target'), arrow.split('-'), strict=True))
-        for arrow in arrows.split()
+        dict(
+            zip(
+                ('source', 'event', 'target'),
+                transition.split('-'),
+                strict=True,
+            )
+        )
+        for transition in transitions.split()
     ]
 
 
-@when('the chart is read')
+@when('the chart is parsed')
 def step_read(context: Context) -> None:
     context.text_of_chart = json.dumps(context.content)
 
 
-@then('it is refused because "{reason}"')
+@then('it is rejected because "{reason}"')
 def step_refused(context: Context, reason: str) -> None:
     _assert_refused(context.text_of_chart, reason)
 
 
-@then('the chart text "{text}" is refused because "{reason}"')
+@then('the chart text "{text}" is rejected because "{reason}"')
 def step_text_refused(context: Context, text: str, reason: str) -> None:
     _assert_refused(text, reason)
 
 
-@then('the chart "{name}" is refused because "{reason}"')
+@then('the chart "{name}" is rejected because "{reason}"')
 def step_name_refused(context: Context, name: str, reason: str) -> None:
     try:
         Chart.load(name)
     except InvalidChartError as error:
         assert reason in str(error)
     else:
-        raise AssertionError('the chart was taken')
+        raise AssertionError('the chart was accepted')
 
 
 def _assert_refused(text: str, reason: str) -> None:
@@ -130,10 +136,10 @@
     except InvalidChartError as error:
         assert any(reason in problem for problem in error.problems), error
     else:
-        raise AssertionError('the chart was taken')
+        raise AssertionError('the chart was accepted')
 
 
-@then('random events move each chart as a plain table does')
+@then('random events lead to the same states as a plain table')
 def step_differential(context: Context) -> None:
     _compare_with_table()
 
@@ -141,42 +147,42 @@
 @settings(max_examples=500, derandomize=True, database=None)
 @for_all(
     name=strategies.sampled_from(_CHARTS),
-    choices=strategies.lists(strategies.integers(0, _MANY)),
+    choices=strategies.lists(strategies.integers(0, _MAX_CHOICE)),
 )
 def _compare_with_table(name: str, choices: list[int]) -> None:
     path = resources.files('sardinetrack.charts') / f'{name}.json'
     content = json.loads(path.read_bytes())
     events = sorted(content['events'])
     table = {
-        (arrow['source'], arrow['event']): arrow['target']
-        for arrow in content['transitions']
+        (transition['source'], transition['event']): transition['target']
+        for transition in content['transitions']
     }
     state = Chart.load(name).start()
-    naive = content['initial']
+    expected = content['initial']
     for choice in choices:
         event = events[choice % len(events)]
-        assert state.allows(event) == ((naive, event) in table)
+        assert state.allows(event) == ((expected, event) in table)
         if state.allows(event):
-            naive = table[naive, event]
-            assert state.fire(event) == naive
+            expected = table[expected, event]
+            assert state.fire(event) == expected
 
 
 @when(
-    'the chart "{name}" is read with the states "{states}" and the events '
+    'the chart "{name}" is loaded with the states "{states}" and the events '
     '"{events}"',
 )
 def step_typed(context: Context, name: str, states: str, events: str) -> None:
-    context.refusal = None
+    context.rejection = None
     try:
         TypedChart(name, _enumerate(states), _enumerate(events))
     except InvalidChartError as error:
-        context.refusal = error
+        context.rejection = error
 
 
-@then('the code\'s names are refused because "{reason}"')
+@then('the enumerations are rejected because "{reason}"')
 def step_names_refused(context: Context, reason: str) -> None:
-    assert context.refusal is not None, 'the names were taken'
-    problems = context.refusal.problems
+    assert context.rejection is not None, 'the enumerations were accepted'
+    problems = context.rejection.problems
     assert len(problems) == 1, problems
     assert problems[0].startswith(reason), problems
 
@@ -194,7 +200,7 @@
         self.records.append(record)
 
 
-@when('every log line is collected while charts are read and fired')
+@when('all log records are collected while charts are parsed and events fired')
 def step_collect(context: Context) -> None:
     collector = _Collector()
     root = logging.getLogger()
@@ -209,22 +215,22 @@
     context.records = collector.records
 
 
-@then('the library has said nothing at INFO or above')
-def step_library_silent(context: Context) -> None:
-    loud = [
+@then('the library has logged nothing at INFO or above')
+def step_library_quiet(context: Context) -> None:
+    logged = [
         record
         for record in context.records
         if record.name.startswith('transitions')
         and record.levelno >= logging.INFO
     ]
-    assert not loud, loud
+    assert not logged, logged
 
 
 def _read_and_fire() -> None:
     for name in _CHARTS:
         path = resources.files('sardinetrack.charts') / f'{name}.json'
         chart = Chart.parse(name, path.read_bytes())
-        for _, event in chart.moves:
+        for _, event in chart.targets:
             state = chart.start()
             if state.allows(event):
                 state.fire(event)
