--- a/src/sardinetrack/lease/__init__.py
+++ b/src/sardinetrack/lease/__init__.py
@@ -1,3 +1,3 @@
-"""The lease of a side on its backend server, and fencing numbers."""
+"""The lease of a side on its backend server, with fencing tokens."""
 
 from __future__ import annotations
--- a/src/sardinetrack/lease/decision.py
+++ b/src/sardinetrack/lease/decision.py
@@ -1,13 +1,13 @@
-"""Decides when a side may give orders; no I/O, reads no clock.
+"""Decides when a side may send load commands; no I/O, reads no clock.
 
-The chart ``lease`` names the states. Times are the side's own monotonic
-seconds. Two facts keep two holders from ordering at once, also at a backend
-server that ignores fencing numbers:
+The state chart ``lease`` defines the states. Times are seconds of the side's
+own monotonic clock. Two rules prevent two holders from sending commands at
+the same time, even at a backend server that ignores fencing tokens:
 
-- a holder counts its lease from before its write began and stops a margin
+- a holder measures its lease from before its write began and stops a margin
   before the end;
-- a successor counts the same duration from when it first saw the lease, which
-  is after that write, and waits a margin longer.
+- a successor measures the same duration from when it first read the lease,
+  which is after that write, and waits a margin longer.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenLease:
-    """A lease as it was read."""
+class ObservedLease:
+    """A lease as read from the platform."""
 
     version: int
-    """0 when there is none yet."""
+    """0 when there is no lease object."""
     record: LeaseRecord | None
 
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Write the lease now, on condition of a version."""
+    """Write the lease if the object still has the expected version."""
 
     expected_version: int
     record: LeaseRecord
 
 
 @dataclass(frozen=True, slots=True)
-class WaitOut:
-    """Another holder may still act; look again later."""
+class WaitForExpiry:
+    """Another holder may still send commands; read the lease again later."""
 
     seconds: float
 
 
 class Lease:
-    """One side's view of the lease on its backend server."""
+    """State of the lease on a backend server, as its side knows it."""
 
     def __init__(
         self,
@@ -55,10 +55,12 @@
         duration_seconds: float,
         margin_seconds: float,
     ) -> None:
-        """Start without a lease.
+        """Create the state of a lease that is not held.
 
-        :param holder: names this life of the process.
-        :param margin_seconds: stop so much before, wait so much longer.
+        :param holder: identifies this incarnation of the process.
+        :param duration_seconds: of a lease that this side acquires.
+        :param margin_seconds: subtracted from the time that this side holds
+            the lease, added to the time that it waits for another holder.
         """
         self._state: ChartState = Chart.load('lease').start()
         self._holder = holder
@@ -67,18 +69,18 @@
         self._held_until: float = 0
         self._foreign_version = _NO_VERSION
         self._foreign_until: float = 0
-        self.fencing = _NO_VERSION
+        self.fencing_token = _NO_VERSION
 
     @property
     def state(self) -> str:
-        """Where the lease stands on its chart."""
+        """Current state on the state chart ``lease``."""
         return self._state.state
 
     def seconds_left(self, now: float) -> float:
-        """Tell how long orders may be sent; 0 for not at all.
+        """Return how long commands may be sent; 0 if the lease is not held.
 
-        To be asked just before each send: the process may have been paused
-        for any time since it was asked before.
+        Must be called immediately before each send: the process may have been
+        paused for any time since the previous call.
         """
         if self.state != 'held':
             return 0
@@ -87,56 +89,59 @@
             return 0
         return self._held_until - now
 
-    def seek(
+    def plan_acquisition(
         self,
         now: float,
-        seen: SeenLease,
+        observed: ObservedLease,
         *,
         checks_fencing: bool,
-    ) -> Acquire | WaitOut:
-        """Decide what to do about a lease that is wanted and not held.
+    ) -> Acquire | WaitForExpiry:
+        """Return the next step to acquire a lease that is not held.
 
-        :param seen: what stands in the platform.
-        :param checks_fencing: the backend server refuses old numbers, so that
-            nobody needs to be waited for.
+        :param observed: the lease as read from the platform.
+        :param checks_fencing: the backend server refuses old fencing tokens,
+            so that there is no need to wait for another holder.
         """
         self.seconds_left(now)
-        foreign = seen.record is not None and seen.record.holder != self._holder
+        foreign = (
+            observed.record is not None
+            and observed.record.holder != self._holder
+        )
         if foreign and not checks_fencing:
-            wait_seconds = self._wait_seconds(now, seen)
+            wait_seconds = self._wait_seconds(now, observed)
             if wait_seconds > 0:
-                return WaitOut(wait_seconds)
-        term = seen.record.term if seen.record else 0
+                return WaitForExpiry(wait_seconds)
+        term = observed.record.term if observed.record else 0
         record = LeaseRecord(self._holder, term + 1, self._duration_seconds)
-        return Acquire(seen.version, record)
+        return Acquire(observed.version, record)
 
-    def acquired(self, began_at: float, version: int) -> None:
-        """Note that one's own write took effect.
+    def record_acquired(self, began_at: float, version: int) -> None:
+        """Record that this side's write took effect.
 
-        :param began_at: when the write was begun, not when it was answered.
-        :param version: of the lease object; the fencing number from now on.
+        :param began_at: when the write began, not when its response arrived.
+        :param version: of the lease object; the new fencing token.
         """
         if self.state == 'held':
             self._state.fire('renew')
         else:
             self._state.fire('acquire')
-        self.fencing = version
+        self.fencing_token = version
         self._held_until = (
             began_at + self._duration_seconds - self._margin_seconds
         )
 
-    def superseded(self) -> None:
-        """Note that another holder has been seen or has ordered."""
+    def mark_superseded(self) -> None:
+        """Record that another holder has the lease or has sent a command."""
         if self._state.allows('supersede'):
             self._state.fire('supersede')
 
-    def _wait_seconds(self, now: float, seen: SeenLease) -> float:
-        assert seen.record is not None
-        if seen.version != self._foreign_version:
-            self._foreign_version = seen.version
-            duration_seconds = seen.record.duration_seconds
+    def _wait_seconds(self, now: float, observed: ObservedLease) -> float:
+        assert observed.record is not None
+        if observed.version != self._foreign_version:
+            self._foreign_version = observed.version
+            duration_seconds = observed.record.duration_seconds
             self._foreign_until = now + duration_seconds + self._margin_seconds
-            self.superseded()
+            self.mark_superseded()
             self._state.fire('foreign')
         left_seconds = self._foreign_until - now
         if left_seconds <= 0 and self._state.allows('waited_out'):
--- a/src/sardinetrack/lease/keeper.py
+++ b/src/sardinetrack/lease/keeper.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions about a lease in the platform."""
+"""Reads and writes the lease object as the lease decisions require."""
 
 from __future__ import annotations
 
@@ -7,7 +7,12 @@
 
 import anyio
 
-from sardinetrack.lease.decision import Acquire, Lease, SeenLease, WaitOut
+from sardinetrack.lease.decision import (
+    Acquire,
+    Lease,
+    ObservedLease,
+    WaitForExpiry,
+)
 from sardinetrack.lease.record import read_lease, write_lease
 from sardinetrack.store.api import (
     ConflictError,
@@ -17,45 +22,52 @@
 )
 
 _LOG: Final = logging.getLogger('sardinetrack.lease')
-_RACE_PAUSE_SECONDS: Final = 0.2
+_CONFLICT_DELAY_SECONDS: Final = 0.2
 
 
 class LeaseKeeper:
-    """Acquires the lease when there is an order to give, and only then.
+    """Acquires the lease only when there is a command to send.
 
-    Nothing is renewed: a lease that nobody needs costs no call.
+    The lease is not renewed in the background: an unused lease costs no call.
     """
 
     def __init__(self, platform: Platform, key: str, lease: Lease) -> None:
-        """Remember the parts.
+        """Create a manager of one lease.
 
+        :param platform: stores the lease object.
         :param key: of the lease object.
+        :param lease: state of the lease.
         """
         self.lease = lease
         self._platform = platform
         self._key = key
 
     async def acquire(self, *, checks_fencing: bool) -> None:
-        """Return when the lease is held; it may lapse at any time after.
+        """Acquire the lease; it may expire at any time afterwards.
 
-        :raises PlatformError: it can't be had now.
+        :raises PlatformError: it can't be acquired at present.
         """
         while self.lease.seconds_left(anyio.current_time()) <= 0:
-            seen = _seen(await self._platform.get(self._key))
-            step = self.lease.seek(
+            observed = _observed(await self._platform.get(self._key))
+            step = self.lease.plan_acquisition(
                 anyio.current_time(),
-                seen,
+                observed,
                 checks_fencing=checks_fencing,
             )
-            await self._take(step)
+            await self._perform(step)
 
-    async def _take(self, step: Acquire | WaitOut) -> None:
-        if isinstance(step, WaitOut):
-            _LOG.info('lease: waiting out another holder key=%s', self._key)
+    async def _perform(self, step: Acquire | WaitForExpiry) -> None:
+        if isinstance(step, WaitForExpiry):
+            _LOG.info(
+                'lease: waiting for another holder to expire key=%s',
+                self._key,
+            )
             await anyio.sleep(step.seconds)
         elif not await self._write(step):
-            _LOG.info('lease: lost a race key=%s', self._key)
-            await anyio.sleep(_RACE_PAUSE_SECONDS)
+            _LOG.info(
+                'lease: another holder wrote the lease first key=%s', self._key
+            )
+            await anyio.sleep(_CONFLICT_DELAY_SECONDS)
 
     async def _write(self, step: Acquire) -> bool:
         began_at = anyio.current_time()
@@ -66,29 +78,31 @@
                 expected_version=step.expected_version,
             )
         except ConflictError as error:
-            return self._settle(began_at, step, error.current)
+            return self._check_written(began_at, step, error.current)
         except UncertainError:
-            # The write may have taken effect while its reply was lost: the
-            # holder and the term that stand there tell.
+            # The write may have taken effect although its response was lost:
+            # the stored holder and term show whether it did.
             current = await self._platform.get(self._key)
-            return self._settle(began_at, step, current)
-        return self._settle(began_at, step, stored)
+            return self._check_written(began_at, step, current)
+        return self._check_written(began_at, step, stored)
 
-    def _settle(
+    def _check_written(
         self,
         began_at: float,
         step: Acquire,
         current: StoredObject | None,
     ) -> bool:
-        seen = _seen(current)
-        if seen.record != step.record:
+        observed = _observed(current)
+        if observed.record != step.record:
             return False
-        self.lease.acquired(began_at, seen.version)
-        _LOG.info('lease: held key=%s fencing=%d', self._key, seen.version)
+        self.lease.record_acquired(began_at, observed.version)
+        _LOG.info(
+            'lease: acquired key=%s fencing=%d', self._key, observed.version
+        )
         return True
 
 
-def _seen(stored: StoredObject | None) -> SeenLease:
+def _observed(stored: StoredObject | None) -> ObservedLease:
     if stored is None or stored.deleted:
-        return SeenLease(0, None)
-    return SeenLease(stored.version, read_lease(stored.value))
+        return ObservedLease(0, None)
+    return ObservedLease(stored.version, read_lease(stored.value))
--- a/src/sardinetrack/lease/orders.py
+++ b/src/sardinetrack/lease/orders.py
@@ -1,4 +1,4 @@
-"""Orders to a backend server: load the models that its pool names."""
+"""Commands a backend server to load the models of its pool."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from sardinetrack.store.backoff import Backoff
 
 _LOG: Final = logging.getLogger('sardinetrack.lease')
-_LOOK_SECONDS: Final = 1.0
+_POLL_INTERVAL_SECONDS: Final = 1.0
 
 
 class OrderResult(Enum):
-    """What became of an order."""
+    """Result of a load command."""
 
     ACCEPTED = auto()
     OLD_NUMBER = auto()
-    """The backend server knows a newer fencing number."""
+    """The backend server has received a newer fencing token."""
     UNKNOWN = auto()
-    """No answer, or an error; it may have been carried out."""
+    """No response, or an error; the command may have been executed."""
 
 
 class OrderedServer(ABC):
-    """The backend server as the giver of orders sees it."""
+    """Interface of a backend server that loads models on command."""
 
     name: str
 
     @abstractmethod
     async def models(self) -> frozenset[str] | None:
-        """Tell which models are loaded; ``None`` when it doesn't say."""
+        """Return the loaded models; ``None`` when they can't be read."""
 
     @abstractmethod
     async def load_models(
@@ -45,13 +45,13 @@
         fencing: int,
         models: tuple[str, ...],
     ) -> OrderResult:
-        """Order it to load models; those loaded already stay."""
+        """Send a command to load models; loaded ones stay loaded."""
 
 
 class ModelOrders:
-    """A task that orders what is missing, once for each change.
+    """A task that loads missing models, with one command for each change.
 
-    Requests need no lease: they go on whatever happens here.
+    Requests need no lease: they continue whatever happens here.
     """
 
     def __init__(
@@ -59,40 +59,42 @@
         server: OrderedServer,
         keeper: LeaseKeeper,
         pool: Callable[[], Pool | None],
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Remember the parts.
+        """Create the task.
 
-        :param pool: tells the pool in force.
-        :param chance: source of the jitter after errors.
+        :param server: the backend server.
+        :param keeper: acquires the lease on the server.
+        :param pool: returns the current pool, ``None`` when it is unknown.
+        :param rng: random number generator for the backoff after errors.
         """
         self._server = server
         self._keeper = keeper
         self._pool = pool
-        self._backoff = Backoff(chance)
-        self._ordered: tuple[str, ...] = ()
-        """Accepted, and not seen as loaded since."""
+        self._backoff = Backoff(rng)
+        self._accepted_models: tuple[str, ...] = ()
+        """Models of an accepted command that are not reported as loaded yet."""
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run until cancelled."""
         while True:
-            wait_seconds = _LOOK_SECONDS
+            wait_seconds = _POLL_INTERVAL_SECONDS
             try:
-                await self._look()
+                await self._poll()
             except PlatformError as error:
                 wait_seconds = self._backoff.wait_seconds(error)
-                _LOG.info('lease: no lease to order with: %s', error)
+                _LOG.info('lease: no lease for a load command: %s', error)
             await anyio.sleep(wait_seconds)
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         pool = self._pool()
         if pool is None or pool.pool_class is not PoolClass.MODEL:
             return
         missing = await self._missing(pool)
         if not missing:
-            self._ordered = ()
-        elif missing != self._ordered:
-            await self._order(pool, missing)
+            self._accepted_models = ()
+        elif missing != self._accepted_models:
+            await self._load(pool, missing)
 
     async def _missing(self, pool: Pool) -> tuple[str, ...]:
         loaded = await self._server.models()
@@ -100,32 +102,36 @@
             return ()
         return tuple(model for model in pool.models if model not in loaded)
 
-    async def _order(self, pool: Pool, models: tuple[str, ...]) -> None:
+    async def _load(self, pool: Pool, models: tuple[str, ...]) -> None:
         checks_fencing = self._server.name in pool.checks_fencing
         await self._keeper.acquire(checks_fencing=checks_fencing)
         self._backoff.reset()
-        # Another holder may have ordered the same while the lease was sought.
+        # Another holder may have loaded the models during the acquisition.
         if await self._missing(pool) != models:
             return
-        result = await self._send(models)
+        result = await self._send_command(models)
         _LOG.info(
-            'lease: order backend_server=%s fencing=%d models=%s result=%s',
+            'lease: load command backend_server=%s fencing=%d models=%s '
+            'result=%s',
             self._server.name,
-            self._keeper.lease.fencing,
+            self._keeper.lease.fencing_token,
             ','.join(models),
             result.name.lower(),
         )
         if result is OrderResult.ACCEPTED:
-            self._ordered = models
+            self._accepted_models = models
         elif result is OrderResult.OLD_NUMBER:
-            self._keeper.lease.superseded()
+            self._keeper.lease.mark_superseded()
 
-    async def _send(self, models: tuple[str, ...]) -> OrderResult:
+    async def _send_command(self, models: tuple[str, ...]) -> OrderResult:
         # The process may have been paused since the lease was acquired, and
-        # the order may be slow on its way: it is broken off with the lease.
+        # the command may be slow in transit: it is cancelled when the lease
+        # expires.
         lease = self._keeper.lease
         left_seconds = lease.seconds_left(anyio.current_time())
         if left_seconds > 0:
             with anyio.move_on_after(left_seconds):
-                return await self._server.load_models(lease.fencing, models)
+                return await self._server.load_models(
+                    lease.fencing_token, models
+                )
         return OrderResult.UNKNOWN
--- a/src/sardinetrack/lease/record.py
+++ b/src/sardinetrack/lease/record.py
@@ -10,21 +10,21 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """A lease as it stands in the platform.
+    """A lease as stored in the platform.
 
-    It names a duration and no time: clocks of different hosts are never
-    compared. The version of the object is the fencing number.
+    It has a duration and no timestamp: clocks of different hosts are never
+    compared. The version of the object is the fencing token.
     """
 
     holder: str
     """Instance and incarnation of the side that holds it."""
     term: int
-    """Counts the acquisitions."""
+    """Number of acquisitions so far."""
     duration_seconds: float
 
 
 def lease_key(pool: str, backend_server: str) -> str:
-    """Name the lease object of a backend server."""
+    """Return the key of a backend server's lease object."""
     return f'{LEASE_PREFIX}{pool}/{backend_server}'
 
 
@@ -34,7 +34,7 @@
 
 
 def read_lease(text: bytes) -> LeaseRecord | None:
-    """Decode a lease; ``None`` when it is none."""
+    """Decode a lease; ``None`` when the text is not a valid lease."""
     try:
         return msgspec.json.decode(text, type=LeaseRecord)
     except msgspec.DecodeError:
--- a/tests/lease/environment.py
+++ b/tests/lease/environment.py
@@ -1,4 +1,4 @@
-"""Make the shared pieces of the tests importable."""
+"""Make the helper modules of the tests importable."""
 
 from __future__ import annotations
 
--- a/tests/lease/order_run.py
+++ b/tests/lease/lease_simulation.py
@@ -1,4 +1,4 @@
-"""Two sides that order one server, with pauses, on virtual time."""
+"""Two sides that send commands to one server, with pauses, in virtual time."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from support.shaky_platform import Odds, Road, ShakyPlatform
 from support.virtual_time import run_virtually
 
-_SECONDS = 10.0
+_LEASE_SECONDS = 10.0
 _MARGIN_SECONDS = 2.0
-_LONGEST_SEND_SECONDS = 0.5
-"""A pause between check and send longer than the margin can't be met."""
+_MAX_SEND_SECONDS = 0.5
+"""A delay between check and send beyond the margin can't be detected."""
 
 
 @dataclass
-class OrderRun:
-    """One seed."""
+class LeaseSimulation:
+    """Simulates two sides with one seed."""
 
     seed: int
     checks: bool
     accepted: list[tuple[int, str]] = field(default_factory=list)
-    seen: Counter[str] = field(default_factory=Counter)
+    counts: Counter[str] = field(default_factory=Counter)
 
     async def run(self) -> None:
-        """Let both sides order for a while."""
-        self.chance = random.Random(self.seed)
+        """Let both sides send commands for 200 seconds."""
+        self.rng = random.Random(self.seed)
         self.fence = Fence(checks=self.checks)
         road = Road()
         async with anyio.create_task_group() as tasks:
@@ -44,7 +44,7 @@
                     late_write=0.1,
                     latency_seconds=0.1,
                 )
-                platform = ShakyPlatform(road, odds, self.chance, tasks)
+                platform = ShakyPlatform(road, odds, self.rng, tasks)
                 tasks.start_soon(self._side, name, platform)
             await anyio.sleep(200)
             tasks.cancel_scope.cancel()
@@ -52,7 +52,7 @@
     async def _side(self, name: str, platform: ShakyPlatform) -> None:
         lease = Lease(
             name,
-            duration_seconds=_SECONDS,
+            duration_seconds=_LEASE_SECONDS,
             margin_seconds=_MARGIN_SECONDS,
         )
         keeper = LeaseKeeper(platform, 'leases/p/s', lease)
@@ -60,27 +60,27 @@
             with suppress(PlatformError):
                 await keeper.acquire(checks_fencing=self.checks)
                 await self._pause()
-                await self._order(name, lease)
+                await self._send_command(name, lease)
             await self._pause()
 
-    async def _order(self, name: str, lease: Lease) -> None:
+    async def _send_command(self, name: str, lease: Lease) -> None:
         if lease.seconds_left(anyio.current_time()) <= 0:
-            self.seen['held back'] += 1
+            self.counts['commands withheld'] += 1
             return
-        await anyio.sleep(self.chance.uniform(0, _LONGEST_SEND_SECONDS))
-        if self.fence.admits(lease.fencing):
-            self.accepted.append((lease.fencing, name))
+        await anyio.sleep(self.rng.uniform(0, _MAX_SEND_SECONDS))
+        if self.fence.admits(lease.fencing_token):
+            self.accepted.append((lease.fencing_token, name))
         else:
-            self.seen['refused'] += 1
-            lease.superseded()
+            self.counts['refused'] += 1
+            lease.mark_superseded()
 
     async def _pause(self) -> None:
-        longest = self.chance.choice((0.1, 1, 30))
-        await anyio.sleep(self.chance.uniform(0, longest))
+        maximum = self.rng.choice((0.1, 1, 30))
+        await anyio.sleep(self.rng.uniform(0, maximum))
 
 
-def run_seed(seed: int, *, checks: bool) -> OrderRun:
-    """Run one seed on virtual time."""
-    run = OrderRun(seed, checks)
+def run_seed(seed: int, *, checks: bool) -> LeaseSimulation:
+    """Run one seed in virtual time."""
+    run = LeaseSimulation(seed, checks)
     run_virtually(run.run)
     return run
