--- a/src/sardinetrack/lease/keeper.py
+++ b/src/sardinetrack/lease/keeper.py
@@ -59,7 +59,7 @@
     async def _perform(self, step: Acquire | WaitForExpiry) -> None:
         if isinstance(step, WaitForExpiry):
             _LOG.info(
-                'lease: waiting for another holder to expire key=%s',
+                "lease: waiting for another holder's lease to expire key=%s",
                 self._key,
             )
             await anyio.sleep(step.seconds)
--- a/src/sardinetrack/routing/outcome_handler.py
+++ b/src/sardinetrack/routing/outcome_handler.py
@@ -97,9 +97,9 @@
         side = pool.sides.find(attempt.side)
         if attempt.suspect:
             # The side may have free slots for others and run another suspect.
-            queued.consecutive_refusals += 1
+            queued.suspect_refusals += 1
             delay = INITIAL_EXCLUSION_SECONDS * 2 ** (
-                queued.consecutive_refusals - 1
+                queued.suspect_refusals - 1
             )
             until = now + min(delay, MAX_EXCLUSION_SECONDS)
             queued.excluded_until[attempt.side] = until
--- a/src/sardinetrack/routing/queue.py
+++ b/src/sardinetrack/routing/queue.py
@@ -29,8 +29,8 @@
     """Sides at which it failed."""
     strike_number: int = 0
     """Number of the last strike sent for it; 0 for none."""
-    consecutive_refusals: int = 0
-    """While it was a suspect."""
+    suspect_refusals: int = 0
+    """Refusals by sides while it was a suspect."""
     excluded_until: dict[str, float] = field(default_factory=dict)
     """Sides that refused it as a suspect, with the end of their exclusion."""
     previous_error: ErrorKind | None = None
@@ -59,7 +59,7 @@
         self._queues: dict[str, _WorkspaceQueue] = {}
         self._workspaces: dict[str, str] = {}
         self._earliest_deadline_seconds = math.inf
-        """Lower bound of the queued requests' deadlines."""
+        """Lower bound of the queued requests' deadlines; may be too early."""
 
     def __len__(self) -> int:
         """Count all queued requests."""
