--- a/src/sardinetrack/entry/__init__.py
+++ b/src/sardinetrack/entry/__init__.py
@@ -1,3 +1,3 @@
-"""The entry daemon: callers on one side, peers on the other."""
+"""The entry daemon: the router process that callers connect to."""
 
 from __future__ import annotations
--- a/src/sardinetrack/entry/applications.py
+++ b/src/sardinetrack/entry/applications.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from sardinetrack.entry.operator import answer_failure
+from sardinetrack.entry.operator import respond_failure
 from sardinetrack.entry.status import EntryStatus
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
@@ -19,10 +19,13 @@
 
 
 class HttpApplication:
-    """Answers HTTP requests and refuses WebSockets."""
+    """Handles HTTP requests and rejects WebSockets."""
 
     def __init__(self, handle: Callable[[Exchange], Awaitable[None]]) -> None:
-        """Remember what answers a request."""
+        """Set the handler.
+
+        :param handle: responds to a request.
+        """
         self._handle = handle
 
     async def __call__(
@@ -31,7 +34,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope[_TYPE] == _HTTP:
             await self._handle(Exchange(scope, receive, send))
         else:
@@ -39,7 +42,7 @@
 
 
 class PeerApplication:
-    """What peers may call; nobody gets in without the secret."""
+    """The endpoint for peers; requests without the peer secret are rejected."""
 
     def __init__(
         self,
@@ -47,7 +50,6 @@
         acceptor: LinkAcceptor,
         status: Callable[[], EntryStatus],
     ) -> None:
-        """Remember the parts."""
         self._secret = secret
         self._acceptor = acceptor
         self._status = status
@@ -58,7 +60,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer one request or accept one link."""
+        """Handle one request or accept one link."""
         if scope[_TYPE] == _HTTP:
             await self._answer(Exchange(scope, receive, send))
         elif scope['path'] == LINK_PATH:
@@ -68,10 +70,10 @@
 
     async def _answer(self, exchange: Exchange) -> None:
         if not self._secret.matches(exchange.header(AUTHORIZATION_HEADER)):
-            await answer_failure(exchange, ErrorKind.PEER_REFUSED)
+            await respond_failure(exchange, ErrorKind.PEER_REFUSED)
         elif exchange.path != STATUS_PATH:
-            await answer_failure(exchange, ErrorKind.UNKNOWN_PATH)
+            await respond_failure(exchange, ErrorKind.UNKNOWN_PATH)
         elif exchange.method != 'GET':
-            await answer_failure(exchange, ErrorKind.METHOD_NOT_ALLOWED)
+            await respond_failure(exchange, ErrorKind.METHOD_NOT_ALLOWED)
         else:
             await exchange.answer_json(HTTPStatus.OK, self._status())
--- a/src/sardinetrack/entry/attempt.py
+++ b/src/sardinetrack/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at running a call: the order to a side and its answer."""
+"""One attempt at running a call: the run request to a side and its response."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from sardinetrack.entry.call import Call
 from sardinetrack.entry.caller import Caller
-from sardinetrack.entry.cut import cut
 from sardinetrack.entry.dispatcher import Dispatcher
-from sardinetrack.entry.fate import FateQuery
 from sardinetrack.entry.meters import Meter, meter_for
-from sardinetrack.entry.order import order_headers
-from sardinetrack.entry.relay import Relay
-from sardinetrack.entry.sides import KnownSide, Sides
-from sardinetrack.entry.silence import SilenceWatch
+from sardinetrack.entry.response_relay import ResponseRelay
+from sardinetrack.entry.run_request import run_request_headers
+from sardinetrack.entry.side_directory import SideDirectory, SideEndpoint
+from sardinetrack.entry.stall_detection import StallDetector
+from sardinetrack.entry.status_query import StatusQuery
+from sardinetrack.entry.truncation import truncate_response
 from sardinetrack.http.asgi import CallerGoneError
 from sardinetrack.http.client import BrokenError, NotSentError, StreamedReply
 from sardinetrack.links.run_reply import RunReply
@@ -25,14 +25,14 @@
 from sardinetrack.routing.api import AttemptEnd, Dispatch
 
 _LOG: Final = PartLogger(Part.ENTRY)
-_CUT_AFTER_SECONDS: Final = 1.0
+_TRUNCATE_AFTER_SECONDS: Final = 1.0
 _MARGIN_SECONDS: Final = 5.0
-"""The side ends a run by its own clock first."""
+"""The side's own limit on the run ends it first."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended and what it cost."""
+    """The outcome of an attempt and its cost."""
 
     end: AttemptEnd
     cost: float = 0
@@ -42,17 +42,16 @@
 
 
 class Attempt:
-    """Sends one order and relays its answer."""
+    """Sends one run request and relays its response."""
 
     def __init__(
         self,
         call: Call,
         dispatch: Dispatch,
         caller: Caller,
-        sides: Sides,
+        sides: SideDirectory,
         dispatcher: Dispatcher,
     ) -> None:
-        """Prepare the attempt."""
         self._call = call
         self._dispatch = dispatch
         self._caller = caller
@@ -60,43 +59,44 @@
         self._dispatcher = dispatcher
         self._began = dispatcher.clock()
         self._meter: Meter | None = None
-        self._relay: Relay | None = None
+        self._relay: ResponseRelay | None = None
 
     async def run(self) -> AttemptResult:
-        """Run to the end.
+        """Run the attempt to its end.
 
-        :return: the end; the caller has the whole answer when it is
-            ``WHOLE``, and maybe a part of it otherwise.
+        :return: the outcome; the caller has the complete response when it is
+            ``COMPLETED``, and possibly a part of it otherwise.
         """
         side = self._sides.find(self._dispatch.side)
         if side is None:
             return _NOT_STARTED
-        result = await self._watched(side)
+        result = await self._run_monitored(side)
         if result is not None:
             return result
-        end = await self._ask(side)
+        end = await self._query_outcome(side)
         return AttemptResult(end, self._cost())
 
-    async def _ask(self, side: KnownSide) -> AttemptEnd:
-        query = FateQuery(self._sides, side)
+    async def _query_outcome(self, side: SideEndpoint) -> AttemptEnd:
+        query = StatusQuery(self._sides, side)
         async with anyio.create_task_group() as tasks:
             if self._caller.started:
-                tasks.start_soon(self._cut_late)
-            end = await query.ask(self._dispatch, self._began)
+                tasks.start_soon(self._truncate_late)
+            end = await query.resolve(self._dispatch, self._began)
             tasks.cancel_scope.cancel()
         return end
 
-    async def _cut_late(self) -> None:
-        # The caller is told after the other entries know of a crash, but a
-        # side that can't be asked must not leave it with a silent stream.
-        await anyio.sleep(_CUT_AFTER_SECONDS)
+    async def _truncate_late(self) -> None:
+        # The caller gets the error after the other entries have received the
+        # strike of a crash. A side that does not respond to the status query
+        # must not leave the caller with a stalled stream.
+        await anyio.sleep(_TRUNCATE_AFTER_SECONDS)
         with anyio.CancelScope(shield=True):
-            await cut(self._call, self._caller)
+            await truncate_response(self._call, self._caller)
 
-    async def _watched(self, side: KnownSide) -> AttemptResult | None:
+    async def _run_monitored(self, side: SideEndpoint) -> AttemptResult | None:
         result: AttemptResult | None = None
         run_seconds = self._call.pool.max_run_seconds + _MARGIN_SECONDS
-        silence = SilenceWatch(
+        detector = StallDetector(
             self._sides,
             side,
             self._dispatch.attempt_id,
@@ -108,37 +108,39 @@
             scope.deadline = anyio.current_time() + (
                 run_seconds + self._dispatch.wait_seconds
             )
-            silence.start(tasks)
-            result = await self._exchange(side)
+            detector.start(tasks)
+            result = await self._send(side)
             scope.cancel()
         return result
 
-    async def _exchange(self, side: KnownSide) -> AttemptResult | None:
+    async def _send(self, side: SideEndpoint) -> AttemptResult | None:
         bids = self._dispatcher.routing.bids_for(side.name)
         try:
             async with self._sides.http.stream(
                 'POST',
                 side.url(RUN_PATH),
-                headers=order_headers(
+                headers=run_request_headers(
                     self._call, self._dispatch, side, self._sides, bids
                 ),
                 body=self._call.body,
             ) as reply:
-                return await self._read(reply)
+                return await self._handle_reply(reply)
         except NotSentError:
             return _NOT_STARTED
         except CallerGoneError:
             return AttemptResult(AttemptEnd.ABANDONED, self._cost())
         except BrokenError as error:
             _LOG.info(
-                'exchange broke',
+                'connection to the side broke',
                 attempt_id=self._dispatch.attempt_id,
                 side=side.name,
                 error=str(error),
             )
             return None
 
-    async def _read(self, streamed: StreamedReply) -> AttemptResult | None:
+    async def _handle_reply(
+        self, streamed: StreamedReply
+    ) -> AttemptResult | None:
         reply = RunReply(streamed)
         match reply.run_result.fate:
             case Fate.NOT_STARTED:
@@ -149,17 +151,17 @@
                 return AttemptResult(AttemptEnd.UNKNOWN)
             case Fate.UNKNOWN:
                 return None
-        await self._pass_on(reply)
+        await self._relay_response(reply)
         return AttemptResult(AttemptEnd.WHOLE, self._cost())
 
-    async def _pass_on(self, reply: RunReply) -> None:
+    async def _relay_response(self, reply: RunReply) -> None:
         self._meter = meter_for(
             self._call,
             reply.header('content-type') or '',
             self._dispatcher.clock,
             self._began,
         )
-        self._relay = Relay(
+        self._relay = ResponseRelay(
             self._call,
             self._caller,
             self._meter,
@@ -168,11 +170,11 @@
         await self._relay.run(reply)
 
     def _silent_seconds(self) -> float:
-        heard_at = self._relay.heard_at if self._relay else self._began
-        return anyio.current_time() - heard_at
+        received_at = self._relay.received_at if self._relay else self._began
+        return anyio.current_time() - received_at
 
     def _progress(self, cost: float) -> None:
-        self._dispatcher.progress(self._dispatch, cost)
+        self._dispatcher.attempt_progress(self._dispatch, cost)
 
     def _cost(self) -> float:
         return self._meter.cost() if self._meter else 0
--- a/src/sardinetrack/entry/tokens.py
+++ b/src/sardinetrack/entry/authentication.py
@@ -1,4 +1,4 @@
-"""Which workspace a caller's bearer token belongs to."""
+"""Authenticates callers by their bearer token."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 from sardinetrack.http.asgi import Exchange
 
 
-def authenticated(exchange: Exchange, catalogue: CatalogueView) -> Workspace:
-    """Look up the token's digest; the token itself is kept nowhere.
+def authenticate(exchange: Exchange, catalogue: CatalogueView) -> Workspace:
+    """Return the workspace of a caller's bearer token.
+
+    Only the token's digest is looked up; the token itself is not stored.
 
     :param exchange: a caller's request.
-    :param catalogue: the configuration in force.
+    :param catalogue: the active configuration.
     :return: the workspace.
     :raises AnsweredError: the token is missing or unknown, or there is no
-        configuration to know it from.
+        configuration to check it against.
     """
     token = _bearer_token(exchange.header('authorization') or '')
     digest = hashlib.sha256(token.encode('latin-1')).hexdigest()
@@ -25,13 +27,14 @@
     if not token:
         raise AnsweredError(ErrorKind.UNAUTHENTICATED)
     if workspace is None:
-        raise AnsweredError(_stranger(catalogue))
+        raise AnsweredError(_unknown_token_kind(catalogue))
     return workspace
 
 
-def _stranger(catalogue: CatalogueView) -> ErrorKind:
-    # An entry that started while the platform was down knows no token at all:
-    # "unknown" would be false, and no client comes back after it.
+def _unknown_token_kind(catalogue: CatalogueView) -> ErrorKind:
+    # An entry that started while the platform was down has no tokens yet.
+    # Calling the token unknown would be false, and clients do not retry after
+    # that error.
     if catalogue.revision:
         return ErrorKind.UNAUTHENTICATED
     return ErrorKind.NOT_RUN_NO_SERVER
--- a/src/sardinetrack/entry/bodies.py
+++ b/src/sardinetrack/entry/bodies.py
@@ -1,4 +1,4 @@
-"""Bounds the bytes of request bodies that an entry holds."""
+"""Limits the bytes of request bodies that an entry buffers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class BodyBudget:
-    """What all bodies may take, and what those of one workspace may.
+    """Limits on the bytes of all bodies and of each workspace's bodies.
 
-    Waiting work is bounded by its number; some hundred requests with the
-    largest bodies would still take all memory, and every caller with it.
+    The queue limits only the number of requests. A few hundred requests with
+    bodies of the maximum size would still exhaust the memory of the process and
+    so fail every caller.
     """
 
     def __init__(
@@ -24,45 +25,52 @@
         total_bytes: int = _TOTAL_BYTES,
         workspace_bytes: int = _WORKSPACE_BYTES,
     ) -> None:
-        """Start with nothing held."""
+        """Set the limits.
+
+        :param total_bytes: for the bodies of all workspaces together.
+        :param workspace_bytes: for the bodies of each workspace.
+        """
         self._total_bytes = total_bytes
         self._workspace_bytes = workspace_bytes
-        self._held: Counter[str] = Counter()
-        self.held_bytes = 0
+        self._reserved: Counter[str] = Counter()
+        self.reserved_bytes = 0
 
     def account(self, workspace: str) -> BodyAccount:
-        """Open the account of one request."""
+        """Return a new account for one request of a workspace."""
         return BodyAccount(self, workspace)
 
-    def change(self, workspace: str, size_bytes: int) -> None:
-        """Take or give back.
+    def adjust(self, workspace: str, size_bytes: int) -> None:
+        """Reserve or release bytes.
 
-        :param size_bytes: negative to give back.
-        :raises AnsweredError: more is taken than there is.
+        :param workspace: the workspace whose request they belong to.
+        :param size_bytes: negative to release.
+        :raises AnsweredError: the reservation would exceed a limit.
         """
-        total_bytes = self.held_bytes + size_bytes
-        own_bytes = self._held[workspace] + size_bytes
+        total_bytes = self.reserved_bytes + size_bytes
+        own_bytes = self._reserved[workspace] + size_bytes
         fits = total_bytes <= self._total_bytes
         if size_bytes > 0 and not (fits and own_bytes <= self._workspace_bytes):
-            raise AnsweredError(ErrorKind.QUEUE_FULL, 'too many bytes wait')
-        self.held_bytes = total_bytes
+            raise AnsweredError(
+                ErrorKind.QUEUE_FULL,
+                'too many bytes of request bodies are queued',
+            )
+        self.reserved_bytes = total_bytes
         if own_bytes:
-            self._held[workspace] = own_bytes
+            self._reserved[workspace] = own_bytes
         else:
-            self._held.pop(workspace, None)
+            self._reserved.pop(workspace, None)
 
 
 class BodyAccount:
-    """What one request holds; given back when the context ends."""
+    """The bytes that one request reserves; leaving the context frees them."""
 
     def __init__(self, budget: BodyBudget, workspace: str) -> None:
-        """Hold nothing yet."""
         self._budget = budget
         self._workspace = workspace
-        self._held_bytes = 0
+        self._reserved_bytes = 0
 
     def __enter__(self) -> Self:
-        """Use the account."""
+        """Return the account."""
         return self
 
     def __exit__(
@@ -71,13 +79,14 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Give everything back."""
-        self.hold(0)
+        """Release all bytes of the request."""
+        self.reserve(0)
 
-    def hold(self, size_bytes: int) -> None:
-        """Hold so much from now on.
+    def reserve(self, size_bytes: int) -> None:
+        """Set the number of reserved bytes.
 
-        :raises AnsweredError: there is not enough.
+        :param size_bytes: replaces what was reserved before.
+        :raises AnsweredError: the reservation would exceed a limit.
         """
-        self._budget.change(self._workspace, size_bytes - self._held_bytes)
-        self._held_bytes = size_bytes
+        self._budget.adjust(self._workspace, size_bytes - self._reserved_bytes)
+        self._reserved_bytes = size_bytes
--- a/src/sardinetrack/entry/call.py
+++ b/src/sardinetrack/entry/call.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way to a backend server."""
+"""A caller's request, checked and ready to be routed to a backend server."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """What is to be run, and for whom."""
+    """A checked request: its workspace, its pool and what the server runs."""
 
-    caller_id: str
-    """The request id that the caller knows."""
+    external_request_id: str
+    """The request id that the caller sent or received (``x-request-id``)."""
     work: Work
     workspace: Workspace
     pool: Pool
     method: str
     path: str
-    """Path and query at the backend server."""
+    """Path and query, as sent to the backend server."""
     headers: tuple[tuple[str, str], ...]
     body: bytes
     streams: bool
-    """The caller asked for server-sent events of a model."""
+    """Whether the caller requested a model response as server-sent events."""
     prompt_cost: float
     """Cost units of the prompt alone."""
     idempotency_key: str | None
--- a/src/sardinetrack/entry/caller.py
+++ b/src/sardinetrack/entry/caller.py
@@ -1,4 +1,4 @@
-"""The caller's end of an exchange: begin, pieces, end, vanishing."""
+"""Sends a response to a caller and watches for the caller's disconnect."""
 
 from __future__ import annotations
 
@@ -8,71 +8,76 @@
 
 import anyio
 
-from sardinetrack.entry.headers import Pairs
+from sardinetrack.entry.headers import HeaderList
 from sardinetrack.errors.api import AnsweredError
 from sardinetrack.http.asgi import CallerGoneError, Exchange
 
 TRANSPORT_STATE: Final = 'sardinetrack.transport'
-"""Where the protocol leaves its transport in the scope's state."""
-_LEAST_RATE_BYTES: Final = 16_384
+"""Key of the connection's transport in the ASGI scope's state."""
+_MIN_BYTES_PER_SECOND: Final = 16_384
 
 
 class Caller:
-    """Writes one answer to a caller, within bounds of time.
+    """Writes one response to a caller, within time limits.
 
-    A caller may block our sending for ``send_seconds`` in all, and longer by
-    what its bytes take at a least rate. A bound on each write alone would let
-    a reader that takes a byte at a time hold a server's slot for hours.
+    A caller may block sends for ``send_seconds`` in total, plus the time that
+    the bytes take at a minimum rate. With a limit on each write alone, a caller
+    that reads one byte at a time could occupy a server's slot for hours.
     """
 
     def __init__(self, exchange: Exchange, send_seconds: float) -> None:
-        """Wrap an exchange whose body has been read."""
+        """Wrap an HTTP exchange whose request body has been read.
+
+        :param exchange: the request, and where its response is written.
+        :param send_seconds: how long the caller may block sends in total.
+        """
         self._exchange = exchange
-        self._longest_seconds = send_seconds
-        self._patience_seconds = send_seconds
+        self._max_allowance_seconds = send_seconds
+        self._allowance_seconds = send_seconds
         self.started = False
         self.finished = False
-        self.is_cut = False
-        self.vanished = False
+        self.is_truncated = False
+        self.disconnected = False
 
-    async def begin(self, status: int, headers: Pairs) -> None:
+    async def begin(self, status: int, headers: HeaderList) -> None:
         """Send status and headers."""
         self.started = True
-        await self._bounded(self._exchange.start(status, headers), 0)
+        await self._send_within_limit(self._exchange.start(status, headers), 0)
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece of the body."""
-        await self._bounded(self._exchange.write(chunk), len(chunk))
+        """Send a chunk of the body."""
+        await self._send_within_limit(self._exchange.write(chunk), len(chunk))
 
     async def finish(self, chunk: bytes = b'') -> None:
-        """Send the last piece; the answer is whole."""
+        """Send the last chunk, which completes the response."""
         self.finished = True
-        await self._bounded(self._exchange.finish(chunk), len(chunk))
+        await self._send_within_limit(self._exchange.finish(chunk), len(chunk))
 
-    async def gone(self) -> None:
-        """Return when the caller closes before its answer is whole."""
+    async def wait_disconnected(self) -> None:
+        """Return if the caller disconnects before its response is complete."""
         await self._exchange.gone()
-        if self.finished or self.is_cut:
+        if self.finished or self.is_truncated:
             await anyio.sleep_forever()
-        self.vanished = True
+        self.disconnected = True
 
-    async def cut(self, last: bytes) -> None:
-        """Break an answer off that has begun.
+    async def truncate(self, last: bytes) -> None:
+        """Truncate a response that has started.
 
-        Without the terminal of its framing no client takes it for whole.
+        The connection is closed without the end marker of the HTTP framing, so
+        no client takes the response for complete.
 
-        :param last: an error in the answer's own protocol, or nothing.
+        :param last: an error in the response's own format, or empty.
         """
-        self.is_cut = True
+        self.is_truncated = True
         if last:
             await self.write(last)
         transport = self._transport()
         if transport is not None:
             transport.close()
 
-    def drop(self) -> None:
-        """Cut the connection at once; what is not sent yet is lost."""
-        self.vanished = True
+    def abort_connection(self) -> None:
+        """Abort the connection; unsent data is lost."""
+        self.disconnected = True
         transport = self._transport()
         if transport is not None:
             transport.abort()
@@ -82,42 +87,46 @@
         found: asyncio.Transport | None = state.get(TRANSPORT_STATE)
         return found
 
-    def _takes_at_once(self) -> bool:
-        # With nothing left to send the server never waits, so that the usual
-        # token needs no timer.
+    def _write_buffer_empty(self) -> bool:
+        # A write with an empty buffer never blocks, so a typical token needs
+        # no timer.
         transport = self._transport()
         return transport is not None and not transport.get_write_buffer_size()
 
-    async def _bounded(self, sending: Awaitable[None], size: int) -> None:
-        if self._takes_at_once():
+    async def _send_within_limit(
+        self, sending: Awaitable[None], size: int
+    ) -> None:
+        if self._write_buffer_empty():
             await sending
             return
         began = anyio.current_time()
-        allowed = self._patience_seconds + size / _LEAST_RATE_BYTES
+        allowed_seconds = self._allowance_seconds + size / _MIN_BYTES_PER_SECOND
         try:
-            with anyio.fail_after(allowed):
+            with anyio.fail_after(allowed_seconds):
                 await sending
         except TimeoutError as error:
-            self.drop()
+            self.abort_connection()
             raise CallerGoneError from error
-        left = allowed - (anyio.current_time() - began)
-        self._patience_seconds = min(left, self._longest_seconds)
+        remaining_seconds = allowed_seconds - (anyio.current_time() - began)
+        self._allowance_seconds = min(
+            remaining_seconds, self._max_allowance_seconds
+        )
 
 
-async def run_until_gone(
+async def run_until_disconnected(
     caller: Caller,
     job: Callable[[], Awaitable[None]],
 ) -> None:
-    """Run a job and cancel it when the caller vanishes.
+    """Run a job and cancel it when the caller disconnects.
 
-    :param caller: the caller that the job answers.
-    :param job: what to run.
-    :raises AnsweredError: the job raised it.
-    :raises CallerGoneError: the caller vanished first.
+    :param caller: the caller that the job responds to.
+    :param job: the coroutine function to run.
+    :raises AnsweredError: raised by the job.
+    :raises CallerGoneError: the caller disconnected first.
     """
     failure: AnsweredError | CallerGoneError | None = None
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_cancel_when_gone, caller, tasks.cancel_scope)
+        tasks.start_soon(_cancel_on_disconnect, caller, tasks.cancel_scope)
         try:
             await job()
         except (AnsweredError, CallerGoneError) as error:
@@ -125,10 +134,12 @@
         tasks.cancel_scope.cancel()
     if failure is not None:
         raise failure
-    if caller.vanished:
+    if caller.disconnected:
         raise CallerGoneError
 
 
-async def _cancel_when_gone(caller: Caller, scope: anyio.CancelScope) -> None:
-    await caller.gone()
+async def _cancel_on_disconnect(
+    caller: Caller, scope: anyio.CancelScope
+) -> None:
+    await caller.wait_disconnected()
     scope.cancel()
--- a/src/sardinetrack/entry/callers.py
+++ b/src/sardinetrack/entry/callers.py
@@ -6,24 +6,24 @@
 from typing import Final
 
 from sardinetrack.entry.applications import HttpApplication
-from sardinetrack.entry.border import CallerBorder
 from sardinetrack.entry.core import EntryCore
-from sardinetrack.entry.cost import LearnedCosts
+from sardinetrack.entry.cost import CostEstimates
 from sardinetrack.entry.keyed import KeyedRuns
 from sardinetrack.entry.protocol import caller_protocol
 from sardinetrack.entry.reader import CallReader
+from sardinetrack.entry.request_handler import CallerRequestHandler
 from sardinetrack.entry.runner import CallRunner
 from sardinetrack.http.guard import ServerBounds
 from sardinetrack.http.server import BoundServer, serving
 
 _UNBOUNDED: Final = 1_000_000
-"""The protocol bounds connections itself, with a clear answer."""
+"""The protocol limits connections itself, with a specific error response."""
 
 
 def serve_callers(core: EntryCore) -> AbstractAsyncContextManager[BoundServer]:
-    """Serve callers while the context lasts.
+    """Serve callers while the context is open.
 
-    :param core: the entry's objects.
+    :param core: the entry's components.
     :return: a context manager of the running server.
     """
     settings = core.parts.settings
@@ -43,14 +43,14 @@
     )
 
 
-def caller_border(core: EntryCore) -> CallerBorder:
-    """Build what answers callers, without its listener.
+def caller_border(core: EntryCore) -> CallerRequestHandler:
+    """Build the handler of callers' requests, without a listener.
 
-    :param core: the entry's objects.
-    :return: the border.
+    :param core: the entry's components.
+    :return: the handler.
     """
     bounds = core.parts.settings.bounds
-    costs = LearnedCosts()
+    costs = CostEstimates()
     runner = CallRunner(
         core.dispatcher,
         core.peers,
@@ -60,4 +60,6 @@
         bounds.send_seconds,
     )
     reader = CallReader(core.view, costs, bounds, core.dispatcher.clock)
-    return CallerBorder(core.view, reader, runner, core.gate, core.metrics)
+    return CallerRequestHandler(
+        core.view, reader, runner, core.gate, core.metrics
+    )
--- a/src/sardinetrack/entry/claims.py
+++ b/src/sardinetrack/entry/claims.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: one claim for each key, over the whole fleet."""
+"""Idempotency keys: one claim for each key, across the whole fleet."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """A request that wants to be the only one with its key."""
+    """Requests the exclusive right to run with an idempotency key."""
 
     workspace: str
     key: str
     request_hash: str
-    """Hash of what would run; a resend has the same one."""
+    """Hash of what would run; equal for a resend."""
     attempt_id: str
-    """Unique to this arrival; tells one's own claim from another's."""
+    """Unique to this arrival; distinguishes its own claim from another's."""
     settled_within_seconds: float
-    """After this time the request surely runs no longer."""
+    """After this time the request definitely no longer runs."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
     claim: ClaimRequest
     valid_until_seconds: float
-    """Nobody else can claim the key before; seconds since the epoch."""
+    """The key cannot be claimed again before; seconds since the epoch."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeLost:
-    """A request with this key may have run; nobody will ever know."""
+    """A request with this key may have run; its outcome is not known."""
 
 
 @dataclass(frozen=True, slots=True)
 class Mismatch:
-    """The key was used with another request."""
+    """The key was used with a different request."""
 
 
 ClaimAnswer = (
@@ -56,35 +56,39 @@
 
 
 class ClaimEnd(StrEnum):
-    """How a claimed request ended, when it may have run."""
+    """The outcome of a claimed request that may have run."""
 
     FINISHED = 'finished'
     UNKNOWN = 'unknown'
 
 
 class ClaimsDownError(Exception):
-    """Claims can't be written now; the request was not claimed."""
+    """Claims can't be written at present; the request was not claimed."""
 
     def __init__(self, retry_after_seconds: float | None = None) -> None:
-        """Remember when to come back."""
-        super().__init__('claims cannot be written')
+        """Set the delay.
+
+        :param retry_after_seconds: when the request is worth retrying; ``None``
+            if unknown.
+        """
+        super().__init__('the claim store is unavailable')
         self.retry_after_seconds = retry_after_seconds
 
 
 class Claims(ABC):
-    """The record of idempotency keys."""
+    """Stores the claims of idempotency keys."""
 
     @abstractmethod
     async def claim(self, request: ClaimRequest) -> ClaimAnswer:
         """Claim a key before its request is dispatched.
 
-        :raises ClaimsDownError: no answer can be had; nothing is claimed.
+        :raises ClaimsDownError: the store is unavailable; nothing is claimed.
         """
 
     @abstractmethod
     async def finish(self, claimed: Claimed, end: ClaimEnd) -> None:
-        """Record the end of a request that ran or may have run."""
+        """Record the outcome of a request that ran or may have run."""
 
     @abstractmethod
     async def release(self, claimed: Claimed) -> None:
-        """Forget the claim of a request that surely did not run."""
+        """Delete the claim of a request that definitely did not run."""
--- a/src/sardinetrack/entry/completions.py
+++ b/src/sardinetrack/entry/completions.py
@@ -1,4 +1,4 @@
-"""The chat completion request, as far as the entry reads it."""
+"""The chat completion request, as far as the entry parses it."""
 
 from __future__ import annotations
 
@@ -12,36 +12,38 @@
 
 _BYTES_PER_TOKEN: Final = 4
 _PREFIX_BYTES: Final = 1024
-_MOST_TOKENS: Final = 262_144
+_MAX_TOKENS: Final = 262_144
 _DETAIL_LENGTH: Final = 200
-_LONGEST_NAME: Final = 256
+_MAX_NAME_LENGTH: Final = 256
 
-_Count = Annotated[int, msgspec.Meta(ge=1, le=_MOST_TOKENS)]
+_Count = Annotated[int, msgspec.Meta(ge=1, le=_MAX_TOKENS)]
 
 
 class ChatCompletion(msgspec.Struct, frozen=True):
-    """The fields that matter to routing; the rest goes on unread."""
+    """The fields that routing uses; others are forwarded without parsing."""
 
-    model: Annotated[str, msgspec.Meta(min_length=1, max_length=_LONGEST_NAME)]
+    model: Annotated[
+        str, msgspec.Meta(min_length=1, max_length=_MAX_NAME_LENGTH)
+    ]
     messages: Annotated[list[msgspec.Raw], msgspec.Meta(min_length=1)]
     stream: bool | None = None
     max_tokens: _Count | None = None
     max_completion_tokens: _Count | None = None
 
     @property
-    def most_tokens(self) -> int | None:
-        """Bound on generated tokens, ``None`` when the caller set none."""
+    def max_output_tokens(self) -> int | None:
+        """Limit on generated tokens, ``None`` when the caller set none."""
         return self.max_completion_tokens or self.max_tokens
 
     @property
     def prompt_tokens(self) -> int:
-        """Rough size of the prompt."""
+        """Approximate size of the prompt, from its bytes."""
         size_bytes = sum(len(bytes(part)) for part in self.messages)
         return max(1, size_bytes // _BYTES_PER_TOKEN)
 
     @property
     def affinity(self) -> int:
-        """Hash of the prompt's beginning, for prefix caches."""
+        """Hash of the start of the prompt, for prefix caches."""
         start = b''.join(bytes(part) for part in self.messages)
         return xxhash.xxh64_intdigest(start[:_PREFIX_BYTES])
 
@@ -51,22 +53,22 @@
     completion_tokens: int = 0
 
 
-class _WithUsage(msgspec.Struct, frozen=True):
+class _ResponseUsage(msgspec.Struct, frozen=True):
     usage: _Usage | None = None
 
 
 _FIELDS: Final = msgspec.json.Decoder(dict[str, msgspec.Raw])
-_MANNER: Final = frozenset(('stream', 'stream_options'))
+_DELIVERY_FIELDS: Final = frozenset(('stream', 'stream_options'))
 _REQUESTS: Final = msgspec.json.Decoder(ChatCompletion)
-_ANSWERS: Final = msgspec.json.Decoder(_WithUsage)
+_RESPONSES: Final = msgspec.json.Decoder(_ResponseUsage)
 
 
 def parse_completion(body: bytes) -> ChatCompletion:
-    """Read and validate a request.
+    """Parse and validate a request.
 
     :param body: the caller's body.
-    :return: what it asks for.
-    :raises AnsweredError: it is no valid request.
+    :return: the parsed request.
+    :raises AnsweredError: the request is invalid.
     """
     try:
         return _REQUESTS.decode(body)
@@ -74,32 +76,36 @@
         detail = str(error)[:_DETAIL_LENGTH]
         raise AnsweredError(ErrorKind.BAD_REQUEST, detail) from error
     except (UnicodeDecodeError, RecursionError) as error:
-        raise AnsweredError(ErrorKind.BAD_REQUEST, 'no valid JSON') from error
+        raise AnsweredError(
+            ErrorKind.BAD_REQUEST, 'the body is not valid JSON'
+        ) from error
 
 
-def essence(body: bytes) -> bytes:
-    """Leave out of a request how its answer is to be delivered.
+def canonical_request(body: bytes) -> bytes:
+    """Remove the fields that only affect how the response is delivered.
 
-    A request that crashes servers does so streamed or not: told apart, the
-    two would take down two servers each.
+    A request that crashes servers does so streamed or not. If the two forms had
+    different fingerprints, each of them could crash two servers.
 
     :param body: a valid request.
-    :return: equal for requests that a backend server works on alike.
+    :return: equal for requests that are the same work for a backend server.
     """
     fields = _FIELDS.decode(body)
-    kept = {name: fields[name] for name in fields if name not in _MANNER}
+    kept = {
+        name: fields[name] for name in fields if name not in _DELIVERY_FIELDS
+    }
     return msgspec.json.encode(kept, order='sorted')
 
 
-def usage_cost(answer: bytes, prompt_token_cost: float) -> float | None:
-    """Read what an answer cost.
+def usage_cost(response: bytes, prompt_token_cost: float) -> float | None:
+    """Compute the cost of a response from its usage.
 
-    :param answer: a whole answer or the data of its last event.
+    :param response: a complete response or the data of its last event.
     :param prompt_token_cost: cost of a prompt token in generated tokens.
-    :return: cost units, ``None`` when the answer doesn't tell.
+    :return: cost units, ``None`` when the response has no usage.
     """
     try:
-        usage = _ANSWERS.decode(answer).usage
+        usage = _RESPONSES.decode(response).usage
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
     if usage is None:
@@ -113,8 +119,8 @@
     :param parts: pool, method, path and body.
     :return: hex text.
     """
-    whole = hashlib.sha256()
+    digest = hashlib.sha256()
     for part in parts:
-        whole.update(len(part).to_bytes(8, 'big'))
-        whole.update(part)
-    return whole.hexdigest()
+        digest.update(len(part).to_bytes(8, 'big'))
+        digest.update(part)
+    return digest.hexdigest()
--- a/src/sardinetrack/entry/control.py
+++ b/src/sardinetrack/entry/control.py
@@ -1,29 +1,35 @@
-"""The control links of an entry, and what it hears from the platform."""
+"""The control links of an entry, and its updates from the platform."""
 
 from __future__ import annotations
 
 from anyio.abc import TaskGroup
 
 from sardinetrack.entry.applications import PeerApplication
+from sardinetrack.entry.background_tasks import (
+    LinkInbox,
+    PlatformUpdates,
+    send_digests_periodically,
+    tick_periodically,
+)
 from sardinetrack.entry.core import EntryCore
-from sardinetrack.entry.loops import LinkInbox, PlatformNews, remind, tick
-from sardinetrack.entry.peers import PeerEvents
-from sardinetrack.entry.roster import Roster
+from sardinetrack.entry.peer_dialers import PeerDialers
+from sardinetrack.entry.peer_events import PeerEvents
 from sardinetrack.links.server import LinkAcceptor
 
 
 class Control:
-    """Connects the links and the platform's news with the core."""
+    """Connects the links and the platform feeds with the entry components."""
 
     def __init__(self, core: EntryCore, tasks: TaskGroup) -> None:
-        """Build the parts.
+        """Build the link handlers and the feeds.
 
-        :param tasks: runs them and the dialers.
+        :param core: the entry's components.
+        :param tasks: runs the feeds and the dialers.
         """
         self._core = core
         self._tasks = tasks
         self._inbox = LinkInbox()
-        roster = Roster(
+        dialers = PeerDialers(
             core.parts.hello(),
             core.parts.peer_secret,
             self._inbox.events,
@@ -31,11 +37,11 @@
         )
         self._events = PeerEvents(
             core.peers,
-            roster,
+            dialers,
             core.dispatcher,
-            core.exchange,
+            core.config_sync,
         )
-        self._news = PlatformNews(
+        self._updates = PlatformUpdates(
             core.parts.platform,
             core.parts.settings.platform.watch_seconds,
         )
@@ -43,12 +49,14 @@
     def start(self) -> None:
         """Start all tasks."""
         self._tasks.start_soon(self._inbox.deliver, self._events)
-        self._tasks.start_soon(tick, self._core.dispatcher)
-        self._tasks.start_soon(remind, self._core.exchange)
-        self._news.start(self._tasks, self._core.exchange, self._events)
+        self._tasks.start_soon(tick_periodically, self._core.dispatcher)
+        self._tasks.start_soon(
+            send_digests_periodically, self._core.config_sync
+        )
+        self._updates.start(self._tasks, self._core.config_sync, self._events)
 
     def peer_application(self) -> PeerApplication:
-        """Build what other entries may call."""
+        """Build the endpoint for peers."""
         secret = self._core.parts.peer_secret
         acceptor = LinkAcceptor(
             self._core.parts.hello(),
--- a/src/sardinetrack/entry/core.py
+++ b/src/sardinetrack/entry/core.py
@@ -1,12 +1,12 @@
-"""The objects of an entry that its listeners and tasks share."""
+"""The components that the listeners and tasks of an entry share."""
 
 from __future__ import annotations
 
 from sardinetrack.catalogue.view import CatalogueView
-from sardinetrack.entry.configuration import ConfigExchange
+from sardinetrack.entry.config_sync import ConfigSync
 from sardinetrack.entry.dispatcher import Dispatcher
-from sardinetrack.entry.gate import Gate
-from sardinetrack.entry.linked import LinkedPeers
+from sardinetrack.entry.drain_gate import DrainGate
+from sardinetrack.entry.linked_peers import LinkedPeers
 from sardinetrack.entry.metrics import EntryMetrics
 from sardinetrack.entry.parts import EntryParts
 from sardinetrack.entry.status import StatusReader
@@ -14,15 +14,19 @@
 
 
 class EntryCore:
-    """Everything is used on the event loop only, between two awaits."""
+    """Builds and connects the components of an entry.
+
+    All of them are used on the event loop only, between two awaits.
+    """
 
     def __init__(self, parts: EntryParts, http: HttpClient) -> None:
-        """Connect the objects.
+        """Build the components.
 
-        :param http: calls sides.
+        :param parts: settings and collaborators of the entry.
+        :param http: the client for requests to sides.
         """
         self.parts = parts
-        self.gate = Gate()
+        self.gate = DrainGate()
         self.view = CatalogueView()
         self.peers = LinkedPeers(
             parts.settings.instance,
@@ -31,14 +35,14 @@
         )
         self.metrics = EntryMetrics()
         self.dispatcher = Dispatcher(parts.routing, self.peers, self.metrics)
-        self.metrics.watch(
+        self.metrics.set_gauges(
             self.dispatcher.open_requests,
             self.peers.count_links,
         )
-        self.exchange = ConfigExchange(self.view, self.dispatcher, self.peers)
+        self.config_sync = ConfigSync(self.view, self.dispatcher, self.peers)
         self.status = StatusReader(
             parts.hello(),
-            self.exchange,
+            self.config_sync,
             self.dispatcher,
             self.peers,
             self.gate,
--- a/src/sardinetrack/entry/daemon.py
+++ b/src/sardinetrack/entry/daemon.py
@@ -24,10 +24,13 @@
 
 
 class Entry(ServingDaemon):
-    """Serves while the context lasts; ``run`` returns after a drain."""
+    """Serves while the context is open; ``run`` returns after a drain."""
 
     def __init__(self, parts: EntryParts) -> None:
-        """Prepare an entry; entering the context starts it."""
+        """Store the dependencies; entering the context starts the entry.
+
+        :param parts: settings and collaborators of the entry.
+        """
         super().__init__()
         self._parts = parts
         self.core: EntryCore
@@ -36,22 +39,25 @@
         self.operator: BoundServer
 
     async def drain(self) -> None:
-        """Let the balancer look away, finish what is in progress, close.
+        """Wait for the load balancer and for requests in progress, then close.
 
-        Bounded by the settings: what runs longer is cut off.
+        Requests that run longer than the configured time are interrupted.
         """
         gate = self.core.gate
-        gate.leave()
+        gate.begin_shutdown()
         _LOG.info('draining', requests=gate.inside)
-        # A listener that closed before the balancer has noticed would turn
-        # new callers away with a reset instead of an answer.
+        # If the listener closed before the load balancer has noticed, new
+        # callers would get a connection reset instead of a response.
         await anyio.sleep(self._parts.balancer_seconds)
-        gate.shut()
+        gate.stop_accepting()
         with anyio.move_on_after(self._parts.settings.drain_seconds):
-            await gate.empty()
-        gate.close()
+            await gate.wait_idle()
+        gate.end_drain()
         if gate.inside:
-            _LOG.error('drain took too long', cut=gate.inside)
+            _LOG.error(
+                'drain timed out; interrupting the requests in progress',
+                cut=gate.inside,
+            )
         await self._end()
 
     async def _open(self, stack: AsyncExitStack) -> None:
--- a/src/sardinetrack/entry/log.py
+++ b/src/sardinetrack/entry/decision_log.py
@@ -1,10 +1,10 @@
-"""The decision lines of an entry."""
+"""Logs the routing decisions of an entry."""
 
 from __future__ import annotations
 
 from typing import Final
 
-from sardinetrack.entry.ticket import Ticket
+from sardinetrack.entry.pending_request import PendingRequest
 from sardinetrack.logs.lines import DecisionRecord, Part, PartLogger
 from sardinetrack.routing.api import AttemptEnd, Dispatch, Held, Reject
 
@@ -12,12 +12,14 @@
 _DIGITS: Final = 3
 
 
-def log_dispatch(ticket: Ticket, dispatch: Dispatch, server: str) -> None:
-    """Write where a request goes.
+def log_dispatch(
+    pending: PendingRequest, dispatch: Dispatch, server: str
+) -> None:
+    """Log where a request is sent.
 
-    :param server: the backend server.
+    :param server: name of the backend server.
     """
-    work = ticket.work
+    work = pending.work
     _LOG.decision(
         'dispatch',
         DecisionRecord(
@@ -27,31 +29,31 @@
             backend_server=server,
             reason=dispatch.reason,
             attempt_id=dispatch.attempt_id,
-            waited_seconds=round(ticket.age_seconds(), _DIGITS),
+            waited_seconds=round(pending.age_seconds(), _DIGITS),
             suspect=dispatch.suspect,
         ),
     )
 
 
-def log_held(ticket: Ticket, held: Held) -> None:
-    """Write why a request still waits."""
-    work = ticket.work
+def log_wait(pending: PendingRequest, notice: Held) -> None:
+    """Log why a request still waits."""
+    work = pending.work
     _LOG.info(
         'still waiting',
         request_id=work.request_id,
         workspace=work.workspace,
         pool=work.pool,
-        reason=held.reason.value,
-        avoided=','.join(held.avoided),
-        waits_for=','.join(held.waits_for),
-        slots=held.slots,
-        waited_seconds=round(ticket.age_seconds(), _DIGITS),
+        reason=notice.reason.value,
+        avoided=','.join(notice.avoided),
+        waits_for=','.join(notice.waits_for),
+        slots=notice.slots,
+        waited_seconds=round(pending.age_seconds(), _DIGITS),
     )
 
 
-def log_reject(ticket: Ticket, reject: Reject) -> None:
-    """Write that a request gets an error."""
-    work = ticket.work
+def log_reject(pending: PendingRequest, reject: Reject) -> None:
+    """Log that a request gets an error response."""
+    work = pending.work
     reason = reject.kind.value
     _LOG.decision(
         'reject',
@@ -61,7 +63,7 @@
             pool=work.pool,
             backend_server='',
             reason=f'{reason}: {reject.detail}' if reject.detail else reason,
-            waited_seconds=round(ticket.age_seconds(), _DIGITS),
+            waited_seconds=round(pending.age_seconds(), _DIGITS),
         ),
     )
 
@@ -72,9 +74,9 @@
     server: str,
     cost: float,
 ) -> None:
-    """Write how an attempt ended.
+    """Log the outcome of an attempt.
 
-    :param server: the backend server.
+    :param server: name of the backend server.
     """
     _LOG.info(
         'attempt ended',
--- a/src/sardinetrack/entry/dispatcher.py
+++ b/src/sardinetrack/entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""The one owner of the entry's routing decisions."""
+"""The single owner of the routing policy of an entry."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 import anyio
 
-from sardinetrack.entry.log import (
+from sardinetrack.entry.decision_log import (
     log_dispatch,
     log_end,
-    log_held,
     log_reject,
+    log_wait,
 )
 from sardinetrack.entry.metrics import EntryMetrics
-from sardinetrack.entry.ticket import Ticket
+from sardinetrack.entry.pending_request import PendingRequest
 from sardinetrack.messages.api import Bids, Decline, ServiceReport, Strike
 from sardinetrack.routing.api import (
     AttemptEnd,
@@ -34,15 +34,15 @@
 
 
 class Outbox(ABC):
-    """Where messages of the decisions go; posting never blocks."""
+    """Sends the messages of the routing policy; posting never blocks."""
 
     @abstractmethod
     def backend_server(self, side: str) -> str:
-        """Name the backend server of a linked side, for the log."""
+        """Return the name of a linked side's backend server, for the log."""
 
     @abstractmethod
     def to_side(self, side: str, message: Bids | Decline) -> None:
-        """Post to the link of a side; dropped when it is down."""
+        """Post to the link of a side; dropped when the link is down."""
 
     @abstractmethod
     def to_entries(self, message: ServiceReport | Strike) -> None:
@@ -50,12 +50,13 @@
 
 
 class Dispatcher:
-    """Feeds events to the routing decisions and carries out their effects.
+    """Passes events to the routing policy and applies the resulting effects.
 
     All methods are plain functions, called on the event loop. Nothing is
-    awaited between a change of the decisions' state and its effects, so no
-    other task can see one without the other, and messages leave in the order
-    of the decisions. Effects only post to streams; none calls back in.
+    awaited between a change of the policy's state and its effects, so no other
+    task can observe one without the other, and messages are sent in the order
+    of the decisions. Effects only post to streams; none of them calls the
+    dispatcher.
     """
 
     def __init__(
@@ -65,40 +66,43 @@
         metrics: EntryMetrics,
         clock: Callable[[], float] = anyio.current_time,
     ) -> None:
-        """Own the decisions.
+        """Set the policy and the receivers of its effects.
 
+        :param routing: the routing policy of this entry.
+        :param outbox: sends messages to peers.
+        :param metrics: counts the decisions.
         :param clock: monotonic seconds.
         """
         self.routing = routing
         self.clock = clock
         self._outbox = outbox
         self._metrics = metrics
-        self._tickets: dict[str, Ticket] = {}
+        self._pending: dict[str, PendingRequest] = {}
 
     def open_requests(self) -> int:
         """Count the requests that wait or run."""
-        return len(self._tickets)
+        return len(self._pending)
 
-    def tickets(self) -> tuple[Ticket, ...]:
-        """List the requests that wait or run."""
-        return tuple(self._tickets.values())
+    def pending_requests(self) -> tuple[PendingRequest, ...]:
+        """Return the requests that wait or run."""
+        return tuple(self._pending.values())
 
     @contextmanager
-    def submitted(self, work: Work) -> Iterator[Ticket]:
-        """Hand in a request; on leaving it is forgotten.
+    def submitted(self, work: Work) -> Iterator[PendingRequest]:
+        """Submit a request to the routing policy while the context is open.
 
         :param work: the request; its id is unique at this entry.
-        :return: the ticket that receives the decisions about it.
+        :return: receives the decisions about the request.
         """
-        ticket = Ticket(work)
-        self._tickets[work.request_id] = ticket
+        pending = PendingRequest(work)
+        self._pending[work.request_id] = pending
         try:
-            self.carry_out(self.routing.submit(self.clock(), work))
-            yield ticket
+            self.apply_effects(self.routing.submit(self.clock(), work))
+            yield pending
         finally:
-            self._forget(ticket)
+            self._forget(pending)
 
-    def ended(
+    def attempt_ended(
         self,
         dispatch: Dispatch,
         end: AttemptEnd,
@@ -106,14 +110,14 @@
         cost: float = 0,
         answered: bool = False,
     ) -> None:
-        """Settle an attempt; a new decision may go to the ticket."""
-        ticket = self._tickets.get(dispatch.request_id)
-        if ticket is not None:
-            ticket.settled(dispatch)
-            self._metrics.ended(ticket.work.pool, end, cost)
+        """Report the end of an attempt; a new decision may follow."""
+        pending = self._pending.get(dispatch.request_id)
+        if pending is not None:
+            pending.close_attempt(dispatch)
+            self._metrics.count_attempt(pending.work.pool, end, cost)
         server = self._outbox.backend_server(dispatch.side)
         log_end(dispatch, end, server, cost)
-        self.carry_out(
+        self.apply_effects(
             self.routing.ended(
                 self.clock(),
                 dispatch.attempt_id,
@@ -123,22 +127,24 @@
             ),
         )
 
-    def progress(self, dispatch: Dispatch, cost: float) -> None:
-        """True up the charge of a running attempt."""
+    def attempt_progress(self, dispatch: Dispatch, cost: float) -> None:
+        """Update the charge of a running attempt to its cost so far."""
         now = self.clock()
-        self.carry_out(self.routing.progress(now, dispatch.attempt_id, cost))
+        self.apply_effects(
+            self.routing.progress(now, dispatch.attempt_id, cost)
+        )
 
     def tick(self) -> None:
         """Expire deadlines; send bids and reports that are due."""
-        self.carry_out(self.routing.tick(self.clock()))
+        self.apply_effects(self.routing.tick(self.clock()))
 
-    def carry_out(self, effects: Effects) -> None:
-        """Carry out effects at once and in order."""
+    def apply_effects(self, effects: Effects) -> None:
+        """Apply effects immediately and in order."""
         pending = deque(effects)
         while pending:
-            pending.extend(self._one(pending.popleft()))
+            pending.extend(self._apply(pending.popleft()))
 
-    def _one(self, effect: EntryEffect) -> Effects:
+    def _apply(self, effect: EntryEffect) -> Effects:
         match effect:
             case Dispatch():
                 return self._dispatch(effect)
@@ -149,12 +155,12 @@
             case SendToEntries():
                 self._outbox.to_entries(effect.message)
             case Held():
-                self._held(effect)
+                self._report_wait(effect)
         return ()
 
     def _dispatch(self, dispatch: Dispatch) -> Effects:
-        ticket = self._tickets.get(dispatch.request_id)
-        if ticket is None:
+        pending = self._pending.get(dispatch.request_id)
+        if pending is None:
             return self.routing.ended(
                 self.clock(),
                 dispatch.attempt_id,
@@ -163,34 +169,35 @@
                 answered=False,
             )
         server = self._outbox.backend_server(dispatch.side)
-        log_dispatch(ticket, dispatch, server)
-        ticket.decide(dispatch)
+        log_dispatch(pending, dispatch, server)
+        pending.deliver(dispatch)
         return ()
 
     def _reject(self, reject: Reject) -> Effects:
-        ticket = self._tickets.get(reject.request_id)
-        if ticket is None:
+        pending = self._pending.get(reject.request_id)
+        if pending is None:
             return ()
         if reject.strike:
             return self.routing.answer(self.clock(), reject)
-        log_reject(ticket, reject)
-        ticket.decide(reject)
+        log_reject(pending, reject)
+        pending.deliver(reject)
         return ()
 
-    def _held(self, held: Held) -> None:
-        ticket = self._tickets.get(held.request_id)
-        if ticket is None:
+    def _report_wait(self, notice: Held) -> None:
+        pending = self._pending.get(notice.request_id)
+        if pending is None:
             return
-        log_held(ticket, held)
-        self._metrics.held(ticket.work.pool, held.reason)
-
-    def _forget(self, ticket: Ticket) -> None:
-        # A dispatch that was decided but never settled would hold its slot
-        # and charge for ever: its task was cancelled by a vanished caller.
-        for dispatch in ticket.unsettled():
-            self.ended(dispatch, AttemptEnd.ABANDONED)
-        request_id = ticket.work.request_id
-        self._tickets.pop(request_id, None)
-        if not ticket.over:
-            self.carry_out(self.routing.cancel(self.clock(), request_id))
-        ticket.close()
+        log_wait(pending, notice)
+        self._metrics.count_wait(pending.work.pool, notice.reason)
+
+    def _forget(self, pending: PendingRequest) -> None:
+        # A dispatch whose attempt is not reported as ended, because the
+        # caller's disconnect cancelled its task, would occupy its slot and be
+        # charged indefinitely.
+        for dispatch in pending.open_attempts():
+            self.attempt_ended(dispatch, AttemptEnd.ABANDONED)
+        request_id = pending.work.request_id
+        self._pending.pop(request_id, None)
+        if not pending.finished:
+            self.apply_effects(self.routing.cancel(self.clock(), request_id))
+        pending.close()
--- a/src/sardinetrack/entry/gate.py
+++ b/src/sardinetrack/entry/drain_gate.py
@@ -1,4 +1,4 @@
-"""Counts the requests in progress and shuts the door for a drain."""
+"""Counts the requests in progress and rejects new ones during a drain."""
 
 from __future__ import annotations
 
@@ -11,43 +11,46 @@
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 
 
-class Gate:
-    """Where a caller's request enters."""
+class DrainGate:
+    """The entry's shutdown state, checked for each caller's request."""
 
     def __init__(self) -> None:
-        """Start open and empty."""
         self.inside = 0
         self._chart = DRAIN.start()
-        self._empty = anyio.Event()
+        self._idle = anyio.Event()
         self._changed_at = anyio.current_time()
 
     @property
     def state(self) -> DrainState:
-        """How far the shutdown is."""
+        """The state of the shutdown."""
         return self._chart.state
 
     def state_seconds(self) -> float:
-        """Tell for how long the shutdown has been that far."""
+        """Return the time since the last change of state."""
         return anyio.current_time() - self._changed_at
 
     @property
-    def open(self) -> bool:
-        """Whether requests are let in."""
+    def accepts_requests(self) -> bool:
+        """Whether new requests are accepted."""
         state = self._chart.state
         return state in {DrainState.SERVING, DrainState.LEAVING}
 
     @property
     def draining(self) -> bool:
-        """Not ready any more; still open until the balancer has noticed."""
+        """Whether a shutdown has started.
+
+        The instance is no longer ready, but still accepts requests until the
+        load balancer has noticed.
+        """
         return self._chart.state is not DrainState.SERVING
 
     @contextmanager
-    def passed(self) -> Iterator[None]:
-        """Let a request in for as long as the context lasts.
+    def admitted(self) -> Iterator[None]:
+        """Count a request as in progress while the context is open.
 
-        :raises AnsweredError: the gate is shut.
+        :raises AnsweredError: new requests are rejected.
         """
-        if not self.open:
+        if not self.accepts_requests:
             raise AnsweredError(ErrorKind.NOT_RUN_DRAINING)
         self.inside += 1
         try:
@@ -55,19 +58,19 @@
         finally:
             self.inside -= 1
             if not self.inside:
-                self._empty.set()
-                self._empty = anyio.Event()
+                self._idle.set()
+                self._idle = anyio.Event()
 
-    def leave(self) -> None:
-        """Be ready no longer."""
+    def begin_shutdown(self) -> None:
+        """Start the shutdown: the instance is no longer ready."""
         self._fire(DrainEvent.DRAIN)
 
-    def shut(self) -> None:
-        """Refuse requests from now on."""
+    def stop_accepting(self) -> None:
+        """Reject new requests from now on."""
         self._fire(DrainEvent.SHUT)
 
-    def close(self) -> None:
-        """Note that the wait for the last request is over."""
+    def end_drain(self) -> None:
+        """End the wait for requests in progress."""
         late = self.inside > 0
         self._fire(DrainEvent.DEADLINE if late else DrainEvent.IDLE)
 
@@ -75,7 +78,7 @@
         self._chart.fire(event)
         self._changed_at = anyio.current_time()
 
-    async def empty(self) -> None:
-        """Return when no request is inside."""
+    async def wait_idle(self) -> None:
+        """Return when no request is in progress."""
         while self.inside:
-            await self._empty.wait()
+            await self._idle.wait()
--- a/src/sardinetrack/entry/headers.py
+++ b/src/sardinetrack/entry/headers.py
@@ -1,4 +1,4 @@
-"""Which headers travel on, and which belong to one hop."""
+"""Selects the end-to-end headers of forwarded requests and responses."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 from typing import Final
 
-from sardinetrack.entry.answers import REQUEST_ID_HEADER
+from sardinetrack.entry.error_responses import REQUEST_ID_HEADER
 
-Pairs = list[tuple[str, str]]
+HeaderList = list[tuple[str, str]]
 
 _HOP_BY_HOP: Final = frozenset(
     (
@@ -32,13 +32,16 @@
 _CONNECTION: Final = 'connection'
 
 
-def forwarded_request(pairs: Pairs, request_id: str) -> Pairs:
-    """Choose the caller's headers that the backend server receives.
+def request_headers_to_forward(
+    pairs: HeaderList, request_id: str
+) -> HeaderList:
+    """Select the caller's headers that the backend server receives.
 
-    The bearer token stays here: it is a secret between the caller and us.
+    The bearer token is dropped: it is a secret between the caller and the
+    entry.
 
     :param pairs: the caller's headers.
-    :param request_id: sent on, so that the server's logs can be matched.
+    :param request_id: sent to the server, so that its logs can be correlated.
     :return: the headers to send.
     """
     kept = [pair for pair in _end_to_end(pairs) if pair[0] not in _REQUEST_ONLY]
@@ -46,10 +49,10 @@
     return kept
 
 
-def forwarded_answer(pairs: Iterable[tuple[str, str]]) -> Pairs:
-    """Choose the backend server's headers that the caller receives.
+def response_headers_to_forward(pairs: Iterable[tuple[str, str]]) -> HeaderList:
+    """Select the backend server's headers that the caller receives.
 
-    :param pairs: the headers of the side's answer.
+    :param pairs: the headers of the side's response.
     :return: the headers to send.
     """
     return [
@@ -60,17 +63,17 @@
 
 
 def caller_request_id(given: str | None) -> str:
-    """Take the caller's own request id, or make one.
+    """Return the caller's request id if it is safe to use, else a new one.
 
-    :param given: the caller's header.
-    :return: a bounded id without special characters.
+    :param given: the value of the caller's ``x-request-id`` header.
+    :return: an id of at most 128 letters, digits and ``._:-``.
     """
     if given is not None and _REQUEST_ID.fullmatch(given):
         return given
     return uuid.uuid4().hex
 
 
-def _end_to_end(pairs: Pairs) -> Pairs:
+def _end_to_end(pairs: HeaderList) -> HeaderList:
     dropped = _HOP_BY_HOP | _named_by_connection(pairs)
     return [
         pair
@@ -79,10 +82,10 @@
     ]
 
 
-def _named_by_connection(pairs: Pairs) -> set[str]:
+def _named_by_connection(pairs: HeaderList) -> set[str]:
     named: set[str] = set()
     for name, text in pairs:
         if name == _CONNECTION:
             named.update(word.strip().lower() for word in text.split(','))
-    # A client must not make us drop a header that frames the message.
+    # A caller must not be able to remove a header that frames the message.
     return named - {'content-length', 'content-type', 'host'}
--- a/src/sardinetrack/entry/heads.py
+++ b/src/sardinetrack/entry/heads.py
@@ -1,4 +1,4 @@
-"""Checks of a request's head: its size, and that it has one meaning."""
+"""Checks the head of a request: its size and unambiguous framing."""
 
 from __future__ import annotations
 
@@ -25,31 +25,36 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadBounds:
-    """What one connection may make the listener hold, and for how long."""
+    """Limits on the size of a request head and on the time to read it."""
 
     max_bytes: int = _MAX_HEAD_BYTES
     max_headers: int = _MAX_HEADERS
     head_seconds: float = 10.0
-    """From the first byte, or the connection's begin, to the head's end."""
+    """Time from the connection's start, or the head's first byte, to the head's
+    end."""
     linger_seconds: float = 2.0
-    """How long a body is thrown away after an early answer."""
+    """How long the rest of a body is read and discarded after an early
+    response."""
 
     def check_size(self, size_bytes: int, headers: int) -> None:
-        """Refuse a head that is too large.
+        """Check the size of a head.
 
-        :raises AnsweredError: it is.
+        :param size_bytes: bytes of all header names and values.
+        :param headers: number of headers.
+        :raises AnsweredError: the head exceeds a limit.
         """
         if size_bytes > self.max_bytes or headers > self.max_headers:
             raise AnsweredError(ErrorKind.HEADERS_TOO_LARGE)
 
 
 def check_head(headers: Sequence[tuple[bytes, bytes]]) -> None:
-    """Refuse a head that two readers could frame differently.
+    """Check that two HTTP parsers would frame a request alike.
 
-    A balancer in front that believes another length than we do would take
-    the rest of one caller's body for the next caller's request.
+    A load balancer that derives another body length than this parser would
+    treat the rest of one caller's body as the next caller's request (request
+    smuggling).
 
-    :param headers: names in lower case and texts.
+    :param headers: pairs of lower-case name and value.
     :raises AnsweredError: the head is ambiguous.
     """
     counts = Counter(name for name, _ in headers)
@@ -62,7 +67,7 @@
     if counts[_LENGTH] and counts[_CODING]:
         raise AnsweredError(
             ErrorKind.BAD_REQUEST,
-            'both content-length and transfer-encoding are given',
+            'content-length and transfer-encoding are mutually exclusive',
         )
     codings = (text.lower() for name, text in headers if name == _CODING)
     if any(coding != b'chunked' for coding in codings):
--- a/src/sardinetrack/entry/history.py
+++ b/src/sardinetrack/entry/history.py
@@ -1,4 +1,4 @@
-"""What the attempts of one request tell about whether it ran."""
+"""Whether a request may have run, derived from all its attempts."""
 
 from __future__ import annotations
 
@@ -10,38 +10,39 @@
 
 
 class RunHistory:
-    """Keeps "not run" true over all attempts of a request."""
+    """Ensures that "not run" is true of all attempts of a request."""
 
-    def __init__(self, note_may_have_run: Callable[[bool], None]) -> None:
-        """Start with no attempt.
+    def __init__(self, on_may_have_run: Callable[[bool], None]) -> None:
+        """Start without attempts.
 
-        :param note_may_have_run: told each time the knowledge changes.
+        :param on_may_have_run: called before and after each attempt with
+            whether the request may have run.
         """
-        self._note = note_may_have_run
+        self._on_change = on_may_have_run
         self._ran = False
         self._unknown = False
 
-    def begins(self) -> None:
-        """Note that an order is about to leave."""
-        self._note(True)
+    def attempt_started(self) -> None:
+        """Record that a run request is about to be sent."""
+        self._on_change(True)
 
-    def ended(self, end: AttemptEnd) -> None:
-        """Note how an attempt ended."""
+    def attempt_ended(self, end: AttemptEnd) -> None:
+        """Record the outcome of an attempt."""
         if end is AttemptEnd.UNKNOWN:
             self._unknown = True
         elif end is not AttemptEnd.NOT_STARTED:
             self._ran = True
-        self._note(self._ran or self._unknown)
+        self._on_change(self._ran or self._unknown)
 
     def failure(self, reject: Reject) -> AnsweredError:
-        """Turn the final decision into the caller's error.
+        """Convert the final decision to the caller's error.
 
-        A repeatable request may have run on one server and then wait in vain
-        for the next one: the decision is then "not run" for the last attempt
-        alone, and the caller would be told a falsehood about the first.
+        A repeatable request may have run on one server and then reached its
+        deadline while it waited for another one. The decision "not run" is then
+        true of the last attempt only and would be false for the request.
 
         :param reject: the decision.
-        :return: the error to answer with.
+        :return: the error to respond with.
         """
         return AnsweredError(
             self._true_kind(reject.kind),
--- a/src/sardinetrack/entry/keyed.py
+++ b/src/sardinetrack/entry/keyed.py
@@ -1,4 +1,4 @@
-"""Runs with an idempotency key: claimed before, settled after."""
+"""Runs requests with an idempotency key: claimed before, settled after."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 _MARGIN_SECONDS: Final = 30.0
 _LATEST_START_SECONDS: Final = 15.0
-"""Less than the margin: the run still ends before the claim is lost."""
+"""Less than the margin: the run still ends before its claim expires."""
 _SETTLE_SECONDS: Final = 0.25
 
 _REFUSALS: Final = MappingProxyType(
@@ -39,63 +39,70 @@
 )
 
 Run = Callable[[Callable[[bool], None]], Awaitable[None]]
-"""Runs a call; tells each time whether it may have run so far."""
+"""Runs a call; reports each time whether it may have run so far."""
 
 
-class _MayHaveRun:
-    """What is known of one keyed run."""
+class _RunState:
+    """Whether one request with a key may have run."""
 
     def __init__(self, start_by_seconds: float) -> None:
-        """Nothing has run.
+        """Start with a request that has not run.
 
-        :param start_by_seconds: last time at which an order may leave.
+        :param start_by_seconds: deadline for sending a run request, on the
+            event loop's clock.
         """
-        self.known = False
+        self.possibly_started = False
         self._start_by_seconds = start_by_seconds
 
-    def note(self, may_have_run: bool) -> None:
-        """Take in the newest knowledge.
+    def update(self, may_have_run: bool) -> None:
+        """Update whether the request may have run.
 
-        :raises AnsweredError: an order is about to leave, but too late.
+        :raises AnsweredError: a run request is about to be sent after the
+            deadline.
         """
-        # An entry that was frozen with a claimed request would start it after
-        # its claim was taken for lost, beside the run of a later resend.
+        # An entry that was suspended while it held a claim could otherwise
+        # start the request after the claim was considered lost, at the same
+        # time as a later resend.
         late = anyio.current_time() > self._start_by_seconds
-        if late and may_have_run and not self.known:
+        if late and may_have_run and not self.possibly_started:
             raise AnsweredError(ErrorKind.NOT_RUN_DEADLINE)
-        self.known = may_have_run
+        self.possibly_started = may_have_run
 
 
 class KeyedRuns:
-    """Lets at most one request with a key run, over the whole fleet."""
+    """Runs at most one request for each key, across the whole fleet."""
 
     def __init__(self, claims: Claims, wait_seconds: float) -> None:
-        """Remember the record.
+        """Set the claim store.
 
-        :param wait_seconds: longest wait before a run.
+        :param claims: stores the claims.
+        :param wait_seconds: maximum wait before a run.
         """
         self._claims = claims
         self._wait_seconds = wait_seconds
 
     async def run(self, call: Call, key: str, run: Run) -> None:
-        """Claim the key, run, and settle the claim.
+        """Claim the key, run the call, and settle the claim.
 
-        :raises AnsweredError: the key is taken or can't be claimed, or the
-            run failed.
+        :param call: the request to run.
+        :param key: its idempotency key.
+        :param run: runs the call.
+        :raises AnsweredError: the key is taken or can't be claimed, or the run
+            failed.
         """
-        may_have_run = _MayHaveRun(
+        state = _RunState(
             anyio.current_time() + self._wait_seconds + _LATEST_START_SECONDS,
         )
         claimed = await self._claim(call, key)
         end: ClaimEnd | None = ClaimEnd.UNKNOWN
         try:
-            await run(may_have_run.note)
+            await run(state.update)
             end = ClaimEnd.FINISHED
         except AnsweredError as failure:
-            end = _end_of(failure)
+            end = _outcome_of(failure)
             raise
         finally:
-            if not may_have_run.known:
+            if not state.possibly_started:
                 end = None
             await self._settle(claimed, end)
 
@@ -116,12 +123,13 @@
                 ErrorKind.NOT_RUN_PLATFORM_DOWN,
                 retry_after_seconds=error.retry_after_seconds,
             ) from error
-        return _claimed(answer)
+        return _require_claimed(answer)
 
     async def _settle(self, claimed: Claimed, end: ClaimEnd | None) -> None:
-        # Shielded, because a vanished caller may resend and needs the truth;
-        # bounded, because the answer must not wait for the platform. What is
-        # not done by then goes on in the background of the claims.
+        # Shielded, because a caller that disconnected may resend the request
+        # and needs the correct outcome; bounded, because the response must not
+        # wait for the platform. An unfinished write continues in the
+        # background of the claim store.
         with anyio.move_on_after(_SETTLE_SECONDS, shield=True):
             if end is None:
                 await self._claims.release(claimed)
@@ -129,13 +137,13 @@
                 await self._claims.finish(claimed, end)
 
 
-def _end_of(failure: AnsweredError) -> ClaimEnd:
+def _outcome_of(failure: AnsweredError) -> ClaimEnd:
     if failure.kind is ErrorKind.OUTCOME_UNKNOWN:
         return ClaimEnd.UNKNOWN
     return ClaimEnd.FINISHED
 
 
-def _claimed(answer: ClaimAnswer) -> Claimed:
+def _require_claimed(answer: ClaimAnswer) -> Claimed:
     if isinstance(answer, Claimed):
         return answer
     raise AnsweredError(_REFUSALS[type(answer)])
--- a/src/sardinetrack/entry/linked.py
+++ b/src/sardinetrack/entry/linked_peers.py
@@ -9,7 +9,7 @@
 import anyio
 
 from sardinetrack.entry.dispatcher import Outbox
-from sardinetrack.entry.sides import KnownSide, Sides
+from sardinetrack.entry.side_directory import SideDirectory, SideEndpoint
 from sardinetrack.http.client import HttpClient
 from sardinetrack.links.api import Link, PeerRole
 from sardinetrack.links.secret import PeerSecret
@@ -25,33 +25,33 @@
 from sardinetrack.messages.codec import encode
 from sardinetrack.store.api import ListedInstance
 
-_GRACE_SECONDS: Final = 1.5
-"""A link that is redialled within it has not lost its side."""
+_REDIAL_GRACE_SECONDS: Final = 1.5
+"""A link that is redialed within this time does not count as a lost side."""
 
 
 @dataclass(slots=True)
 class LinkedSide:
     """A side while its link is up."""
 
-    known: KnownSide
+    endpoint: SideEndpoint
     row: ListedInstance
     load: SideLoad | None = None
     in_use: bool = False
-    """The routing decisions know it: it is not leaving."""
+    """Whether the routing policy may use the side: it is not draining."""
     down: anyio.Event = field(default_factory=anyio.Event)
 
 
-class LinkedPeers(Sides, Outbox):
-    """Links by the peer's instance, and what is known of each side."""
+class LinkedPeers(SideDirectory, Outbox):
+    """Links by the peer's instance name, and the state of each linked side."""
 
     def __init__(
         self, entry: str, http: HttpClient, secret: PeerSecret
     ) -> None:
-        """Start with no links.
+        """Start without links.
 
         :param entry: name of this instance.
-        :param http: calls sides.
-        :param secret: shown to sides.
+        :param http: the client for requests to sides.
+        :param secret: authenticates this entry to sides.
         """
         self.entry = entry
         self.http = http
@@ -64,7 +64,7 @@
         return iter(tuple(self._sides.values()))
 
     def links(self, role: PeerRole) -> list[Link]:
-        """List the open links to peers of a role."""
+        """Return the open links to peers of a role."""
         return [link for link in self._links if link.peer.role is role]
 
     def count_links(self, role: PeerRole) -> int:
@@ -72,82 +72,82 @@
         return len(self.links(role))
 
     def is_linked(self, name: str) -> bool:
-        """Tell whether a link to an instance is up."""
+        """Return whether a link to an instance is up."""
         return self._links.get(name) is not None
 
     def side(self, name: str) -> LinkedSide | None:
-        """Look up a linked side with all that is known of it."""
+        """Return a linked side with its state."""
         return self._sides.get(name)
 
-    def find(self, name: str) -> KnownSide | None:
-        """Look up a linked side."""
+    def find(self, name: str) -> SideEndpoint | None:
+        """Return the endpoint of a linked side."""
         linked = self._sides.get(name)
-        return linked.known if linked else None
+        return linked.endpoint if linked else None
 
-    async def lost(self, side: KnownSide) -> None:
+    async def wait_lost(self, side: SideEndpoint) -> None:
         """Return when the side process has been unreachable for a while."""
         linked = self._sides.get(side.name)
-        while linked is not None and linked.known == side:
+        while linked is not None and linked.endpoint == side:
             await linked.down.wait()
-            await anyio.sleep(_GRACE_SECONDS)
+            await anyio.sleep(_REDIAL_GRACE_SECONDS)
             linked = self._sides.get(side.name)
 
-    async def broke(self, side: KnownSide) -> None:
-        """Return when the link to the side process has broken, if only once."""
+    async def wait_link_broken(self, side: SideEndpoint) -> None:
+        """Return when the link to the side process has broken at least once."""
         linked = self._sides.get(side.name)
-        if linked is not None and linked.known == side:
+        if linked is not None and linked.endpoint == side:
             await linked.down.wait()
 
     def add(self, link: Link) -> Link | None:
-        """Note a link; return an older one that it replaces."""
+        """Add a link; return an older one that it replaces."""
         return self._links.add(link)
 
     def add_side(self, link: Link, row: ListedInstance) -> LinkedSide:
-        """Note the side behind a link."""
-        known = KnownSide(
+        """Add the side behind a link."""
+        endpoint = SideEndpoint(
             row.instance,
             row.address,
             link.peer.incarnation,
             row.backend_server,
         )
-        linked = LinkedSide(known, row)
+        linked = LinkedSide(endpoint, row)
         self._sides[row.instance] = linked
         return linked
 
     def remove(self, link: Link) -> bool:
-        """Forget a link; ``False`` when a newer one has replaced it."""
+        """Remove a link; return ``False`` when a newer one has replaced it."""
         if not self._links.remove(link):
             return False
         self.remove_side(link.peer.instance)
         return True
 
     def remove_side(self, name: str) -> None:
-        """Forget a side whose link is gone or replaced."""
+        """Remove a side whose link is closed or replaced."""
         linked = self._sides.pop(name, None)
         if linked is not None:
             linked.down.set()
 
     def backend_server(self, side: str) -> str:
-        """Name the backend server of a linked side."""
+        """Return the name of the backend server of a linked side."""
         linked = self._sides.get(side)
-        return linked.known.backend_server if linked else ''
+        return linked.endpoint.backend_server if linked else ''
 
     def to_side(self, side: str, message: Bids | Decline) -> None:
-        """Post to the link of a side."""
+        """Post a message to the link of a side."""
         link = self._links.get(side)
         if link is not None:
             link.post(message)
 
     def to_entries(self, message: ServiceReport | Strike) -> None:
-        """Post to the links of all other entries."""
+        """Post a message to the links of all other entries."""
         self.to_role(PeerRole.ENTRY, message)
 
     def to_role(self, role: PeerRole, message: LinkMessage) -> None:
-        """Post to all peers of a role; the message is encoded once."""
+        """Post a message to all peers of a role; it is encoded once."""
         text = encode(message)
         for link in self.links(role):
             link.post_encoded(text)
 
     def to_all(self, message: LinkMessage) -> None:
-        """Post to all peers."""
+        """Post a message to all peers."""
         self._links.post_all(message)
--- a/src/sardinetrack/entry/meters.py
+++ b/src/sardinetrack/entry/meters.py
@@ -1,4 +1,4 @@
-"""What an answer cost so far, and whether it is whole."""
+"""Computes the cost of a response while it is relayed."""
 
 from __future__ import annotations
 
@@ -11,105 +11,107 @@
 from sardinetrack.entry.completions import usage_cost
 from sardinetrack.entry.sse import EventReader
 
-_MOST_READ_BYTES: Final = 1_048_576
+_MAX_COPIED_BYTES: Final = 1_048_576
 
 
 class Meter(ABC):
-    """Reads along while an answer is relayed."""
+    """Parses a response to compute its cost and detect its end."""
 
     @abstractmethod
     def feed(self, chunk: bytes) -> bytes:
-        """Take in a piece; return what may go to the caller now."""
+        """Parse a chunk; return the data that may be sent to the caller now."""
 
-    def rest(self) -> bytes:
-        """Return what is still held back at a clean end."""
+    def remainder(self) -> bytes:
+        """Return the data buffered so far, at a regular end of the response."""
         return b''
 
     @property
     def has_terminal(self) -> bool:
-        """Whether the answer's protocol says that it is whole."""
+        """Whether the end marker of the response's format was received."""
         return False
 
     @property
     def needs_terminal(self) -> bool:
-        """Whether a clean end of the transport isn't enough."""
+        """Whether a regular end of the connection is not sufficient."""
         return False
 
     @abstractmethod
     def cost(self) -> float:
-        """Cost units so far."""
+        """Return the cost units so far."""
 
 
 class StreamMeter(Meter):
-    """Server-sent events of a model: whole only with its own terminal."""
+    """A model's server-sent events, complete only with ``[DONE]``."""
 
     def __init__(self, call: Call) -> None:
-        """Start before the first event."""
         self._reader = EventReader()
         self._prompt_cost = call.prompt_cost
         self._token_cost = call.pool.prompt_token_cost
 
     def feed(self, chunk: bytes) -> bytes:
-        """Release whole events only."""
+        """Return complete events only."""
         return self._reader.feed(chunk)
 
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return an event without its blank line."""
-        return self._reader.rest()
+        return self._reader.remainder()
 
     @property
     def has_terminal(self) -> bool:
-        """Whether ``data: [DONE]`` was seen."""
+        """Whether ``data: [DONE]`` was received."""
         return self._reader.done
 
     @property
     def needs_terminal(self) -> bool:
-        """Without its terminal a stream is cut."""
+        """Always true: without ``[DONE]`` a stream is truncated."""
         return True
 
     def cost(self) -> float:
-        """Count events until the usage is told."""
-        told = usage_cost(self._reader.usage_event, self._token_cost)
-        if told is None:
+        """Count events until the usage is received."""
+        reported = usage_cost(self._reader.usage_event, self._token_cost)
+        if reported is None:
             return self._prompt_cost + self._reader.events
-        return told
+        return reported
 
 
 class PlainMeter(Meter):
-    """A model's answer in one piece; its usage stands in the body."""
+    """A model's response in one body, which contains the usage."""
 
     def __init__(self, call: Call) -> None:
-        """Start with no body."""
         self._body = bytearray()
         self._prompt_cost = call.prompt_cost
         self._token_cost = call.pool.prompt_token_cost
 
     def feed(self, chunk: bytes) -> bytes:
-        """Keep a bounded copy."""
-        if len(self._body) < _MOST_READ_BYTES:
+        """Keep a copy of limited size."""
+        if len(self._body) < _MAX_COPIED_BYTES:
             self._body += chunk
         return chunk
 
     def cost(self) -> float:
-        """Read the usage."""
-        told = usage_cost(bytes(self._body), self._token_cost)
-        return self._prompt_cost if told is None else told
+        """Return the cost from the usage, or that of the prompt alone."""
+        reported = usage_cost(bytes(self._body), self._token_cost)
+        return self._prompt_cost if reported is None else reported
 
 
 class ServiceMeter(Meter):
-    """A plain service's answer; it costs the seconds that it took."""
+    """A plain service's response; its cost is the seconds that it took."""
 
     def __init__(self, clock: Callable[[], float], began: float) -> None:
-        """Remember when the order was sent."""
+        """Set the start of the run.
+
+        :param clock: monotonic seconds.
+        :param began: when the run request was sent, on that clock.
+        """
         self._clock = clock
         self._began = began
 
     def feed(self, chunk: bytes) -> bytes:
-        """Let everything through."""
+        """Return the chunk unchanged."""
         return chunk
 
     def cost(self) -> float:
-        """Seconds since the order was sent."""
+        """Return the seconds since the run request was sent."""
         return self._clock() - self._began
 
 
@@ -119,13 +121,13 @@
     clock: Callable[[], float],
     began: float,
 ) -> Meter:
-    """Choose how to read an answer.
+    """Create the meter for a response.
 
-    :param call: what was asked.
-    :param content_type: of the answer.
+    :param call: the request.
+    :param content_type: of the response.
     :param clock: monotonic seconds.
-    :param began: when the order was sent.
-    :return: a fresh meter.
+    :param began: when the run request was sent.
+    :return: a new meter.
     """
     if call.pool.pool_class is PoolClass.SERVICE:
         return ServiceMeter(clock, began)
--- a/src/sardinetrack/entry/metrics.py
+++ b/src/sardinetrack/entry/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry; labels carry no token and no request id."""
+"""Metrics of an entry; labels contain no tokens and no request ids."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
             ['code'],
             registry=self.registry,
         )
-        self._vanished = Counter(
+        self._disconnects = Counter(
             'sardinetrack_entry_callers_vanished',
             'Callers that closed before their answer was whole.',
             registry=self.registry,
@@ -53,7 +53,7 @@
             buckets=_WAIT_BUCKETS,
             registry=self.registry,
         )
-        self._held = Counter(
+        self._wait_reasons = Counter(
             'sardinetrack_entry_held',
             'Reasons for which requests or their answers wait, by pool.',
             [_POOL, 'reason'],
@@ -78,12 +78,12 @@
             registry=self.registry,
         )
 
-    def watch(
+    def set_gauges(
         self,
         open_requests: Callable[[], int],
         open_links: Callable[[PeerRole], int],
     ) -> None:
-        """Read gauges when they are asked for.
+        """Set the functions that return the values of the gauges.
 
         :param open_requests: counts the requests that wait or run.
         :param open_links: counts the links to peers of a role.
@@ -94,28 +94,28 @@
                 partial(open_links, role),
             )
 
-    def failed(self, kind: ErrorKind) -> None:
-        """Count an error answer."""
+    def count_error(self, kind: ErrorKind) -> None:
+        """Count an error response."""
         self._errors.labels(kind.value).inc()
 
-    def vanished(self) -> None:
-        """Count a caller that went away."""
-        self._vanished.inc()
+    def count_disconnect(self) -> None:
+        """Count a caller that disconnected."""
+        self._disconnects.inc()
 
-    def waited(self, pool: str, seconds: float) -> None:
-        """Take in the wait of a request."""
+    def observe_wait(self, pool: str, seconds: float) -> None:
+        """Observe the wait of a request."""
         self._wait.labels(pool).observe(seconds)
 
-    def held(self, pool: str, reason: HoldReason) -> None:
-        """Count a reason for which a request or its answer waits."""
-        self._held.labels(pool, reason.value).inc()
+    def count_wait(self, pool: str, reason: HoldReason) -> None:
+        """Count a reason for which a request or its response waits."""
+        self._wait_reasons.labels(pool, reason.value).inc()
 
-    def ended(self, pool: str, end: AttemptEnd, cost: float) -> None:
-        """Count an attempt."""
+    def count_attempt(self, pool: str, end: AttemptEnd, cost: float) -> None:
+        """Count an attempt, and observe its cost if it completed."""
         self._attempts.labels(pool, end.value).inc()
         if end is AttemptEnd.WHOLE:
             self._cost.labels(pool).observe(cost)
 
-    def text(self) -> bytes:
-        """Write everything in the exposition format."""
+    def exposition(self) -> bytes:
+        """Return all metrics in the exposition format."""
         return generate_latest(self.registry)
--- a/src/sardinetrack/entry/models.py
+++ b/src/sardinetrack/entry/models.py
@@ -1,4 +1,4 @@
-"""The list of models in the shape that OpenAI clients read."""
+"""The list of models in the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     object: str = 'list'
 
 
-def model_answer(pools: Iterable[Pool], name: str) -> ModelList | Model:
-    """Describe the models of the catalogue.
+def models_response(pools: Iterable[Pool], name: str) -> ModelList | Model:
+    """Build the response body for the models of the catalogue.
 
-    :param pools: the pools in force.
-    :param name: one model, or empty for all.
-    :return: the body of the answer.
+    :param pools: the active pools.
+    :param name: the name of one model, or empty for all.
+    :return: the body of the response.
     :raises AnsweredError: there is no such model.
     """
     found = tuple(
--- a/src/sardinetrack/entry/operator.py
+++ b/src/sardinetrack/entry/operator.py
@@ -9,7 +9,7 @@
 
 from prometheus_client import CONTENT_TYPE_LATEST
 
-from sardinetrack.entry.answers import error_document, error_headers
+from sardinetrack.entry.error_responses import error_document, error_headers
 from sardinetrack.entry.metrics import EntryMetrics
 from sardinetrack.entry.status import EntryStatus
 from sardinetrack.errors.api import AnsweredError, ErrorKind
@@ -22,7 +22,7 @@
 
 
 class OperatorPages:
-    """Answers operators."""
+    """Handles the requests of operators."""
 
     def __init__(
         self,
@@ -32,7 +32,8 @@
     ) -> None:
         """Build the table of pages.
 
-        :param status: reads the present status.
+        :param status: returns the current status.
+        :param metrics: the metrics to expose.
         :param settings: effective settings as JSON content, secrets masked.
         """
         self._status = status
@@ -49,14 +50,14 @@
         )
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Respond to one request."""
         page = self._pages.get(exchange.path)
         if page is None:
-            await answer_failure(exchange, ErrorKind.UNKNOWN_PATH)
+            await respond_failure(exchange, ErrorKind.UNKNOWN_PATH)
         elif exchange.method == 'GET':
             await page(exchange)
         else:
-            await answer_failure(exchange, ErrorKind.METHOD_NOT_ALLOWED)
+            await respond_failure(exchange, ErrorKind.METHOD_NOT_ALLOWED)
 
     async def _health(self, exchange: Exchange) -> None:
         await exchange.answer(HTTPStatus.OK, b'ok\n', _TEXT)
@@ -76,7 +77,7 @@
     async def _exposition(self, exchange: Exchange) -> None:
         await exchange.answer(
             HTTPStatus.OK,
-            self._metrics.text(),
+            self._metrics.exposition(),
             [('content-type', CONTENT_TYPE_LATEST)],
         )
 
@@ -87,10 +88,11 @@
         await exchange.answer_json(HTTPStatus.OK, self._settings)
 
 
-async def answer_failure(exchange: Exchange, kind: ErrorKind) -> None:
-    """Answer with a row of the table.
+async def respond_failure(exchange: Exchange, kind: ErrorKind) -> None:
+    """Send the error response of a kind of failure.
 
-    :param kind: the row.
+    :param exchange: the request to respond to.
+    :param kind: selects the response.
     """
     failure = AnsweredError(kind)
     await exchange.answer_json(
--- a/src/sardinetrack/entry/parts.py
+++ b/src/sardinetrack/entry/parts.py
@@ -1,4 +1,4 @@
-"""What the composition root hands to an entry."""
+"""What the composition root passes to an entry."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryParts:
-    """Settings, secret, platform and decision object of one entry."""
+    """Settings, secret, platform, routing policy and claims of an entry."""
 
     settings: EntrySettings
     peer_secret: PeerSecret
     incarnation: str
-    """Differs for each start of the process."""
+    """Unique to each start of the process."""
     routing: Routing
     platform: Platform
     claims: Claims
     head_bounds: HeadBounds = field(default_factory=HeadBounds)
     balancer_seconds: float = 2.0
-    """How long the platform's balancer may still send callers to an instance
-    that is no longer ready."""
+    """How long the platform's load balancer may still send callers to an
+    instance that is no longer ready."""
 
     def hello(self) -> Hello:
-        """Say who this process is."""
+        """Return the message that identifies this process to peers."""
         return Hello(
             instance=self.settings.instance,
             role=PeerRole.ENTRY,
--- a/src/sardinetrack/entry/roster.py
+++ b/src/sardinetrack/entry/peer_dialers.py
@@ -1,4 +1,4 @@
-"""The instances that the platform lists, and a dialer to each of them."""
+"""The instances that the platform lists, and the dialers of their links."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 _LOG: Final = PartLogger(Part.ENTRY)
 
 
-class Roster:
+class PeerDialers:
     """Keeps one dialer for each side and for some of the other entries.
 
-    Of two entries only the one with the lesser name dials. Two links between
-    the same two would each count as the newer one and close the other, over
-    and over.
+    Of two entries only the one with the lesser name dials. If both dialed, each
+    of the two links would count as the newer one and close the other,
+    repeatedly.
     """
 
     def __init__(
@@ -32,70 +32,71 @@
         events: LinkEvents,
         tasks: TaskGroup,
     ) -> None:
-        """Start with nobody.
+        """Start without any instance.
 
-        :param events: where the links' events go.
+        :param hello: identifies this process to peers.
+        :param secret: authenticates this process to peers.
+        :param events: receives the events of the links.
         :param tasks: runs the dialers.
         """
         self._hello = hello
         self._secret = secret
         self._events = events
         self._tasks = tasks
-        self._rows: dict[str, ListedInstance] = {}
-        self._dialers: dict[str, _Dialing] = {}
+        self._instances: dict[str, ListedInstance] = {}
+        self._dial_tasks: dict[str, _DialTask] = {}
 
-    def row(self, instance: str) -> ListedInstance | None:
-        """Look up a listed instance."""
-        return self._rows.get(instance)
+    def find(self, instance: str) -> ListedInstance | None:
+        """Return the record of a listed instance."""
+        return self._instances.get(instance)
 
-    def is_leaving(self, instance: str) -> bool:
-        """Tell whether an instance takes no new work."""
-        row = self._rows.get(instance)
+    def is_draining(self, instance: str) -> bool:
+        """Return whether an instance takes no new requests."""
+        row = self._instances.get(instance)
         return row is None or row.state is InstanceState.LEAVING
 
-    def note(self, change: MembershipChange) -> None:
-        """Take in a change of the list."""
+    def apply(self, change: MembershipChange) -> None:
+        """Apply a change of the instance list."""
         row = change.row
         if isinstance(change, Gone):
-            self._rows.pop(row.instance, None)
+            self._instances.pop(row.instance, None)
             return
-        self._rows[row.instance] = row
-        if isinstance(change, Joined) and self._dials(row):
+        self._instances[row.instance] = row
+        if isinstance(change, Joined) and self._should_dial(row):
             self._dial(row)
 
-    def hang_up(self, instance: str) -> None:
-        """Stop to dial an instance, which also closes its link."""
-        dialing = self._dialers.pop(instance, None)
-        if dialing is not None:
-            dialing.scope.cancel()
+    def stop_dialing(self, instance: str) -> None:
+        """Stop dialing an instance, which also closes its link."""
+        task = self._dial_tasks.pop(instance, None)
+        if task is not None:
+            task.scope.cancel()
 
-    def _dials(self, row: ListedInstance) -> bool:
+    def _should_dial(self, row: ListedInstance) -> bool:
         if row.role == PeerRole.SIDE:
             return True
         return self._hello.instance < row.instance
 
     def _dial(self, row: ListedInstance) -> None:
-        known = self._dialers.get(row.instance)
+        known = self._dial_tasks.get(row.instance)
         if known is not None and known.dialer.address == row.address:
             return
-        self.hang_up(row.instance)
+        self.stop_dialing(row.instance)
         dialer = LinkDialer(
             row.address,
             self._hello,
             self._secret,
             self._events,
         )
-        dialing = _Dialing(dialer)
-        self._dialers[row.instance] = dialing
-        self._tasks.start_soon(dialing.run)
+        task = _DialTask(dialer)
+        self._dial_tasks[row.instance] = task
+        self._tasks.start_soon(task.run)
         _LOG.info('dials', peer=row.instance, address=row.address)
 
 
-class _Dialing:
+class _DialTask:
     """A dialer that can be stopped."""
 
     def __init__(self, dialer: LinkDialer) -> None:
-        """Prepare."""
         self.dialer = dialer
         self.scope = anyio.CancelScope()
 
--- a/src/sardinetrack/entry/peers.py
+++ b/src/sardinetrack/entry/peer_events.py
@@ -1,13 +1,13 @@
-"""Handles what happens on the control links of an entry."""
+"""Handles the events of the control links of an entry."""
 
 from __future__ import annotations
 
 from typing import Final
 
-from sardinetrack.entry.configuration import ConfigExchange
+from sardinetrack.entry.config_sync import ConfigSync
 from sardinetrack.entry.dispatcher import Dispatcher, Effects
-from sardinetrack.entry.linked import LinkedPeers, LinkedSide
-from sardinetrack.entry.roster import Roster
+from sardinetrack.entry.linked_peers import LinkedPeers, LinkedSide
+from sardinetrack.entry.peer_dialers import PeerDialers
 from sardinetrack.links.api import (
     Link,
     LinkDown,
@@ -34,63 +34,63 @@
 
 
 class PeerEvents:
-    """Feeds link events to the routing decisions and the configuration."""
+    """Passes link events to the routing decisions and the configuration."""
 
     def __init__(
         self,
         peers: LinkedPeers,
-        roster: Roster,
+        dialers: PeerDialers,
         dispatcher: Dispatcher,
-        exchange: ConfigExchange,
+        config_sync: ConfigSync,
     ) -> None:
-        """Remember the parts."""
         self._peers = peers
-        self._roster = roster
+        self._dialers = dialers
         self._dispatcher = dispatcher
-        self._exchange = exchange
+        self._config_sync = config_sync
 
     def handle(self, event: LinkEvent) -> None:
         """Handle one event."""
         match event:
             case LinkUp():
-                self._up(event.link)
+                self._link_up(event.link)
             case LinkMessageReceived():
-                self._message(event.link, event.message)
+                self._receive(event.link, event.message)
             case LinkDown():
-                self._down(event.link)
+                self._link_down(event.link)
 
-    def listed(self, change: MembershipChange) -> None:
-        """Handle a change of the platform's list.
+    def membership_changed(self, change: MembershipChange) -> None:
+        """Handle a change of the platform's instance list.
 
-        A side that leaves or is gone gets no new work, but its link stays
-        while it is up: requests still run there, and closing the link would
-        make them count as lost.
+        A side that is draining or removed gets no new requests, but its link is
+        kept while it is up: requests still run there, and closing the link
+        would count them as lost.
         """
         name = change.row.instance
-        self._roster.note(change)
+        self._dialers.apply(change)
         linked = self._peers.side(name)
         if isinstance(change, Joined):
             if linked is not None:
-                self._use(linked)
+                self._start_using(linked)
             return
         if linked is not None:
-            self._unuse(linked)
+            self._stop_using(linked)
         if isinstance(change, Gone) and not self._peers.is_linked(name):
-            self._roster.hang_up(name)
+            self._dialers.stop_dialing(name)
 
-    def _up(self, link: Link) -> None:
+    def _link_up(self, link: Link) -> None:
         replaced = self._peers.add(link)
         if replaced is not None:
-            self._forget(replaced)
+            self._remove_replaced(replaced)
         if link.peer.role is PeerRole.SIDE:
             self._side_up(link)
         else:
             self._entry_up(link)
-        self._exchange.linked(link)
+        self._config_sync.peer_linked(link)
 
     def _entry_up(self, link: Link) -> None:
-        # An entry that starts, or was cut off, has not heard the strikes:
-        # through it a request that crashes servers would take down two more.
+        # An entry that has just started, or was disconnected, has missed
+        # strikes. Through it a request that crashes servers would crash two
+        # more.
         now = self._dispatcher.clock()
         routing = self._dispatcher.routing
         for strike in routing.peer_linked(now, link.peer.instance):
@@ -98,15 +98,15 @@
 
     def _side_up(self, link: Link) -> None:
         name = link.peer.instance
-        row = self._roster.row(name)
+        row = self._dialers.find(name)
         if row is None:
             link.close()
             return
-        self._use(self._peers.add_side(link, row))
+        self._start_using(self._peers.add_side(link, row))
 
-    def _use(self, linked: LinkedSide) -> None:
+    def _start_using(self, linked: LinkedSide) -> None:
         row = linked.row
-        if linked.in_use or self._roster.is_leaving(row.instance):
+        if linked.in_use or self._dialers.is_draining(row.instance):
             return
         linked.in_use = True
         info = SideInfo(
@@ -117,73 +117,75 @@
             address=row.address,
         )
         routing = self._dispatcher.routing
-        self._carry_out(routing.side_up(self._dispatcher.clock(), info))
+        self._apply_effects(routing.side_up(self._dispatcher.clock(), info))
 
-    def _down(self, link: Link) -> None:
+    def _link_down(self, link: Link) -> None:
         linked = self._peers.side(link.peer.instance)
         if self._peers.remove(link):
-            self._lost(link, linked)
+            self._peer_lost(link, linked)
 
-    def _forget(self, replaced: Link) -> None:
+    def _remove_replaced(self, replaced: Link) -> None:
         linked = self._peers.side(replaced.peer.instance)
         self._peers.remove_side(replaced.peer.instance)
-        self._lost(replaced, linked)
+        self._peer_lost(replaced, linked)
 
-    def _lost(self, link: Link, linked: LinkedSide | None) -> None:
+    def _peer_lost(self, link: Link, linked: LinkedSide | None) -> None:
         name = link.peer.instance
-        self._exchange.unlinked(name)
-        if self._roster.row(name) is None:
-            self._roster.hang_up(name)
+        self._config_sync.peer_unlinked(name)
+        if self._dialers.find(name) is None:
+            self._dialers.stop_dialing(name)
         if linked is not None:
-            self._unuse(linked)
+            self._stop_using(linked)
         if link.peer.role is PeerRole.ENTRY:
             routing = self._dispatcher.routing
-            self._carry_out(routing.peer_lost(self._dispatcher.clock(), name))
+            self._apply_effects(
+                routing.peer_lost(self._dispatcher.clock(), name)
+            )
 
-    def _unuse(self, linked: LinkedSide) -> None:
+    def _stop_using(self, linked: LinkedSide) -> None:
         if not linked.in_use:
             return
         linked.in_use = False
-        name = linked.known.name
+        name = linked.endpoint.name
         _LOG.info('side is no longer used', side=name)
         routing = self._dispatcher.routing
-        self._carry_out(routing.side_down(self._dispatcher.clock(), name))
+        self._apply_effects(routing.side_down(self._dispatcher.clock(), name))
 
-    def _message(self, link: Link, message: LinkMessage) -> None:
+    def _receive(self, link: Link, message: LinkMessage) -> None:
         match message:
             case ConfigUpdate():
-                self._exchange.from_peer(message)
+                self._config_sync.apply_peer_update(message)
             case ConfigDigest():
-                self._exchange.told(link, message)
+                self._config_sync.receive_digest(link, message)
             case _:
-                self._carry_out(self._decide(link, message))
+                self._apply_effects(self._apply_message(link, message))
 
-    def _decide(self, link: Link, message: LinkMessage) -> Effects:
+    def _apply_message(self, link: Link, message: LinkMessage) -> Effects:
         now = self._dispatcher.clock()
         routing = self._dispatcher.routing
         name = link.peer.instance
         match message:
             case SideLoad():
-                return self._load(name, message)
+                return self._update_load(name, message)
             case Grant():
                 return routing.grant(now, name, message)
             case ServiceReport():
                 return routing.peer_service(now, message)
             case Strike():
-                return self._struck(link, message)
+                return self._apply_strike(link, message)
             case StrikeNoted():
                 return routing.strike_noted(now, name, message.number)
         _LOG.warning('unexpected message', peer=name)
         return ()
 
-    def _struck(self, link: Link, strike: Strike) -> Effects:
+    def _apply_strike(self, link: Link, strike: Strike) -> Effects:
         now = self._dispatcher.clock()
         effects = self._dispatcher.routing.strike(now, strike)
         if strike.number:
             link.post(StrikeNoted(strike.number))
         return effects
 
-    def _load(self, name: str, load: SideLoad) -> Effects:
+    def _update_load(self, name: str, load: SideLoad) -> Effects:
         linked = self._peers.side(name)
         if linked is None or not linked.in_use:
             return ()
@@ -191,5 +193,5 @@
         now = self._dispatcher.clock()
         return self._dispatcher.routing.load(now, name, load)
 
-    def _carry_out(self, effects: Effects) -> None:
-        self._dispatcher.carry_out(effects)
+    def _apply_effects(self, effects: Effects) -> None:
+        self._dispatcher.apply_effects(effects)
--- a/src/sardinetrack/entry/protocol.py
+++ b/src/sardinetrack/entry/protocol.py
@@ -1,4 +1,4 @@
-"""The HTTP protocol of the callers' listener: bounds on heads and idling."""
+"""The HTTP protocol of the callers' listener: head limits, idle timeouts."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import msgspec
 from uvicorn.protocols.http.httptools_impl import STATUS_LINE
 
-from sardinetrack.entry.answers import error_document, error_headers
 from sardinetrack.entry.caller import TRANSPORT_STATE
+from sardinetrack.entry.error_responses import error_document, error_headers
 from sardinetrack.entry.heads import HeadBounds, check_head
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.errors.table import answer_for
@@ -20,75 +20,77 @@
 
 _LATIN: Final = 'latin-1'
 _VERSIONS: Final = frozenset(('1.0', '1.1'))
-_END: Final = '\r\n'
+_CRLF: Final = '\r\n'
 
 
 class CallerProtocol(EndingProtocol):
-    """Refuses heads that are too large, too slow or ambiguous."""
+    """Rejects request heads that are too large, too slow or ambiguous."""
 
     bounds: ClassVar[HeadBounds]
     idle: ClassVar[IdleConnections]
 
     def __init__(self, *positional: Any, **named: Any) -> None:
-        """Build a protocol as uvicorn does."""
+        """Pass uvicorn's arguments to its protocol."""
         super().__init__(*positional, **named)
         self._head_bytes = 0
         self._heads_done = 0
         self._in_head = True
         self._in_body = False
-        self._refused = False
-        self._cause = AnsweredError(ErrorKind.BAD_REQUEST, 'no valid HTTP')
+        self._rejected = False
+        self._rejection = AnsweredError(
+            ErrorKind.BAD_REQUEST, 'malformed HTTP request'
+        )
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(  # type: ignore[override] # as uvicorn's own
         self,
         transport: asyncio.Transport,
     ) -> None:
-        """Find room for a connection."""
+        """Accept a connection, closing an idle one if the listener is full."""
         super().connection_made(transport)
-        self._start_timer(self.bounds.head_seconds, self._head_is_late)
+        self._start_timer(self.bounds.head_seconds, self._on_head_timeout)
         if self.idle.make_room(len(self.connections)):
             self.idle.add(self, self.close_idle)
         else:
-            self._refuse(AnsweredError(ErrorKind.TOO_MANY_CONNECTIONS))
+            self._reject(AnsweredError(ErrorKind.TOO_MANY_CONNECTIONS))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Stop the timer and unregister the connection."""
         self._stop_timer()
         self.idle.remove(self)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Count the head's bytes before and while parsing."""
-        if self._refused:
+        """Parse data and enforce the limits on the head's size and time."""
+        if self._rejected:
             return
         if self._in_head and self._timer is None:
-            self._start_timer(self.bounds.head_seconds, self._head_is_late)
+            self._start_timer(self.bounds.head_seconds, self._on_head_timeout)
         heads_done = self._heads_done
         self._unset_keepalive_if_required()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self._refuse(self._cause)
+            self._reject(self._rejection)
         if self._in_head and self._heads_done == heads_done:
-            self._count_unfinished(len(data))
+            self._count_incomplete_head(len(data))
 
     def on_message_begin(self) -> None:
-        """Start to count a head."""
+        """Reset the size of the head."""
         super().on_message_begin()
         self._head_bytes = 0
         self.scope['state'][TRANSPORT_STATE] = self.transport
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; trailers after a body are dropped."""
+        """Add a header; trailers after a body are dropped."""
         self._head_bytes += len(name) + len(value)
-        self._checked(self._check_size)
+        self._run_check(self._check_size)
         if self._in_head:
             super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Check the whole head, then start the request."""
-        self._checked(self._check_head)
+        """Check the complete head, then start the request."""
+        self._run_check(self._check_head)
         self._heads_done += 1
         self._in_head = False
         self._in_body = True
@@ -97,7 +99,7 @@
         super().on_headers_complete()
 
     def on_message_complete(self) -> None:
-        """Wait for the next head."""
+        """Expect the next head."""
         super().on_message_complete()
         self._in_head = True
         self._in_body = False
@@ -106,17 +108,17 @@
             self.idle.add(self, self.close_idle)
 
     def on_response_complete(self) -> None:
-        """Throw the rest of the body away for a while, or wait idle."""
+        """Discard the rest of the body for a limited time, or become idle."""
         super().on_response_complete()
         if self._in_body:
-            # Closing at once would reset the connection and destroy the
-            # answer before a caller that still sends has read it.
+            # An immediate close would reset the connection and discard the
+            # response before a caller that is still sending has read it.
             self._start_timer(self.bounds.linger_seconds, self._abort)
         elif not self.pipeline:
             self.idle.add(self, self.close_idle)
 
     def timeout_keep_alive_handler(self) -> None:
-        """Close an idle connection, also one that doesn't read."""
+        """Close an idle connection, also one whose peer doesn't read."""
         if self.transport.get_write_buffer_size():
             self._abort()
         super().timeout_keep_alive_handler()
@@ -126,55 +128,63 @@
 
     def _check_head(self) -> None:
         if self.parser.should_upgrade():
-            raise AnsweredError(ErrorKind.BAD_REQUEST, 'no upgrades here')
+            raise AnsweredError(
+                ErrorKind.BAD_REQUEST, 'protocol upgrades are not supported'
+            )
         if self.parser.get_http_version() not in _VERSIONS:
-            raise AnsweredError(ErrorKind.BAD_REQUEST, 'use HTTP/1.1')
+            raise AnsweredError(
+                ErrorKind.BAD_REQUEST,
+                'the HTTP version is not supported; use HTTP/1.1',
+            )
         check_head(self.headers)
 
-    def _checked(self, check: Callable[[], None]) -> None:
+    def _run_check(self, check: Callable[[], None]) -> None:
         try:
             check()
         except AnsweredError as failure:
-            self._cause = failure
+            self._rejection = failure
             raise
 
-    def _count_unfinished(self, size_bytes: int) -> None:
+    def _count_incomplete_head(self, size_bytes: int) -> None:
         self._head_bytes += size_bytes
         if self._head_bytes > 2 * self.bounds.max_bytes:
-            self._refuse(AnsweredError(ErrorKind.HEADERS_TOO_LARGE))
+            self._reject(AnsweredError(ErrorKind.HEADERS_TOO_LARGE))
 
-    def _head_is_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         self._timer = None
-        if self._busy:
-            self._start_timer(self.bounds.head_seconds, self._head_is_late)
+        if self._response_pending:
+            self._start_timer(self.bounds.head_seconds, self._on_head_timeout)
         elif self._head_bytes:
-            self._refuse(
-                AnsweredError(ErrorKind.BODY_TIMEOUT, 'the head is late'),
+            self._reject(
+                AnsweredError(
+                    ErrorKind.BODY_TIMEOUT, 'timed out reading the request head'
+                ),
             )
         else:
             self._abort()
 
     @property
-    def _busy(self) -> bool:
-        """Whether an earlier request has not got its whole answer."""
+    def _response_pending(self) -> bool:
+        """Whether the response to an earlier request is incomplete."""
         return not self.waits
 
-    def _refuse(self, failure: AnsweredError) -> None:
-        """Answer outside the application, then close."""
-        if self._refused:
+    def _reject(self, failure: AnsweredError) -> None:
+        """Send an error response without the application, then close."""
+        if self._rejected:
             return
-        self._refused = True
+        self._rejected = True
         self._stop_timer()
         self.idle.remove(self)
-        own_body = self._in_body and not self.cycle.response_started
-        if self._busy and not own_body:
-            # The caller would take this for the answer to the request before.
+        is_own_response = self._in_body and not self.cycle.response_started
+        if self._response_pending and not is_own_response:
+            # The caller would take this for the response to the previous
+            # request.
             self._abort()
             return
-        if self._busy:
+        if self._response_pending:
             self.cycle.disconnected = True
             self.cycle.message_event.set()
-        self.transport.write(_refusal(failure))
+        self.transport.write(_error_response(failure))
         if self.transport.can_write_eof():
             self.transport.write_eof()
         self._start_timer(self.bounds.linger_seconds, self._abort)
@@ -200,11 +210,11 @@
     bounds: HeadBounds,
     max_connections: int,
 ) -> type[CallerProtocol]:
-    """Make the protocol class of one listener.
+    """Create the protocol class of one listener.
 
-    :param bounds: on each head.
-    :param max_connections: on the listener.
-    :return: a class for uvicorn to build.
+    :param bounds: limits on each request head.
+    :param max_connections: limit on the listener's open connections.
+    :return: a class for uvicorn to instantiate.
     """
     idle = IdleConnections(max_connections)
     members = {'bounds': bounds, 'idle': idle}
@@ -212,7 +222,7 @@
     return cast('type[CallerProtocol]', made)
 
 
-def _refusal(failure: AnsweredError) -> bytes:
+def _error_response(failure: AnsweredError) -> bytes:
     body = msgspec.json.encode(error_document(failure))
     headers = [
         ('content-type', 'application/json'),
@@ -220,6 +230,6 @@
         ('connection', 'close'),
         *error_headers(failure),
     ]
-    lines = ''.join(f'{name}: {text}{_END}' for name, text in headers)
+    lines = ''.join(f'{name}: {text}{_CRLF}' for name, text in headers)
     status = STATUS_LINE[answer_for(failure.kind).status]
     return b'%b%b\r\n%b' % (status, lines.encode(_LATIN), body)
--- a/src/sardinetrack/entry/reader.py
+++ b/src/sardinetrack/entry/reader.py
@@ -1,4 +1,4 @@
-"""From a caller's HTTP request to a call that can be routed."""
+"""Parses and checks callers' HTTP requests."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from sardinetrack.entry.call import Call
 from sardinetrack.entry.completions import (
     ChatCompletion,
-    essence,
+    canonical_request,
     fingerprint,
     parse_completion,
 )
-from sardinetrack.entry.cost import CostKey, LearnedCosts
-from sardinetrack.entry.headers import forwarded_request
+from sardinetrack.entry.cost import CostEstimates, CostKey
+from sardinetrack.entry.headers import request_headers_to_forward
 from sardinetrack.entry.services import ServiceTarget, is_repeatable
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.asgi import Exchange
@@ -26,24 +26,24 @@
 
 COMPLETIONS_PATH: Final = '/v1/chat/completions'
 KEY_HEADER: Final = 'idempotency-key'
-_LONGEST_KEY: Final = 255
+_MAX_KEY_LENGTH: Final = 255
 
 
 @dataclass(frozen=True, slots=True)
-class Origin:
-    """Who sent a request, and under which ids."""
+class RequestOrigin:
+    """The authenticated sender of a request, and the ids of the request."""
 
     workspace: Workspace
-    caller_id: str
+    external_request_id: str
     request_id: str
     """Unique at this entry."""
     account: BodyAccount
-    """Counts the bytes of the body."""
+    """Reserves the bytes of the body."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Target:
-    """What is to run where."""
+    """The parsed request and the pool that serves it."""
 
     pool: Pool
     path: str
@@ -54,25 +54,26 @@
 
 
 class CallReader:
-    """Reads bodies within bounds and makes calls of them."""
+    """Reads request bodies within limits and builds calls."""
 
     def __init__(
         self,
         catalogue: CatalogueView,
-        costs: LearnedCosts,
+        costs: CostEstimates,
         bounds: Bounds,
         clock: Callable[[], float],
     ) -> None:
-        """Remember the parts."""
         self._catalogue = catalogue
         self._costs = costs
         self._bounds = bounds
         self._clock = clock
 
-    async def completion(self, exchange: Exchange, origin: Origin) -> Call:
-        """Read a chat completion.
+    async def completion(
+        self, exchange: Exchange, origin: RequestOrigin
+    ) -> Call:
+        """Read a chat completion request.
 
-        :raises AnsweredError: it is refused.
+        :raises AnsweredError: the request is invalid or exceeds a limit.
         """
         key = _idempotency_key(exchange)
         body = await self._body(
@@ -80,8 +81,8 @@
             origin.account,
             self._bounds.max_body_bytes,
         )
-        asked = parse_completion(body)
-        pool = self._catalogue.pool_by_model(asked.model)
+        chat_request = parse_completion(body)
+        pool = self._catalogue.pool_by_model(chat_request.model)
         if pool is None:
             raise AnsweredError(ErrorKind.UNKNOWN_MODEL)
         if len(body) > pool.max_body_bytes:
@@ -92,14 +93,14 @@
             body,
             key,
             repeatable=True,
-            completion=asked,
+            completion=chat_request,
         )
         return self._call(exchange, origin, target)
 
-    async def service(self, exchange: Exchange, origin: Origin) -> Call:
-        """Read a call of a plain service.
+    async def service(self, exchange: Exchange, origin: RequestOrigin) -> Call:
+        """Read a request to a plain service.
 
-        :raises AnsweredError: it is refused.
+        :raises AnsweredError: the request is invalid or exceeds a limit.
         """
         key = _idempotency_key(exchange)
         service = ServiceTarget.parse(exchange.target)
@@ -125,23 +126,25 @@
         account: BodyAccount,
         max_bytes: int,
     ) -> bytes:
-        told_bytes = _told_bytes(exchange)
-        if told_bytes is not None and told_bytes > max_bytes:
+        declared_bytes = _declared_bytes(exchange)
+        if declared_bytes is not None and declared_bytes > max_bytes:
             raise AnsweredError(ErrorKind.BODY_TOO_LARGE)
-        account.hold(max_bytes if told_bytes is None else told_bytes)
+        account.reserve(max_bytes if declared_bytes is None else declared_bytes)
         body = await exchange.body(max_bytes, self._bounds.body_seconds)
-        account.hold(len(body))
+        account.reserve(len(body))
         return body
 
     def _call(
         self,
         exchange: Exchange,
-        origin: Origin,
+        origin: RequestOrigin,
         target: _Target,
     ) -> Call:
-        headers = forwarded_request(exchange.headers(), origin.caller_id)
+        headers = request_headers_to_forward(
+            exchange.headers(), origin.external_request_id
+        )
         return Call(
-            caller_id=origin.caller_id,
+            external_request_id=origin.external_request_id,
             work=self._work(exchange.method, origin, target),
             workspace=origin.workspace,
             pool=target.pool,
@@ -154,32 +157,38 @@
             idempotency_key=target.key,
         )
 
-    def _work(self, method: str, origin: Origin, target: _Target) -> Work:
-        asked = target.completion
+    def _work(
+        self, method: str, origin: RequestOrigin, target: _Target
+    ) -> Work:
+        chat_request = target.completion
         key = CostKey(origin.workspace.name, target.pool.name)
-        expected = self._costs.expected(key, target.pool.pool_class)
-        if asked is not None and asked.most_tokens is not None:
-            expected = asked.most_tokens
+        expected = self._costs.estimate(key, target.pool.pool_class)
+        if (
+            chat_request is not None
+            and chat_request.max_output_tokens is not None
+        ):
+            expected = chat_request.max_output_tokens
         return Work(
             request_id=origin.request_id,
             workspace=origin.workspace.name,
             pool=target.pool.name,
             hint_cost=_prompt_cost(target) + expected,
             deadline_seconds=self._clock() + self._bounds.wait_seconds,
-            # A key asks for "at most once": then nothing is repeated.
+            # An idempotency key requests at most one run, so nothing is
+            # retried.
             idempotent=target.repeatable and target.key is None,
             fingerprint=fingerprint(
                 target.pool.name.encode(),
                 method.encode(),
                 target.path.encode(),
-                essence(target.body) if asked else target.body,
+                canonical_request(target.body) if chat_request else target.body,
             ),
-            affinity=asked.affinity if asked else 0,
+            affinity=chat_request.affinity if chat_request else 0,
         )
 
 
-def _told_bytes(exchange: Exchange) -> int | None:
-    """Return the body's size, ``None`` when it comes in chunks."""
+def _declared_bytes(exchange: Exchange) -> int | None:
+    """Return the body's declared size, ``None`` for a chunked body."""
     if exchange.header('transfer-encoding') is not None:
         return None
     return int(exchange.header('content-length') or 0)
@@ -195,9 +204,9 @@
     key = exchange.header(KEY_HEADER)
     if key is None:
         return None
-    if not key or len(key) > _LONGEST_KEY:
+    if not key or len(key) > _MAX_KEY_LENGTH:
         raise AnsweredError(
             ErrorKind.BAD_REQUEST,
-            f'the idempotency key must have 1 to {_LONGEST_KEY} characters',
+            f'the idempotency key must have 1 to {_MAX_KEY_LENGTH} characters',
         )
     return key
--- a/src/sardinetrack/entry/order.py
+++ b/src/sardinetrack/entry/run_request.py
@@ -1,32 +1,32 @@
-"""The order that an attempt sends to a side."""
+"""The run request that an attempt sends to a side."""
 
 from __future__ import annotations
 
 from sardinetrack.entry.call import Call
-from sardinetrack.entry.sides import KnownSide, Sides
+from sardinetrack.entry.side_directory import SideDirectory, SideEndpoint
 from sardinetrack.messages.api import Bids
 from sardinetrack.messages.run import RUN_HEADER, RunOrder
 from sardinetrack.messages.run_codec import order_text
 from sardinetrack.routing.api import Dispatch
 
 
-def order_headers(
+def run_request_headers(
     call: Call,
     dispatch: Dispatch,
-    side: KnownSide,
-    sides: Sides,
+    side: SideEndpoint,
+    sides: SideDirectory,
     bids: Bids,
 ) -> list[tuple[str, str]]:
-    """Build the headers of an order; its body is the call's.
+    """Build the headers of a run request; its body is the call's.
 
-    :param call: what is to run.
+    :param call: the request to run.
     :param dispatch: the attempt.
-    :param side: where it goes.
-    :param sides: names this entry and holds the secret between peers.
-    :param bids: what else waits at this entry for the side's slots.
-    :return: names and texts.
+    :param side: the side that the request is sent to.
+    :param sides: holds this entry's name and the secret shared by the peers.
+    :param bids: this entry's other queued requests for the side's slots.
+    :return: pairs of header name and value.
     """
-    order = RunOrder(
+    request = RunOrder(
         attempt_id=dispatch.attempt_id,
         incarnation=side.incarnation,
         entry=sides.entry,
@@ -48,6 +48,6 @@
     )
     return [
         sides.secret.header(),
-        (RUN_HEADER, order_text(order)),
+        (RUN_HEADER, order_text(request)),
         ('content-type', 'application/octet-stream'),
     ]
--- a/src/sardinetrack/entry/runner.py
+++ b/src/sardinetrack/entry/runner.py
@@ -1,4 +1,4 @@
-"""Run a caller's request to its final answer."""
+"""Runs a caller's request until its final response."""
 
 from __future__ import annotations
 
@@ -7,33 +7,32 @@
 
 from sardinetrack.entry.attempt import Attempt, AttemptResult
 from sardinetrack.entry.call import Call
-from sardinetrack.entry.caller import Caller, run_until_gone
-from sardinetrack.entry.cost import CostKey, LearnedCosts
-from sardinetrack.entry.cut import cut
+from sardinetrack.entry.caller import Caller, run_until_disconnected
+from sardinetrack.entry.cost import CostEstimates, CostKey
 from sardinetrack.entry.dispatcher import Dispatcher
 from sardinetrack.entry.history import RunHistory
 from sardinetrack.entry.keyed import KeyedRuns
 from sardinetrack.entry.metrics import EntryMetrics
-from sardinetrack.entry.sides import Sides
-from sardinetrack.entry.ticket import Ticket
+from sardinetrack.entry.pending_request import PendingRequest
+from sardinetrack.entry.side_directory import SideDirectory
+from sardinetrack.entry.truncation import truncate_response
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.asgi import CallerGoneError, Exchange
 from sardinetrack.routing.api import AttemptEnd, Dispatch, Reject
 
 
 class CallRunner:
-    """Takes a call through claim, routing, attempts and the answer."""
+    """Runs a call: claim, routing decisions, attempts and the response."""
 
     def __init__(
         self,
         dispatcher: Dispatcher,
-        sides: Sides,
+        sides: SideDirectory,
         keyed: KeyedRuns,
-        costs: LearnedCosts,
+        costs: CostEstimates,
         metrics: EntryMetrics,
         send_seconds: float,
     ) -> None:
-        """Remember the parts."""
         self._dispatcher = dispatcher
         self._sides = sides
         self._keyed = keyed
@@ -42,39 +41,44 @@
         self._send_seconds = send_seconds
 
     async def run(self, call: Call, exchange: Exchange) -> None:
-        """Answer a call.
+        """Run a call and send its response.
 
-        :raises AnsweredError: it failed before the answer had begun.
-        :raises CallerGoneError: nobody is there to answer any more.
+        :raises AnsweredError: the call failed, possibly after its response had
+            started.
+        :raises CallerGoneError: the caller disconnected.
         """
         caller = Caller(exchange, self._send_seconds)
-        await run_until_gone(caller, partial(self._job, call, caller))
+        await run_until_disconnected(
+            caller, partial(self._run_call, call, caller)
+        )
 
-    async def _job(self, call: Call, caller: Caller) -> None:
-        run = partial(self._routed, call, caller)
+    async def _run_call(self, call: Call, caller: Caller) -> None:
+        run = partial(self._run_routed, call, caller)
         if call.idempotency_key is None:
             await run(_ignore)
         else:
             await self._keyed.run(call, call.idempotency_key, run)
 
-    async def _routed(
+    async def _run_routed(
         self,
         call: Call,
         caller: Caller,
-        note_may_have_run: Callable[[bool], None],
+        on_may_have_run: Callable[[bool], None],
     ) -> None:
-        with self._dispatcher.submitted(call.work) as ticket:
-            history = RunHistory(note_may_have_run)
-            decision = await ticket.next()
-            self._metrics.waited(call.pool.name, ticket.age_seconds())
+        with self._dispatcher.submitted(call.work) as pending:
+            history = RunHistory(on_may_have_run)
+            decision = await pending.next_decision()
+            self._metrics.observe_wait(call.pool.name, pending.age_seconds())
             while isinstance(decision, Dispatch):
-                history.begins()
+                history.attempt_started()
                 result = await self._attempt(call, caller, decision)
-                history.ended(result.end)
+                history.attempt_ended(result.end)
                 if result.end is AttemptEnd.WHOLE:
-                    ticket.over = True
+                    pending.finished = True
                     return
-                decision = await self._next(ticket, call, caller, result.end)
+                decision = await self._next_decision(
+                    pending, call, caller, result.end
+                )
             raise history.failure(decision)
 
     async def _attempt(
@@ -94,21 +98,21 @@
         self._settle(call, caller, dispatch, result)
         return result
 
-    async def _next(
+    async def _next_decision(
         self,
-        ticket: Ticket,
+        pending: PendingRequest,
         call: Call,
         caller: Caller,
         end: AttemptEnd,
     ) -> Dispatch | Reject:
-        if caller.vanished or end is AttemptEnd.ABANDONED:
+        if caller.disconnected or end is AttemptEnd.ABANDONED:
             raise CallerGoneError
-        decision = await ticket.next()
+        decision = await pending.next_decision()
         if caller.started:
-            # Part of one run's answer has gone out: another run's answer must
-            # not follow it, whatever was decided.
-            ticket.over = True
-            await cut(call, caller)
+            # A part of one run's response was sent: another run's response
+            # must not follow it, whatever the decision.
+            pending.finished = True
+            await truncate_response(call, caller)
             raise AnsweredError(ErrorKind.ANSWER_CUT)
         return decision
 
@@ -121,8 +125,8 @@
     ) -> None:
         if result.end is AttemptEnd.WHOLE:
             key = CostKey(call.workspace.name, call.pool.name)
-            self._costs.learn(key, result.cost - call.prompt_cost)
-        self._dispatcher.ended(
+            self._costs.update(key, result.cost - call.prompt_cost)
+        self._dispatcher.attempt_ended(
             dispatch,
             result.end,
             cost=result.cost,
@@ -131,4 +135,4 @@
 
 
 def _ignore(may_have_run: bool) -> None:
-    """Take no note."""
+    """Ignore whether the request may have run."""
--- a/src/sardinetrack/entry/services.py
+++ b/src/sardinetrack/entry/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: their path, and whether they may be repeated."""
+"""Requests to plain services: their path, and whether they are repeatable."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTarget:
-    """Where a call of a plain service goes."""
+    """The service that a request is for, and the path below it."""
 
     name: str
     path: str
@@ -38,16 +38,16 @@
     method: str,
     path: str,
 ) -> bool:
-    """Tell whether a call may safely run twice.
+    """Return whether a request may safely run twice.
 
-    :param calls: what the catalogue calls repeatable.
+    :param calls: the repeatable methods and paths of the catalogue.
     :param method: in capitals.
     :param path: path and query at the backend server.
-    :return: ``False`` in every case of doubt.
+    :return: ``False`` whenever the path is ambiguous.
     """
     bare = path.partition('?')[0]
-    # ``/lookup/../bill`` begins like a lookup, but a server that resolves it
-    # would send the bill, perhaps twice.
+    # ``/lookup/../bill`` starts with a repeatable prefix, but a server that
+    # normalizes it would run ``/bill``, perhaps twice.
     if _AMBIGUOUS.search(bare):
         return False
     return any(
--- a/src/sardinetrack/entry/sides.py
+++ b/src/sardinetrack/entry/side_directory.py
@@ -1,4 +1,4 @@
-"""What an attempt needs to know of the sides."""
+"""The linked sides (sidecars of backend servers), as attempts use them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownSide:
-    """A side process whose link is or was up."""
+class SideEndpoint:
+    """Addresses one incarnation of a side process."""
 
     name: str
     address: str
@@ -19,11 +19,11 @@
     backend_server: str
 
     def url(self, path: str) -> str:
-        """Name a resource of the side's peer endpoint."""
+        """Return the URL of a path of the side's peer endpoint."""
         return f'http://{self.address}{path}'
 
 
-class Sides(ABC):
+class SideDirectory(ABC):
     """The sides that this entry is linked to."""
 
     entry: str
@@ -32,13 +32,13 @@
     secret: PeerSecret
 
     @abstractmethod
-    def find(self, name: str) -> KnownSide | None:
-        """Look up a linked side."""
+    def find(self, name: str) -> SideEndpoint | None:
+        """Return a linked side, ``None`` when its link is down."""
 
     @abstractmethod
-    async def lost(self, side: KnownSide) -> None:
+    async def wait_lost(self, side: SideEndpoint) -> None:
         """Return when the side process has been unreachable for a while."""
 
     @abstractmethod
-    async def broke(self, side: KnownSide) -> None:
-        """Return when the link to the side process has broken, if only once."""
+    async def wait_link_broken(self, side: SideEndpoint) -> None:
+        """Return when the link to the side process has broken at least once."""
--- a/src/sardinetrack/entry/sse.py
+++ b/src/sardinetrack/entry/sse.py
@@ -1,4 +1,4 @@
-"""Incremental reading of server-sent events."""
+"""Incremental parser of server-sent events."""
 
 from __future__ import annotations
 
@@ -8,51 +8,50 @@
 _DONE: Final = b'[DONE]'
 _DATA: Final = b'data:'
 _USAGE: Final = b'"usage"'
-_ENDS: Final = re.compile(rb'\r?\n\r?\n')
-_MOST_HELD_BYTES: Final = 1_048_576
+_EVENT_END: Final = re.compile(rb'\r?\n\r?\n')
+_MAX_BUFFERED_BYTES: Final = 1_048_576
 
 
 class EventReader:
-    """Cuts a stream into whole events and looks for its terminal.
+    """Splits a stream into complete events and detects its ``[DONE]`` event.
 
-    Only whole events are released, so that a stream that breaks inside an
-    event leaves no half event in front of the error event.
+    Only complete events are returned, so that a stream that breaks inside an
+    event leaves no partial event in front of the error event.
     """
 
     def __init__(self) -> None:
-        """Start before the first event."""
-        self._held = b''
+        self._buffer = b''
         self.events = 0
         self.done = False
         self.usage_event = b''
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take in a piece of the stream.
+        """Parse a chunk of the stream.
 
-        :param chunk: any piece, cut anywhere.
-        :return: the events that are whole now.
+        :param chunk: may start and end anywhere.
+        :return: the events that are now complete.
         """
-        held = self._held + chunk
-        end = _last_end(held)
-        if not end and len(held) > _MOST_HELD_BYTES:
-            end = len(held)
-        self._held = held[end:]
-        self._note(held[:end])
-        return held[:end]
+        buffered = self._buffer + chunk
+        end = _last_end(buffered)
+        if not end and len(buffered) > _MAX_BUFFERED_BYTES:
+            end = len(buffered)
+        self._buffer = buffered[end:]
+        self._scan(buffered[:end])
+        return buffered[:end]
 
-    def rest(self) -> bytes:
-        """Return what came after the last whole event, at a clean end."""
-        rest = self._held
-        self._held = b''
-        self._note(rest)
-        return rest
+    def remainder(self) -> bytes:
+        """Return what follows the last complete event when the stream ends."""
+        remainder = self._buffer
+        self._buffer = b''
+        self._scan(remainder)
+        return remainder
 
-    def _note(self, events: bytes) -> None:
+    def _scan(self, events: bytes) -> None:
         for line in events.splitlines():
             if line.startswith(_DATA):
-                self._note_data(line[len(_DATA) :].strip())
+                self._scan_data(line[len(_DATA) :].strip())
 
-    def _note_data(self, data: bytes) -> None:
+    def _scan_data(self, data: bytes) -> None:
         if data == _DONE:
             self.done = True
             return
@@ -61,8 +60,8 @@
             self.usage_event = data
 
 
-def _last_end(held: bytes) -> int:
+def _last_end(buffered: bytes) -> int:
     end = 0
-    for match in _ENDS.finditer(held):
+    for match in _EVENT_END.finditer(buffered):
         end = match.end()
     return end
--- a/src/sardinetrack/entry/status.py
+++ b/src/sardinetrack/entry/status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators about itself and its peers."""
+"""The status that an entry reports to operators: itself and its peers."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import msgspec
 
 from sardinetrack import __version__
-from sardinetrack.entry.configuration import ConfigExchange
+from sardinetrack.entry.config_sync import ConfigSync
 from sardinetrack.entry.dispatcher import Dispatcher
-from sardinetrack.entry.gate import Gate
-from sardinetrack.entry.linked import LinkedPeers, LinkedSide
+from sardinetrack.entry.drain_gate import DrainGate
+from sardinetrack.entry.linked_peers import LinkedPeers, LinkedSide
 from sardinetrack.links.api import Hello, PeerRole
 
 
@@ -22,7 +22,7 @@
     backend_server: str
     failure_domain: str
     in_use: bool
-    """False while it leaves: it gets no new work."""
+    """False while the side is draining: it gets no new requests."""
     phase: str
     limit: int
     running: int
@@ -30,7 +30,7 @@
 
 
 class PoolStatus(msgspec.Struct, frozen=True):
-    """One pool, as this entry sees it."""
+    """One pool, as this entry's routing sees it."""
 
     pool: str
     waiting: int
@@ -39,7 +39,7 @@
 
 
 class EntryPeerStatus(msgspec.Struct, frozen=True):
-    """Another entry."""
+    """Another entry that is linked to this one."""
 
     instance: str
     revision: int
@@ -47,7 +47,7 @@
 
 
 class RejectedStatus(msgspec.Struct, frozen=True):
-    """A catalogue entry that is not in force."""
+    """A catalogue object that is not in effect."""
 
     key: str
     version: int
@@ -55,7 +55,7 @@
 
 
 class EntryStatus(msgspec.Struct, frozen=True):
-    """The whole status."""
+    """The complete status of an entry."""
 
     instance: str
     role: str
@@ -63,7 +63,7 @@
     failure_domain: str
     version: str
     not_ready: tuple[str, ...]
-    """Why the instance is not ready; empty when it is."""
+    """Why the instance is not ready; empty when it is ready."""
     draining: bool
     open_requests: int
     revision: int
@@ -75,17 +75,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReader:
-    """Collects the status."""
+    """Collects the status from the entry's components."""
 
     hello: Hello
-    exchange: ConfigExchange
+    config_sync: ConfigSync
     dispatcher: Dispatcher
     peers: LinkedPeers
-    gate: Gate
+    gate: DrainGate
 
     def read(self) -> EntryStatus:
-        """Describe the present state."""
-        digest = self.exchange.view.digest()
+        """Return the current status."""
+        digest = self.config_sync.view.digest()
         return EntryStatus(
             instance=self.hello.instance,
             role=self.hello.role.value,
@@ -106,18 +106,18 @@
         reasons = []
         if self.gate.draining:
             reasons.append('the instance is shutting down')
-        if not self.exchange.in_force:
-            reasons.append('no configuration is in force')
+        if not self.config_sync.has_configuration:
+            reasons.append('no configuration is active')
         if not any(side.in_use for side in self.peers.sides()):
             reasons.append('no side is linked')
         return reasons
 
     def _pools(self) -> tuple[PoolStatus, ...]:
         works = Counter(
-            (ticket.work.pool, ticket.running)
-            for ticket in self.dispatcher.tickets()
+            (pending.work.pool, pending.running)
+            for pending in self.dispatcher.pending_requests()
         )
-        names = {pool.name for pool in self.exchange.view.pools()}
+        names = {pool.name for pool in self.config_sync.view.pools()}
         names.update(side.row.pool for side in self.peers.sides())
         return tuple(
             PoolStatus(
@@ -137,7 +137,7 @@
         rows = []
         for link in self.peers.links(PeerRole.ENTRY):
             name = link.peer.instance
-            digest = self.exchange.digest_of(name)
+            digest = self.config_sync.digest_of(name)
             revision = digest.revision if digest else 0
             text = digest.digest if digest else ''
             rows.append(EntryPeerStatus(name, revision, text))
@@ -146,15 +146,15 @@
     def _rejected(self) -> tuple[RejectedStatus, ...]:
         return tuple(
             RejectedStatus(row.key, row.version, row.reasons)
-            for row in self.exchange.view.rejected()
+            for row in self.config_sync.view.rejected()
         )
 
 
 def _side_status(side: LinkedSide) -> SideStatus:
     load = side.load
     return SideStatus(
-        side=side.known.name,
-        backend_server=side.known.backend_server,
+        side=side.endpoint.name,
+        backend_server=side.endpoint.backend_server,
         failure_domain=side.row.failure_domain,
         in_use=side.in_use,
         phase=load.phase.value if load else '',
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -1,4 +1,4 @@
-"""An entry between a caller, fake sides and a platform in memory."""
+"""An entry with callers, fake sides and a platform in memory."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import msgspec
 from anyio.from_thread import start_blocking_portal
 from fake_side import SECRET, SLOTS, FakeSide, Script
-from raw_http import TOKEN_TEXT, WAIT_SECONDS, Answer, Connection
+from raw_http import TOKEN_TEXT, WAIT_SECONDS, Connection, Response
 
 from sardinetrack.config.model import Bounds, EntrySettings
 from sardinetrack.entry.daemon import Entry
@@ -77,7 +77,7 @@
 
 
 class LogLines(logging.Handler):
-    """Keeps every line that the program writes."""
+    """Stores every log line."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -86,13 +86,13 @@
         self.setFormatter(JsonFormatter())
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line."""
+        """Store a line."""
         self.documents.append(json.loads(self.format(record)))
         self.lines.append(f'{record.getMessage()} {record.__dict__}')
 
 
 class LossyPlatform(MemoryPlatform):
-    """Fails in parts on demand."""
+    """A platform in memory with injected faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -101,7 +101,7 @@
         self.instance_reads = 0
 
     def lose_after(self, writes: int) -> None:
-        """Lose the reply to the write after so many others."""
+        """Lose the response to the write after the given number of others."""
         self.countdown = writes
 
     async def put(
@@ -111,7 +111,7 @@
         *,
         expected_version: int | None,
     ) -> StoredObject:
-        """Write, and lose the reply when its turn has come."""
+        """Write, and lose the response if this write was selected."""
         if self.countdown == 0:
             self.disturb(Disturbance(lose_replies=1))
         self.countdown -= 1
@@ -122,19 +122,19 @@
         )
 
     async def list(self, prefix: str) -> Listing:
-        """Read all objects, unless the catalogue is down."""
+        """Read all objects, unless the catalogue is unavailable."""
         if self.catalogue_down:
             raise UnavailableError('down')
         return await super().list(prefix)
 
     async def instances(self) -> tuple[ListedInstance, ...]:
-        """Read the list of instances and count it."""
+        """Read the list of instances and count the reads."""
         self.instance_reads += 1
         return await super().instances()
 
 
 class EntryWorld:
-    """Owns everything of a scenario."""
+    """Owns all objects of a scenario."""
 
     def __init__(self) -> None:
         self.stack = ExitStack()
@@ -147,7 +147,7 @@
         # One shard, so that the writes to be lost can be counted.
         self.platform.store.put(0, LAYOUT_KEY, b'{"shards":1}', 0)
         self.connections: list[Connection] = []
-        self.answer: Answer | None = None
+        self.response: Response | None = None
         self.log = LogLines()
         logging.getLogger().addHandler(self.log)
         logging.getLogger('sardinetrack').setLevel(logging.DEBUG)
@@ -162,11 +162,11 @@
         self.stack.close()
 
     def write(self, content: dict[str, Any]) -> None:
-        """Write a catalogue entry."""
+        """Write a catalogue object."""
         self.portal.call(self._write, content)
 
     def side(self, name: str, pool: str) -> FakeSide:
-        """Start a side and list it."""
+        """Start a side and add it to the list of instances."""
         side = FakeSide(name, pool)
         self.enter(side.serving())
         self.sides[name] = side
@@ -182,7 +182,7 @@
         return side
 
     def script(self, name: str, script: Script) -> None:
-        """Add to what a side answers."""
+        """Add a scripted response to a side."""
         self.sides[name].scripts.append(script)
 
     def entry(self, name: str = 'entry-a') -> Entry:
@@ -195,7 +195,7 @@
         return entry
 
     def start_entry(self, name: str) -> Entry:
-        """Start an entry that nobody knows of yet."""
+        """Start an entry that is not listed yet."""
         settings = EntrySettings.model_validate(
             {
                 'instance': name,
@@ -232,32 +232,32 @@
         )
 
     def ready(self, entry: Entry) -> bool:
-        """Tell whether every side is linked and has told its load."""
-        told = self.status(entry)
+        """Return whether every side is linked and has reported its load."""
+        page = self.status(entry)
         loads = [
-            side['limit'] for pool in told['pools'] for side in pool['sides']
+            side['limit'] for pool in page['pools'] for side in pool['sides']
         ]
-        return bool(told['revision']) and loads.count(SLOTS) == len(self.sides)
+        return bool(page['revision']) and loads.count(SLOTS) == len(self.sides)
 
-    def last_order(self, name: str) -> RunOrder:
-        """Return the newest order that a side has received."""
-        return self.sides[name].orders[-1]
+    def last_run_request(self, name: str) -> RunOrder:
+        """Return the latest run request that a side has received."""
+        return self.sides[name].run_requests[-1]
 
     def last_body(self, name: str) -> bytes:
-        """Return the newest body that a side has received."""
+        """Return the latest body that a side has received."""
         return self.sides[name].bodies[-1]
 
     def release(self, name: str) -> None:
-        """Let a side answer what it holds."""
+        """Let a side send what it delayed."""
         self.portal.call(self.sides[name].release.set)
 
-    def count_orders(self, *names: str) -> int:
-        """Count the orders of some sides, by default of all."""
+    def count_run_requests(self, *names: str) -> int:
+        """Count the run requests of some sides, by default of all."""
         chosen = names or tuple(self.sides)
-        return sum(len(self.sides[name].orders) for name in chosen)
+        return sum(len(self.sides[name].run_requests) for name in chosen)
 
     def record(self, key: str) -> str:
-        """Read the state of an idempotency key's record."""
+        """Return the state of an idempotency key's record."""
         stored = self.platform.store.get(head_key(0))
         if stored is None:
             return ''
@@ -267,7 +267,7 @@
         return '' if state is ClaimState.FREE else state.value
 
     def status(self, entry: Entry) -> dict[str, Any]:
-        """Read the operators' status."""
+        """Return the operators' status page."""
         content = json.loads(self.operator(entry, '/status').body)
         assert isinstance(content, dict)
         return content
@@ -277,28 +277,30 @@
         return int(self.status(self.entries[name])['open_requests'])
 
     def fill(self) -> None:
-        """Let no side have a free slot."""
+        """Report no free slot from any side."""
         for side in self.sides.values():
             side.free = 0
             self.portal.call(side.announce)
         self.until(self._all_full)
 
     def free(self) -> None:
-        """Give every side its slots back."""
+        """Report all slots of every side as free."""
         for side in self.sides.values():
             side.free = SLOTS
             self.portal.call(side.announce)
 
-    def disturb(self, disturbance: Disturbance) -> None:
-        """Change what goes wrong at the platform."""
+    def inject_faults(self, disturbance: Disturbance) -> None:
+        """Set the faults of the platform."""
         self.portal.call(self.platform.disturb, disturbance)
 
-    def operator(self, entry: Entry, path: str, method: str = 'GET') -> Answer:
-        """Call the operators' listener."""
+    def operator(
+        self, entry: Entry, path: str, method: str = 'GET'
+    ) -> Response:
+        """Send a request to the operators' listener."""
         return self._call(entry.operator.port, method, path)
 
-    def peer(self, entry: Entry, path: str, token: str | None) -> Answer:
-        """Call the peers' listener."""
+    def peer(self, entry: Entry, path: str, token: str | None) -> Response:
+        """Send a request to the peers' listener."""
         return self._call(entry.peer.port, 'GET', path, token=token)
 
     def connect(self, name: str = 'entry-a') -> Connection:
@@ -313,13 +315,13 @@
         path: str,
         body: bytes = b'',
         **named: Any,
-    ) -> Answer:
-        """Send one request and read its answer."""
+    ) -> Response:
+        """Send one request and return its response."""
         entry = named.pop('entry', 'entry-a')
         connection = self.connect(entry)
         connection.request(method, path, body, **named)
-        self.answer = connection.answer(method)
-        return self.answer
+        self.response = connection.read_response(method)
+        return self.response
 
     def enter(self, manager: Any) -> Any:
         """Enter an asynchronous context until the scenario ends."""
@@ -327,11 +329,11 @@
             self.portal.wrap_async_context_manager(manager),
         )
 
-    def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until something holds."""
+    def until(self, condition: Callable[[], bool]) -> None:
+        """Wait until a condition holds."""
         deadline = time.monotonic() + WAIT_SECONDS
-        while not holds():
-            assert time.monotonic() < deadline, 'waited in vain'
+        while not condition():
+            assert time.monotonic() < deadline, 'timed out'
             time.sleep(POLL_SECONDS)
 
     def _call(
@@ -340,17 +342,17 @@
         method: str,
         path: str,
         token: str | None = None,
-    ) -> Answer:
+    ) -> Response:
         connection = Connection(port)
         try:
             connection.request(method, path, token=token)
-            return connection.answer(method)
+            return connection.read_response(method)
         finally:
             connection.close()
 
     def _all_full(self) -> bool:
-        told = [self.status(entry) for entry in self.entries.values()]
-        pools = [pool for status in told for pool in status['pools']]
+        pages = [self.status(entry) for entry in self.entries.values()]
+        pools = [pool for status in pages for pool in status['pools']]
         return not any(side['free'] for pool in pools for side in pool['sides'])
 
     async def _write(self, content: dict[str, Any]) -> None:
--- a/tests/entry/environment.py
+++ b/tests/entry/environment.py
@@ -1,4 +1,4 @@
-"""A world for each scenario, with its own event loop."""
+"""Creates a world with its own event loop for each scenario."""
 
 from __future__ import annotations
 
--- a/tests/entry/fake_side.py
+++ b/tests/entry/fake_side.py
@@ -1,4 +1,4 @@
-"""A side whose answers are scripted."""
+"""A side with scripted responses."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 @dataclass
 class Script:
-    """How the side answers one order."""
+    """The response of the side to one run request."""
 
     fate: Fate = Fate.RUNNING
     status: int = 200
@@ -64,29 +64,29 @@
     """Between two chunks."""
     ends: bool = True
     """False: the connection breaks after the chunks."""
-    breaks_before: bool = False
-    """The connection breaks before a word of the side."""
+    breaks_before_result: bool = False
+    """The connection breaks before the side has responded."""
     fills: bool = False
-    """The side tells first that it has no free slot any more."""
-    hold: bool = False
-    """Waits for ``release`` before the first word."""
+    """The side first reports that it has no free slot any more."""
+    delayed: bool = False
+    """Waits for ``release`` before it responds."""
 
 
 @dataclass
 class FakeSide:
-    """Records orders and answers them by script, the last one repeated."""
+    """Records run requests and responds by script; the last one repeats."""
 
     name: str
     pool: str
     scripts: deque[Script] = field(default_factory=deque)
-    fates: deque[Fate] = field(default_factory=deque)
-    """Answers to questions about attempts; empty: nobody answers."""
-    orders: list[RunOrder] = field(default_factory=list)
+    status_replies: deque[Fate] = field(default_factory=deque)
+    """Responses to status queries; without any left there is no response."""
+    run_requests: list[RunOrder] = field(default_factory=list)
     bodies: list[bytes] = field(default_factory=list)
-    asked: list[AttemptQuery] = field(default_factory=list)
-    heard: list[LinkMessage] = field(default_factory=list)
+    status_queries: list[AttemptQuery] = field(default_factory=list)
+    received: list[LinkMessage] = field(default_factory=list)
     links: list[Link] = field(default_factory=list)
-    broken_off: int = 0
+    disconnects: int = 0
     free: int = SLOTS
     granted: int = 0
     refuses_links: bool = False
@@ -98,7 +98,7 @@
 
     @asynccontextmanager
     async def serving(self) -> AsyncIterator[BoundServer]:
-        """Answer on loopback."""
+        """Serve on loopback."""
         streams = anyio.create_memory_object_stream[LinkEvent](100)
         hello = Hello(self.name, PeerRole.SIDE, self.incarnation, 'galata')
         self._acceptor = LinkAcceptor(hello, SECRET, streams[0])
@@ -113,7 +113,7 @@
             tasks.cancel_scope.cancel()
 
     def announce(self) -> None:
-        """Tell all linked entries the load."""
+        """Send the load to all linked entries."""
         load = SideLoad(
             self.incarnation,
             SidePhase.SERVING,
@@ -125,10 +125,10 @@
             link.post(load)
 
     def configuration(self) -> set[str]:
-        """Name the catalogue keys that entries have told of."""
+        """Return the catalogue keys that entries have sent."""
         return {
             row.key
-            for message in self.heard
+            for message in self.received
             if isinstance(message, ConfigUpdate)
             for row in message.objects
         }
@@ -140,7 +140,7 @@
                 event.link.post(ConfigDigest(0, ''))
                 self.announce()
             elif isinstance(event, LinkMessageReceived):
-                self.heard.append(event.message)
+                self.received.append(event.message)
                 if isinstance(event.message, Bids):
                     self._grant(event.link, event.message)
 
@@ -156,7 +156,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer an entry."""
+        """Handle a request or a link of an entry."""
         if scope['type'] != 'http' and self.refuses_links:
             await send({'type': 'websocket.close'})
             return
@@ -169,15 +169,15 @@
         if RUN_HEADER in dict(exchange.headers()):
             await self._run(exchange)
         else:
-            await self._asked(exchange)
+            await self._answer_status_query(exchange)
 
-    async def _asked(self, exchange: Exchange) -> None:
+    async def _answer_status_query(self, exchange: Exchange) -> None:
         body = await exchange.body(10_000, 1)
-        self.asked.append(msgspec.json.decode(body, type=AttemptQuery))
-        if not self.fates:
+        self.status_queries.append(msgspec.json.decode(body, type=AttemptQuery))
+        if not self.status_replies:
             await exchange.gone()
             return
-        fate = self.fates.popleft()
+        fate = self.status_replies.popleft()
         answer = AttemptAnswer(fate, self.incarnation)
         await exchange.answer_json(200, answer)
 
@@ -185,27 +185,29 @@
         script = self.scripts[0]
         if len(self.scripts) > 1:
             self.scripts.popleft()
-        self.orders.append(read_order(exchange.header(RUN_HEADER) or ''))
+        self.run_requests.append(read_order(exchange.header(RUN_HEADER) or ''))
         self.bodies.append(await exchange.body(10_000_000, 5))
         if script.fills:
             self.free = 0
             self.announce()
             await anyio.sleep(0.05)
-        if script.hold:
+        if script.delayed:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._note_gone, exchange, tasks.cancel_scope)
+                tasks.start_soon(
+                    self._record_disconnect, exchange, tasks.cancel_scope
+                )
                 await self.release.wait()
                 tasks.cancel_scope.cancel()
-        if not script.breaks_before:
+        if not script.breaks_before_result:
             await self._answer(exchange, script)
 
-    async def _note_gone(
+    async def _record_disconnect(
         self,
         exchange: Exchange,
         scope: anyio.CancelScope,
     ) -> None:
         await exchange.gone()
-        self.broken_off += 1
+        self.disconnects += 1
         scope.cancel()
 
     async def _answer(self, exchange: Exchange, script: Script) -> None:
--- a/tests/entry/links.feature
+++ b/tests/entry/links.feature
@@ -1,93 +1,95 @@
-Feature: Entries, sides and the platform stay in step
+Feature: Entries, sides and the platform stay in sync
 
   Background:
     Given side "side-c" of pool "chart-api"
     And an entry
-    And "side-c" answers with status 200 and "chart"
+    And "side-c" returns status 200 and "chart"
 
-  Scenario: Sides learn the configuration from entries only
-    Then "side-c" knows catalogue key "catalogue/pool/chart-api" in time
+  Scenario: Sides receive the configuration from entries only
+    Then "side-c" eventually has catalogue key "catalogue/pool/chart-api"
     When an operator adds pool "new-api"
-    Then "side-c" knows catalogue key "catalogue/pool/new-api" in time
-    And the entry serves service "new-api" in time
+    Then "side-c" eventually has catalogue key "catalogue/pool/new-api"
+    And the entry eventually serves service "new-api"
 
-  Scenario Outline: An entry that can't read the catalogue learns from another
+  Scenario Outline: An entry that can't read the catalogue receives it from another entry
     Of two entries the one with the lesser name dials, so both directions are
-    tried.
+    tested.
     Given the platform's catalogue can't be read
     When entry "<name>" starts
-    Then that entry has the configuration of "entry-a" in time
+    Then that entry eventually has the configuration of "entry-a"
 
     Examples:
       | name    |
       | entry-0 |
       | entry-z |
 
-  Scenario: Entries tell each other of their configuration and service
+  Scenario: Entries exchange the revision of their configuration
     Given another entry "entry-z"
-    Then "entry-a" and "entry-z" show each other's revision in time
+    Then "entry-a" and "entry-z" eventually show each other's revision
 
-  Scenario: A side that is leaving gets no new work
-    The platform's list says that the side leaves. What runs there goes on to
-    its end; a request that comes afterwards waits for another side.
-    Given "side-c" holds what it answers
+  Scenario: A side that is draining gets no new requests
+    The platform's list says that the side is draining. Its running requests
+    continue to their end; a request that arrives afterwards waits for another
+    side.
+    Given "side-c" delays its scripted response
     And a caller waits for "/services/chart-api/charts"
     When the platform lists "side-c" as leaving
-    Then the entry uses "side-c" no more in time
+    Then the entry eventually stops using "side-c"
     When a caller sends GET to "/services/chart-api/charts" with body ""
-    Then the error did not run
-    When the platform forgets "side-c"
-    And "side-c" lets go
-    Then all waiting callers get their whole answers
-    And "side-c" has received 1 order
+    Then the error says that the request did not run
+    When the platform removes "side-c"
+    And "side-c" sends what it delayed
+    Then all waiting callers get complete responses
+    And "side-c" has received 1 run request
 
-  Scenario: A frozen side does not hold its callers for ever
-    The side's process is stopped in the middle of a request: its connections
-    stay open and silent. Its link falls silent first; after that the entry
-    asks, gets no answer, and tells the caller that the outcome is unknown.
-    Given "side-c" holds what it answers
-    And a caller waits for "/services/chart-api/warn" to be sent
-    When the link of "side-c" is cut for good
-    Then the waiting caller is told "outcome_unknown"
+  Scenario: A suspended side does not block its callers indefinitely
+    The side's process is suspended during a request: its connections stay
+    open and silent. Its link falls silent first. After that the entry queries
+    the attempt, gets no response, and the caller gets the error that the
+    outcome is unknown.
+    Given "side-c" delays its scripted response
+    And a caller waits for "/services/chart-api/warn" and the side has received it
+    When the link of "side-c" is closed permanently
+    Then the waiting caller gets error "outcome_unknown"
 
-  Scenario: A connection that stays open and dead while the link comes back
-    A switch forgets the flows through it. The link is dialled anew, the order's
-    own connection is neither read nor broken: its caller would wait for the
-    longest run of the pool. The entry asks the side, which is done with the
-    attempt, and tells the caller what is known.
-    Given "side-c" holds what it answers
-    And the sides answer questions with "finished"
-    And the sides answer questions with "finished"
-    And a caller waits for "/services/chart-api/warn" to be sent
-    When the link of "side-c" breaks and comes back
-    Then the waiting caller is told "outcome_unknown"
-    And "side-c" was asked first without being told to stop
+  Scenario: A connection that stays open and silent while the link is restored
+    A switch drops the flows through it. The link is dialed again, while the
+    run request's own connection neither delivers data nor breaks: its caller
+    would wait for the maximum run time of the pool. The entry queries the
+    side, which has ended the attempt, and the caller gets what is known.
+    Given "side-c" delays its scripted response
+    And the sides respond to status queries with "finished"
+    And the sides respond to status queries with "finished"
+    And a caller waits for "/services/chart-api/warn" and the side has received it
+    When the link of "side-c" breaks and is restored
+    Then the waiting caller gets error "outcome_unknown"
+    And "side-c" was first queried without a cancel
 
-  Scenario: An answer that still comes is waited for when the link came back
-    The link breaks alone. The side is asked about the silent attempt and
-    still runs it: the caller gets the whole answer when it is ready.
-    Given "side-c" holds what it answers
-    And the sides answer questions with "running"
-    And the sides answer questions with "running"
-    And a caller waits for "/services/chart-api/warn" to be sent
-    When the link of "side-c" breaks and comes back
-    And "side-c" was asked 2 times about the attempt
-    And "side-c" lets go
-    Then the waiting caller gets its whole answer
-    And "side-c" has received 1 order
+  Scenario: A response is still awaited after the link was restored
+    Only the link breaks. The side is queried about the silent attempt and
+    still runs it: the caller gets the complete response when it is ready.
+    Given "side-c" delays its scripted response
+    And the sides respond to status queries with "running"
+    And the sides respond to status queries with "running"
+    And a caller waits for "/services/chart-api/warn" and the side has received it
+    When the link of "side-c" breaks and is restored
+    And "side-c" has received 2 status queries
+    And "side-c" sends what it delayed
+    Then the waiting caller gets a complete response
+    And "side-c" has received 1 run request
 
-  Scenario: Only peers may ask a peer endpoint
-    When somebody without the secret asks "/peer/v1/status"
-    Then the error is 403 "peer_refused" and did not run
-    When somebody with the secret asks "/peer/v1/status"
+  Scenario: Only peers may use the peer endpoint
+    When a request without the peer secret is sent to "/peer/v1/status"
+    Then the error is 403 "peer_refused" and the request did not run
+    When a request with the peer secret is sent to "/peer/v1/status"
     Then the status names "entry-a"
-    When somebody with the secret asks "/peer/v1/other"
-    Then the error is 404 "unknown_path" and did not run
+    When a request with the peer secret is sent to "/peer/v1/other"
+    Then the error is 404 "unknown_path" and the request did not run
 
-  Scenario Outline: Operators see what they need
-    When an operator asks "<path>"
-    Then the answer has status 200 and is whole
-    And the answer's body mentions "<text>"
+  Scenario Outline: The operators' pages are served
+    When an operator requests "<path>"
+    Then the response has status 200 and is complete
+    And the response body contains "<text>"
 
     Examples:
       | path     | text                      |
@@ -97,11 +99,11 @@
       | /status  | side-c-server             |
       | /config  | keep_alive_seconds        |
 
-  Scenario: Secrets don't show in the settings
-    When an operator asks "/config"
-    Then the answer's body does not mention "fleet"
+  Scenario: Secrets are masked in the settings
+    When an operator requests "/config"
+    Then the response body does not contain "fleet"
 
   Scenario: An entry is not ready before it has a configuration
     Given the platform is down
-    When an entry starts that knows nothing
-    Then that entry is not ready because "no configuration is in force"
+    When an entry starts without any configuration
+    Then that entry is not ready because "no configuration is active"
--- a/tests/entry/not_run.feature
+++ b/tests/entry/not_run.feature
@@ -1,44 +1,45 @@
-Feature: "Not run" is true
+Feature: A request that is reported as "not run" did not run
 
   Background:
     Given side "side-c" of pool "chart-api"
     And an entry
 
-  Scenario: A refused order is sent again
-    Given "side-c" refuses once and then answers "chart"
+  Scenario: A refused run request is sent again
+    Given "side-c" refuses one run request and then returns "chart"
     When a caller sends POST to "/services/chart-api/warn" with body "ice"
-    Then the answer has status 200 and is whole
-    And "side-c" has received 2 orders
+    Then the response has status 200 and is complete
+    And "side-c" has received 2 run requests
 
-  Scenario: A connection that breaks before the side's word, and it did not run
-    The order's connection breaks before the side has said a word. The side
-    says, bindingly, that it has not started and never will: it is sent again.
-    Given "side-c" breaks off once and then answers "chart"
-    And the sides answer questions with "not_started"
+  Scenario: A connection breaks before the response, and the request did not run
+    The run request's connection breaks before the side has responded. The
+    side then reports, bindingly, that it has not started the attempt and
+    never will: the request is sent again.
+    Given "side-c" closes one connection and then returns "chart"
+    And the sides respond to status queries with "not_started"
     When a caller sends POST to "/services/chart-api/warn" with body "ice"
-    Then the answer has status 200 and is whole
-    And "side-c" has received 2 orders
-    And the question named the attempt and cancelled it
+    Then the response has status 200 and is complete
+    And "side-c" has received 2 run requests
+    And the status query named the attempt and cancelled it
 
-  Scenario: An entry that asks after the side's memory has ended
-    The entry was frozen for longer than a side keeps its records. By now the
-    side knows nothing of an order that ran and says "not started"; the caller
-    is not told so, and the order is not sent again.
-    Given "side-c" breaks off once and then answers "chart"
-    And the sides answer questions with "not_started"
-    And the entry trusts no word that is older than 0 seconds
+  Scenario: An entry that queries after the side's record has expired
+    The entry was suspended for longer than a side keeps its records. The side
+    no longer has a record of the attempt, which did run, and reports "not
+    started". The caller does not get that, and the request is not sent again.
+    Given "side-c" closes one connection and then returns "chart"
+    And the sides respond to status queries with "not_started"
+    And the entry trusts "not started" for 0 seconds after the dispatch
     When a caller sends POST to "/services/chart-api/warn" with body "ice"
-    Then the error is 502 "outcome_unknown" and may have run
-    And "side-c" has received 1 order
+    Then the error is 502 "outcome_unknown" and the request may have run
+    And "side-c" has received 1 run request
 
-  Scenario Outline: A connection that breaks, and it may have run
-    Nobody can promise that the warning was not sent. The caller is told so,
-    in words other than "not run", and the order is not sent again.
-    Given "side-c" breaks off once and then answers "chart"
-    And the sides answer questions with "<fate>"
+  Scenario Outline: A connection breaks, and the request may have run
+    It cannot be excluded that the warning was sent. The caller gets an error
+    that is not one of the "not run" errors, and the request is not sent again.
+    Given "side-c" closes one connection and then returns "chart"
+    And the sides respond to status queries with "<fate>"
     When a caller sends POST to "/services/chart-api/warn" with body "ice"
-    Then the error is 502 "<code>" and may have run
-    And "side-c" has received 1 order
+    Then the error is 502 "<code>" and the request may have run
+    And "side-c" has received 1 run request
 
     Examples:
       | fate     | code            |
@@ -47,30 +48,30 @@
       | failed   | server_failed   |
       | unknown  | outcome_unknown |
 
-  Scenario: Nobody answers the question
-    Given "side-c" breaks off once and then answers "chart"
+  Scenario: The status query gets no response
+    Given "side-c" closes one connection and then returns "chart"
     When a caller sends POST to "/services/chart-api/warn" with body "ice"
-    Then the error is 502 "outcome_unknown" and may have run
-    And "side-c" has received 1 order
+    Then the error is 502 "outcome_unknown" and the request may have run
+    And "side-c" has received 1 run request
 
-  Scenario: A repeatable call that ran is not called "not run" afterwards
-    A lookup runs on a server that dies. It may be repeated, but no capacity
-    comes before its deadline. The last decision is "not run", and that is
-    true of the second attempt alone.
-    Given "side-c" breaks off and has no slot from then on
-    And the sides answer questions with "failed"
+  Scenario: A repeatable request that ran is not reported as "not run"
+    A lookup runs on a server that crashes. It may be repeated, but no slot
+    becomes free before its deadline. The last decision is "not run", which is
+    true of the second attempt only.
+    Given "side-c" closes the connection and has no free slot afterwards
+    And the sides respond to status queries with "failed"
     When a caller sends GET to "/services/chart-api/charts" with body ""
-    Then the error is 502 "server_failed" and may have run
-    And "side-c" has received 1 order
+    Then the error is 502 "server_failed" and the request may have run
+    And "side-c" has received 1 run request
 
-  Scenario: Without capacity a request is given up at its deadline
+  Scenario: Without free slots a request is rejected at its deadline
     Given all sides are busy
     When a caller sends POST to "/services/chart-api/warn" with body "ice"
-    Then the error is 503 "not_run_deadline" and did not run
-    And the answer tells when to come back
-    And no side has received an order
+    Then the error is 503 "not_run_deadline" and the request did not run
+    And the response has a Retry-After header
+    And no side has received a run request
 
-  Scenario: A side that is gone has not run anything
-    Given "side-c" has stopped listening without the entry's knowledge
+  Scenario: A side that cannot be reached has not run the request
+    Given "side-c" has stopped listening while its link is up
     When a caller sends POST to "/services/chart-api/warn" with body "ice"
-    Then the error did not run
+    Then the error says that the request did not run
--- a/tests/entry/parts.feature
+++ b/tests/entry/parts.feature
@@ -1,6 +1,6 @@
-Feature: The small decisions of the border
+Feature: Single components behind the callers' HTTP interface
 
-  Scenario Outline: Only what is surely below a repeatable prefix may run twice
+  Scenario Outline: Only a path that is definitely below a repeatable prefix may run twice
     Then <method> of "<path>" is <verdict>
 
     Examples:
@@ -17,17 +17,17 @@
       | GET    | /charts//bill     | not repeatable |
       | GET    | /charts\\bill     | not repeatable |
 
-  Scenario: However a stream is cut into pieces, it reads the same
-    Hypothesis cuts streams of events anywhere, also inside a line's end.
-    Then every cut of a stream releases the same whole events
+  Scenario: A stream is parsed alike however it is split into chunks
+    Hypothesis splits streams of events anywhere, also inside a line ending.
+    Then every split of a stream returns the same complete events
 
-  Scenario Outline: No decision makes a request that ran "not run"
-    A request is tried on several servers, and the last decision about it says
-    that it was not run. What the caller reads is true of all attempts.
-    Then after attempts that ended <ends>, "<decided>" is told as "<told>"
+  Scenario Outline: No decision reports a request that ran as "not run"
+    A request is attempted on several servers, and the last decision about it
+    is "not run". The error that the caller gets is true of all attempts.
+    Then after attempts that ended <ends>, "<decided>" is reported as "<reported>"
 
     Examples:
-      | ends                 | decided           | told              |
+      | ends                 | decided           | reported          |
       | not_started          | not_run_deadline  | not_run_deadline  |
       | failed               | not_run_deadline  | server_failed     |
       | failed, not_started  | not_run_no_server | server_failed     |
@@ -35,16 +35,16 @@
       | failed, unknown      | crashes_servers   | outcome_unknown   |
       | failed               | answer_cut        | answer_cut        |
 
-  Scenario: One workspace's bodies leave room for others
+  Scenario: One workspace's bodies leave capacity for others
     Given a budget of 100 bytes, 60 for each workspace
-    When "flood" holds 60 bytes
+    When "flood" reserves 60 bytes
     Then "flood" is refused one byte more
-    And "pilot" may hold 40 bytes
-    When "flood" gives back everything
-    Then "flood" may hold 60 bytes
+    And "pilot" may reserve 40 bytes
+    When "flood" releases everything
+    Then "flood" may reserve 60 bytes
 
-  Scenario Outline: The time to come back is told in whole seconds
-    Then an error that says <seconds> has Retry-After "<header>"
+  Scenario Outline: Retry-After is in whole seconds
+    Then an error with a delay of <seconds> seconds has Retry-After "<header>"
 
     Examples:
       | seconds | header |
--- a/tests/entry/raw_http.py
+++ b/tests/entry/raw_http.py
@@ -1,4 +1,4 @@
-"""A caller that sees each byte: sockets and a minimal HTTP reader."""
+"""A caller with access to each byte: sockets and a minimal HTTP parser."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 @dataclass
-class Answer:
-    """What a caller received."""
+class Response:
+    """The response that a caller received."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
-    """The framing's own end was seen."""
+    complete: bool
+    """Whether the end of the HTTP framing was received."""
     pairs: list[tuple[str, str]] = field(default_factory=list)
 
     @property
     def error(self) -> dict[str, Any]:
-        """The error object."""
+        """The body's error object."""
         return json.loads(self.body)['error']
 
 
@@ -39,10 +39,10 @@
             ('127.0.0.1', port),
             timeout=WAIT_SECONDS,
         )
-        self._reader = KeptReader(self.socket)
+        self._reader = SharedBufferReader(self.socket)
 
     def send(self, raw: bytes) -> None:
-        """Send bytes as they are."""
+        """Send bytes unchanged."""
         self.socket.sendall(raw)
 
     def request(
@@ -53,7 +53,7 @@
         headers: tuple[tuple[str, str], ...] = (),
         token: str | None = TOKEN_TEXT,
     ) -> None:
-        """Send a whole request."""
+        """Send a complete request."""
         lines = [f'{method} {path} HTTP/1.1', 'host: entry']
         if token is not None:
             lines.append(f'authorization: Bearer {token}')
@@ -62,25 +62,25 @@
         lines.extend(f'{name}: {text}' for name, text in headers)
         self.send('\r\n'.join([*lines, '', '']).encode('latin-1') + body)
 
-    def answer(self, method: str = 'GET') -> Answer:
-        """Read one answer."""
-        response = HTTPResponse(self._reader, method=method)
-        response.begin()
-        body, whole = _read(response)
-        pairs = [(name.lower(), text) for name, text in response.getheaders()]
-        return Answer(response.status, dict(pairs), body, whole, pairs)
+    def read_response(self, method: str = 'GET') -> Response:
+        """Read one response."""
+        parsed = HTTPResponse(self._reader, method=method)
+        parsed.begin()
+        body, complete = _read(parsed)
+        pairs = [(name.lower(), text) for name, text in parsed.getheaders()]
+        return Response(parsed.status, dict(pairs), body, complete, pairs)
 
-    def answers(self) -> list[Answer]:
-        """Read answers until the other end closes."""
+    def answers(self) -> list[Response]:
+        """Read responses until the entry closes the connection."""
         found = []
         while True:
             try:
-                found.append(self.answer())
+                found.append(self.read_response())
             except (HTTPException, OSError):
                 return found
 
     def drain(self) -> bytes:
-        """Wait for the other end to close; return what still came."""
+        """Read until the entry closes the connection; return what was read."""
         rest = b''
         try:
             while piece := self._reader.read1(65_536):
@@ -90,14 +90,14 @@
         return rest
 
     def send_quietly(self, raw: bytes) -> None:
-        """Send bytes to an end that may have closed."""
+        """Send bytes, ignoring a closed connection."""
         try:
             self.send(raw)
         except OSError:
             return
 
     def send_until_broken(self, raw: bytes) -> None:
-        """Send on until the other end has closed."""
+        """Send repeatedly until the entry has closed the connection."""
         deadline = time.monotonic() + WAIT_SECONDS
         while time.monotonic() < deadline:
             try:
@@ -108,47 +108,47 @@
         raise AssertionError('the connection stays open')
 
     def end(self) -> None:
-        """Send no more."""
+        """Close the sending direction."""
         try:
             self.socket.shutdown(socket.SHUT_WR)
         except OSError:
             return
 
     def close(self) -> None:
-        """Vanish."""
+        """Close the connection."""
         self._reader.end()
         self.socket.close()
 
 
-class KeptReader:
-    """One buffer for all answers on a socket.
+class SharedBufferReader:
+    """One read buffer for all responses on a socket.
 
-    The library makes a buffer for each answer; when two answers came in one
-    piece, the first one's buffer swallowed the second.
+    ``HTTPResponse`` creates a buffer for each response. When two responses
+    arrive together, the first one's buffer would consume the second.
     """
 
     def __init__(self, sock: socket.socket) -> None:
         """Read from a socket."""
         self._file = sock.makefile('rb')
 
-    def makefile(self, _mode: str) -> KeptReader:
-        """Hand out the one buffer."""
+    def makefile(self, _mode: str) -> SharedBufferReader:
+        """Return the shared buffer."""
         return self
 
     def close(self) -> None:
-        """Stay open for the next answer."""
+        """Stay open for the next response."""
 
     def end(self) -> None:
-        """Let go of the socket."""
+        """Close the buffer."""
         self._file.close()
 
     def __getattr__(self, name: str) -> Any:
-        """Read as a file does."""
+        """Delegate to the buffer."""
         return getattr(self._file, name)
 
 
 def _read(response: HTTPResponse) -> tuple[bytes, bool]:
-    """Read a body; it is whole only with its framing's own end."""
+    """Read a body; it is complete only with the end of its framing."""
     try:
         return response.read(), True
     except IncompleteRead as error:
