--- a/src/sardinetrack/cli/operator_access.py
+++ b/src/sardinetrack/cli/operator_access.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
 
-from sardinetrack.compose.platform import platform_of
+from sardinetrack.compose.platform import platform_client
 from sardinetrack.config.model import OperatorSettings
 from sardinetrack.config.secret import resolve_secret
 from sardinetrack.http.client import HttpClient
@@ -30,5 +30,5 @@
     """Open a client for the time of the context."""
     secret = PeerSecret(resolve_secret(settings.peer_secret))
     async with HttpClient() as client:
-        platform = platform_of(client, settings.platform)
+        platform = platform_client(client, settings.platform)
         yield OperatorAccess(client, platform, secret)
--- a/src/sardinetrack/compose/__init__.py
+++ b/src/sardinetrack/compose/__init__.py
@@ -1,1 +1,1 @@
-"""The composition root: the only place that wires concrete parts."""
+"""Composition root: the only package that connects concrete classes."""
--- a/src/sardinetrack/compose/entry.py
+++ b/src/sardinetrack/compose/entry.py
@@ -1,4 +1,4 @@
-"""Wire and run an entry."""
+"""Build and run an entry, the router process that callers connect to."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from sardinetrack.compose.platform import platform_of
+from sardinetrack.compose.platform import platform_client
 from sardinetrack.config.model import EntrySettings
 from sardinetrack.config.secret import resolve_secret
 from sardinetrack.entry.daemon import Entry
@@ -23,20 +23,20 @@
 
 @asynccontextmanager
 async def open_entry(settings: EntrySettings) -> AsyncIterator[Entry]:
-    """Wire an entry and serve while the context lasts.
+    """Build an entry and serve until the context exits.
 
-    :param settings: checked settings.
+    :param settings: validated settings.
     :return: the running entry.
     """
     incarnation = new_incarnation()
     async with HttpClient() as client:
-        platform = platform_of(client, settings.platform)
+        platform = platform_client(client, settings.platform)
         claim_settings = ClaimSettings(
             shards=settings.once.shards,
             keep_seconds=settings.once.keep_seconds,
         )
         async with ShardedClaims(platform, claim_settings) as claims:
-            parts = EntryParts(
+            dependencies = EntryParts(
                 settings=settings,
                 peer_secret=PeerSecret(resolve_secret(settings.peer_secret)),
                 incarnation=incarnation,
@@ -48,14 +48,14 @@
                 claims=claims,
                 balancer_seconds=settings.balancer_seconds,
             )
-            async with Entry(parts) as entry:
+            async with Entry(dependencies) as entry:
                 yield entry
 
 
 async def run_entry(settings: EntrySettings) -> int:
     """Run an entry until a signal has drained it.
 
-    :param settings: checked settings.
+    :param settings: validated settings.
     :return: the exit code.
     """
     async with open_entry(settings) as entry:
--- a/src/sardinetrack/compose/local.py
+++ b/src/sardinetrack/compose/local.py
@@ -1,4 +1,4 @@
-"""Wire and run everything in one process, with stand-ins outside."""
+"""Run a fleet in one process, with a stand-in platform and backend servers."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from typing import Final
 
 from sardinetrack.compose.entry import open_entry
-from sardinetrack.compose.local_ready import wait_ready
-from sardinetrack.compose.local_seed import (
+from sardinetrack.compose.local_catalogue import (
     MODEL,
     MODEL_POOL,
     SERVICE_POOL,
-    seed,
+    write_catalogue,
 )
+from sardinetrack.compose.local_ready import wait_ready
 from sardinetrack.compose.side import open_side
 from sardinetrack.config.model import EntrySettings, SideSettings
 from sardinetrack.entry.daemon import Entry
@@ -32,17 +32,17 @@
 from sardinetrack.store.in_process import MemoryPlatform
 
 _IP: Final = '127.0.0.1'
-_DOMAIN: Final = 'local'
-_ENGINES: Final = 2
-_SERVERS: Final = 2
+_FAILURE_DOMAIN: Final = 'local'
+_ENGINE_COUNT: Final = 2
+_SERVICE_COUNT: Final = 2
 _TOKEN_BYTES: Final = 18
 
 
-class Local(Drainable):
-    """A whole small fleet on loopback; an entry, sides and stand-ins."""
+class LocalFleet(Drainable):
+    """A small fleet on loopback: one entry, sides and stand-ins."""
 
     def __init__(self, port: int) -> None:
-        """Prepare.
+        """Create the fleet's secrets and an empty platform.
 
         :param port: the callers' port; 0 takes any free one.
         """
@@ -57,9 +57,9 @@
 
     @asynccontextmanager
     async def open(self) -> AsyncIterator[LocalReady]:
-        """Serve while the context lasts.
+        """Serve until the context exits.
 
-        :return: what a caller needs to know.
+        :return: the addresses and the token that callers need.
         """
         async with AsyncExitStack() as stack:
             server = await stack.enter_async_context(
@@ -70,7 +70,7 @@
                 ),
             )
             self._platform_url = server.url
-            await seed(self._platform, self._token)
+            await write_catalogue(self._platform, self._token)
             await self._open_backend_servers(stack)
             self._entry = await stack.enter_async_context(
                 open_entry(self._entry_settings()),
@@ -86,19 +86,19 @@
             )
 
     async def run(self) -> None:
-        """Return when a drain is over."""
+        """Wait until the entry has drained."""
         await self._entry.run()
 
     async def drain(self) -> None:
-        """Finish the callers' requests; the sides have none after that."""
+        """Drain the entry; after that the sides have no requests either."""
         await self._entry.drain()
 
     async def _open_backend_servers(self, stack: AsyncExitStack) -> None:
-        for number in range(_ENGINES):
+        for number in range(_ENGINE_COUNT):
             engine = Engine(EngineSettings(model=MODEL))
             url = await stack.enter_async_context(hosting(engine, _IP, 0))
             await self._open_side(stack, MODEL_POOL, f'engine-{number}', url)
-        for number in range(_SERVERS):
+        for number in range(_SERVICE_COUNT):
             service = Service(ServiceSettings())
             url = await stack.enter_async_context(hosting(service, _IP, 0))
             name = f'service-{number}'
@@ -119,7 +119,7 @@
                 instance=settings.instance,
                 role='side',
                 address=side.peer.address,
-                failure_domain=_DOMAIN,
+                failure_domain=_FAILURE_DOMAIN,
                 pool=pool,
                 backend_server=backend_server,
             ),
@@ -156,7 +156,7 @@
     def _common_settings(self, instance: str) -> dict[str, object]:
         return {
             'instance': instance,
-            'failure_domain': _DOMAIN,
+            'failure_domain': _FAILURE_DOMAIN,
             'platform': {
                 'url': self._platform_url,
                 'token': {'value': self._platform_token},
@@ -171,8 +171,8 @@
     :param port: the callers' port; 0 takes any free one.
     :return: the exit code.
     """
-    local = Local(port)
-    async with local.open() as ready:
+    fleet = LocalFleet(port)
+    async with fleet.open() as ready:
         print_ready(ready)
-        await run_until_drained(local)
+        await run_until_drained(fleet)
     return 0
--- a/src/sardinetrack/compose/local_seed.py
+++ b/src/sardinetrack/compose/local_catalogue.py
@@ -17,14 +17,15 @@
 _LIMITS: Final = MappingProxyType(
     {'concurrency': 64, 'rate_per_second': 1000, 'waiting': 1000},
 )
-"""For a first try with any load tool, which nobody else shares; the defaults
-of a class would refuse 300 calls over 60 connections."""
+"""High enough to try any load tool on this fleet, which no other workspace
+shares; the default limits of a class would refuse 300 calls over 60
+connections."""
 
 
-async def seed(platform: Platform, token: str) -> None:
-    """Write one workspace, one model pool and one plain service.
+async def write_catalogue(platform: Platform, token: str) -> None:
+    """Write a workspace, a model pool and a plain service.
 
-    :param platform: an empty platform.
+    :param platform: a platform whose store is empty.
     :param token: the bearer token of the workspace's caller.
     """
     digest = sha256(token.encode()).hexdigest()
@@ -36,8 +37,8 @@
     await _put(platform, EntryKind.WORKSPACE, _WORKSPACE, workspace)
     models = {'class': 'model', 'models': [MODEL]}
     await _put(platform, EntryKind.POOL, MODEL_POOL, models)
-    reads = {'method': 'GET', 'path_prefix': '/'}
-    service = {'class': 'service', 'repeatable': [reads]}
+    repeatable = {'method': 'GET', 'path_prefix': '/'}
+    service = {'class': 'service', 'repeatable': [repeatable]}
     await _put(platform, EntryKind.POOL, SERVICE_POOL, service)
 
 
--- a/src/sardinetrack/compose/node.py
+++ b/src/sardinetrack/compose/node.py
@@ -1,4 +1,4 @@
-"""Wire and run the processes of a platform node: an entry or a side."""
+"""Build and run the processes of an instance: an entry or a side."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from typing import Final
 
 from sardinetrack import __version__
-from sardinetrack.compose.view import view_of, watcher_of
+from sardinetrack.compose.view import entry_view, side_watcher
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.platform.dialect import READY_PATH, PlatformDialect
 from sardinetrack.platform.errors import SettingsFileError
@@ -26,15 +26,15 @@
 from sardinetrack.relay.settings import NodeSettings
 from sardinetrack.turns.side import Side
 
-_FLUSH_SECONDS: Final = 0.2
+_FLUSH_INTERVAL_SECONDS: Final = 0.2
 _GC_THRESHOLDS: Final = (20_000, 20, 100)
-"""Full collections are rare: one stops a busy entry for 0.2 s and more."""
+"""Makes full collections rare: one pauses a busy entry for 0.2 s or more."""
 _BAD_USAGE: Final = 2
 METRICS_PATH: Final = b'/metrics'
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run one process of a node until it is told to stop.
+    """Run an entry or a side until a signal stops it.
 
     :param arguments: the role, ``entry`` or ``side``.
     :return: the exit code.
@@ -58,8 +58,8 @@
         failure_domain=settings.failure_domain,
         settings=repr(settings),
     )
-    # Everything imported stays for good; walking through it at each full
-    # collection would stop the loop for tens of milliseconds.
+    # Imported objects live until exit. Walking through them at each full
+    # collection would block the event loop for tens of milliseconds.
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
     asyncio.run(runner(settings, log))
@@ -68,7 +68,7 @@
     return 0
 
 
-def _note_fault(
+def _log_fault(
     log: EventLog,
     _loop: asyncio.AbstractEventLoop,
     context: Mapping[str, object],
@@ -79,16 +79,16 @@
 
 async def _run_entry(settings: NodeSettings, log: EventLog) -> None:
     stop = _stop_event(log)
-    fleet = Fleet(settings, log)
+    state = Fleet(settings, log)
     asyncio.get_running_loop().add_signal_handler(
         signal.SIGHUP,
         reload_settings,
-        fleet,
+        state,
         log,
     )
     store = PlatformStore(settings.store)
-    view = view_of(fleet, store)
-    entry = Entry(fleet, PlatformDialect(), view)
+    view = entry_view(state, store)
+    entry = Entry(state, PlatformDialect(), view)
     assert settings.ready is not None  # noqa: S101
     pages = {READY_PATH: lambda: readiness_page(ready=entry.ready)}
     loop = asyncio.get_running_loop()
@@ -99,17 +99,17 @@
         )
         await _serve_metrics(
             settings,
-            lambda metrics: metrics.entry_metrics(fleet, store.use),
+            lambda metrics: metrics.entry_metrics(state, store.use),
         )
         await stop.wait()
         log.write(Event.STOPPING)
         await entry.drain()
 
 
-def reload_settings(fleet: Fleet, log: EventLog) -> None:
-    """Read the settings again; broken ones leave the last good in force."""
+def reload_settings(state: Fleet, log: EventLog) -> None:
+    """Reread the settings file; if it is invalid, keep the old settings."""
     try:
-        changed = fleet.reload(read_settings(settings_path()))
+        changed = state.reload(read_settings(settings_path()))
     except SettingsFileError as error:
         log.write(Event.CONFIG_REFUSED, what='settings', cause=str(error))
     else:
@@ -119,7 +119,7 @@
 async def _run_side(settings: NodeSettings, log: EventLog) -> None:
     stop = _stop_event(log)
     store = PlatformStore(settings.store)
-    watcher = watcher_of(settings, store, log)
+    watcher = side_watcher(settings, store, log)
     address = (settings.ip, settings.turns_port)
     async with Side(address, watcher, log) as side:
         await _serve_metrics(
@@ -128,29 +128,30 @@
         )
         while not stop.is_set():
             log.flush()
-            await asyncio.sleep(_FLUSH_SECONDS)
+            await asyncio.sleep(_FLUSH_INTERVAL_SECONDS)
         log.write(Event.STOPPING)
 
 
-def _page(
-    tell: Callable[[ModuleType], Iterable[object]],
+def _metrics_page(
+    collect: Callable[[ModuleType], Iterable[object]],
 ) -> tuple[int, bytes]:
     metrics = import_module('sardinetrack.relay.metrics')
-    return HTTPStatus.OK, metrics.page_of(partial(tell, metrics))
+    return HTTPStatus.OK, metrics.page_of(partial(collect, metrics))
 
 
 async def _serve_metrics(
     settings: NodeSettings,
-    tell: Callable[[ModuleType], Iterable[object]],
+    collect: Callable[[ModuleType], Iterable[object]],
 ) -> None:
-    """Serve the page of the metrics.
+    """Serve the metrics page.
 
-    The library is loaded when the page is first asked for: it would be a
-    tenth of the time in which a killed process is ready again.
+    The metrics library is loaded on the first request for the page. Loading it
+    at the start would take a tenth of the time in which a killed process is
+    ready again.
     """
     loop = asyncio.get_running_loop()
     await loop.create_server(
-        lambda: PageConnection({METRICS_PATH: partial(_page, tell)}),
+        lambda: PageConnection({METRICS_PATH: partial(_metrics_page, collect)}),
         settings.ip,
         settings.metrics_port,
     )
@@ -158,9 +159,10 @@
 
 def _stop_event(log: EventLog) -> asyncio.Event:
     loop = asyncio.get_running_loop()
-    # The loop's own handler writes a traceback of ten lines each time, which
-    # takes longer than what failed when that comes a thousand times a second.
-    loop.set_exception_handler(partial(_note_fault, log))
+    # The event loop's default handler writes a traceback of ten lines for each
+    # error. At a thousand errors a second that takes longer than the work that
+    # failed.
+    loop.set_exception_handler(partial(_log_fault, log))
     stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
--- a/src/sardinetrack/compose/platform.py
+++ b/src/sardinetrack/compose/platform.py
@@ -1,4 +1,4 @@
-"""Wire the platform's client."""
+"""Build the client of the platform's store."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 from sardinetrack.store.http import HttpPlatform
 
 
-def platform_of(client: HttpClient, settings: PlatformSettings) -> HttpPlatform:
-    """Build the platform's client from settings."""
+def platform_client(
+    client: HttpClient,
+    settings: PlatformSettings,
+) -> HttpPlatform:
+    """Build the client of the platform's store from settings."""
     return HttpPlatform(
         client,
         settings.url,
--- a/src/sardinetrack/compose/side.py
+++ b/src/sardinetrack/compose/side.py
@@ -1,4 +1,4 @@
-"""Wire and run a side."""
+"""Build and run a side, the sidecar process of a backend server."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Final
 
 from sardinetrack.admission.slots import SlotAdmission
-from sardinetrack.compose.platform import platform_of
+from sardinetrack.compose.platform import platform_client
 from sardinetrack.config.model import SideSettings
 from sardinetrack.config.secret import resolve_secret
 from sardinetrack.http.client import HttpClient
@@ -20,20 +20,20 @@
 from sardinetrack.side.relayed import RelayedConfiguration
 
 _NO_SLOTS: Final = 0
-"""Before a configuration has come a side takes no work."""
+"""A side admits no requests until its first configuration arrives."""
 
 
 @asynccontextmanager
 async def open_side(settings: SideSettings) -> AsyncIterator[Side]:
-    """Wire a side and serve while the context lasts.
+    """Build a side and serve until the context exits.
 
-    :param settings: checked settings.
+    :param settings: validated settings.
     :return: the running side.
     """
     incarnation = new_incarnation()
     async with HttpClient() as client:
-        platform = platform_of(client, settings.platform)
-        parts = SideParts(
+        platform = platform_client(client, settings.platform)
+        dependencies = SideParts(
             settings=settings,
             peer_secret=PeerSecret(resolve_secret(settings.peer_secret)),
             incarnation=incarnation,
@@ -41,14 +41,14 @@
             configuration=RelayedConfiguration(settings.pool),
             platform=platform,
         )
-        async with Side(parts) as side:
+        async with Side(dependencies) as side:
             yield side
 
 
 async def run_side(settings: SideSettings) -> int:
     """Run a side until a signal has drained it.
 
-    :param settings: checked settings.
+    :param settings: validated settings.
     :return: the exit code.
     """
     async with open_side(settings) as side:
--- a/src/sardinetrack/compose/view.py
+++ b/src/sardinetrack/compose/view.py
@@ -1,4 +1,4 @@
-"""Wire a node's view of the store: an entry's, and the one a side lends."""
+"""Build the store views: an entry's, and the one a side lends to entries."""
 
 from __future__ import annotations
 
@@ -40,90 +40,93 @@
     Watcher,
 )
 
-_WATCHED: Final = MappingProxyType(
+_SIDE_WATCH_SECONDS: Final = MappingProxyType(
     {
         CONFIGURATION_PREFIX: WATCH_SECONDS,
         SERVERS_PREFIX: SLOW_WATCH_SECONDS,
         EVACUATIONS_PREFIX: SLOW_WATCH_SECONDS,
     },
 )
-"""What a side watches for entries, and how long each call waits."""
+"""How long each watch call of a side waits, by the prefix of the objects."""
 
 
 def watched_prefixes(settings: NodeSettings) -> tuple[str, ...]:
-    """Name the kinds of objects that are followed on a platform."""
+    """Return the prefixes of the objects to watch."""
     return tuple(
         prefix
-        for prefix in _WATCHED
+        for prefix in _SIDE_WATCH_SECONDS
         if prefix != EVACUATIONS_PREFIX or settings.evacuates
     )
 
 
 class PlatformDecoder(Decoder):
-    """Reads the objects as the platform's operator and servers write them."""
+    """Decodes objects that the platform's operator or a server wrote."""
 
     def configuration(self, stored: StoredObject) -> Configuration | None:
-        """Read a configuration; ``None`` for another object."""
+        """Decode a configuration; ``None`` for any other object."""
         if stored.key != CONFIGURATION_KEY:
             return None
         return configuration_of(stored.value)
 
     def server(self, stored: StoredObject) -> BackendServer:
-        """Read a server."""
+        """Decode a backend server."""
         instance = stored.key.partition('/')[2]
         return server_of(instance, stored.value, stored.version)
 
 
-class StoreFeeds(Feeds):
-    """Ways to the platform's store."""
+class StoreFeedFactory(Feeds):
+    """Creates feeds of the platform's store."""
 
     def __init__(self, store: PlatformStore, log: EventLog) -> None:
-        """Remember the store."""
         self._store = store
         self._log = log
 
     def open(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
-        """Make a feed for each mirror."""
-        way = StoreWay(self._store)
+        """Create a feed for each mirror."""
+        access = StoreWay(self._store)
         return [
-            Feed(way, prefix, mirror, self._log, _WATCHED[prefix])
+            Feed(access, prefix, mirror, self._log, _SIDE_WATCH_SECONDS[prefix])
             for prefix, mirror in mirrors.items()
         ]
 
 
-def view_of(fleet: Fleet, store: PlatformStore) -> ViewSource:
-    """Wire an entry's view of the store."""
+def entry_view(state: Fleet, store: PlatformStore) -> ViewSource:
+    """Build an entry's view of the store."""
     decoder = PlatformDecoder()
-    followers = {
-        CONFIGURATION_PREFIX: ConfigurationFollower(fleet, decoder),
-        SERVERS_PREFIX: ServersFollower(fleet, decoder),
-        EVACUATIONS_PREFIX: EvacuationsFollower(fleet),
+    listeners = {
+        CONFIGURATION_PREFIX: ConfigurationFollower(state, decoder),
+        SERVERS_PREFIX: ServersFollower(state, decoder),
+        EVACUATIONS_PREFIX: EvacuationsFollower(state),
     }
     views = {
-        prefix: BorrowedView(followers[prefix], boot_clock)
-        for prefix in watched_prefixes(fleet.settings)
+        prefix: BorrowedView(listeners[prefix], boot_clock)
+        for prefix in watched_prefixes(state.settings)
     }
-    way = StoreWay(store)
+    access = StoreWay(store)
     feeds = [
-        Feed(way, prefix, view, fleet.log, _own_wait_seconds(prefix))
+        Feed(access, prefix, view, state.log, _direct_watch_seconds(prefix))
         for prefix, view in views.items()
     ]
-    own = OwnFeeds(feeds, way)
-    source = ViewSource(own, views, SideNeighbours(fleet), fleet.log)
-    fleet.sides.views = source
+    direct = OwnFeeds(feeds, access)
+    source = ViewSource(direct, views, SideNeighbours(state), state.log)
+    state.sides.views = source
     return source
 
 
-def watcher_of(
+def side_watcher(
     settings: NodeSettings,
     store: PlatformStore,
     log: EventLog,
 ) -> Watcher:
-    """Wire what a side lends to entries."""
-    return Watcher(StoreFeeds(store, log), watched_prefixes(settings), log)
+    """Build the watcher that lends the view of a side to entries."""
+    return Watcher(
+        StoreFeedFactory(store, log),
+        watched_prefixes(settings),
+        log,
+    )
 
 
-def _own_wait_seconds(prefix: str) -> float:
+def _direct_watch_seconds(prefix: str) -> float:
     if prefix == CONFIGURATION_PREFIX:
         return CONFIRM_SECONDS
     return CALM_SECONDS
