--- a/src/sardinetrack/cli/explain.py
+++ b/src/sardinetrack/cli/explain.py
@@ -8,7 +8,7 @@
 from sardinetrack.cli.api import Command, CommandError
 from sardinetrack.cli.exit_codes import ExitCode
 from sardinetrack.cli.logs import read_logs
-from sardinetrack.logs.story import Line, Story, tell_story
+from sardinetrack.logs.request_trace import Line, RequestTrace, trace_request
 
 
 class ExplainCommand(Command):
@@ -29,33 +29,35 @@
 
     def run(self, options: Namespace) -> int:
         """Print the story."""
-        story = tell_story(options.request_id, read_logs(options.logs))
-        if not story.steps:
-            raise CommandError(_nothing(options.request_id, story))
-        for text in _sentences(story):
+        trace = trace_request(options.request_id, read_logs(options.logs))
+        if not trace.steps:
+            raise CommandError(_nothing(options.request_id, trace))
+        for text in _sentences(trace):
             sys.stdout.write(f'{text}\n')
         return ExitCode.DONE
 
 
-def _nothing(request_id: str, story: Story) -> str:
+def _nothing(request_id: str, trace: RequestTrace) -> str:
     text = f'no line is about {request_id}'
-    dropped = _dropped(story)
+    dropped = _dropped(trace)
     return f'{text}; {dropped}' if dropped else text
 
 
-def _sentences(story: Story) -> list[str]:
-    texts = [f'state of its entry: {_fields(line)}' for line in story.state]
-    texts.extend(_fields(step) for step in story.steps)
-    if not story.complete:
+def _sentences(trace: RequestTrace) -> list[str]:
+    texts = [
+        f'state of its entry: {_fields(line)}' for line in trace.entry_state
+    ]
+    texts.extend(_fields(step) for step in trace.steps)
+    if not trace.complete:
         texts.append('its entry has not told its end: a file is missing')
-    dropped = _dropped(story)
+    dropped = _dropped(trace)
     if dropped:
         texts.append(dropped)
     return texts
 
 
-def _dropped(story: Story) -> str:
-    counts = (f'{node} {lines}' for node, lines in story.dropped.items())
+def _dropped(trace: RequestTrace) -> str:
+    counts = (f'{node} {lines}' for node, lines in trace.dropped.items())
     told = ', '.join(counts)
     return f'lines were dropped, some may be of this request: {told}' * bool(
         told,
--- a/src/sardinetrack/cli/logs.py
+++ b/src/sardinetrack/cli/logs.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from sardinetrack.cli.api import CommandError
-from sardinetrack.logs.story import Line, parse_lines
+from sardinetrack.logs.request_trace import Line, parse_lines
 
 
 def read_logs(names: list[str]) -> list[list[Line]]:
--- a/src/sardinetrack/logs/__init__.py
+++ b/src/sardinetrack/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Log lines: short sentences with a fixed prefix for each part."""
+"""Log lines: a short message with fields, under a component's prefix."""
 
 from __future__ import annotations
 
--- a/src/sardinetrack/logs/configure.py
+++ b/src/sardinetrack/logs/configure.py
@@ -1,4 +1,4 @@
-"""Set up logging of a process, to standard error."""
+"""Configure the logging of a process, to standard error."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from typing import TextIO
 
 from sardinetrack.logs.formatters import JsonFormatter, TextFormatter
-from sardinetrack.logs.lines import ROOT
+from sardinetrack.logs.lines import ROOT_LOGGER
 
 
 class LogFormat(StrEnum):
-    """How lines are written."""
+    """Format of log lines."""
 
     TEXT = 'text'
     JSON = 'json'
 
     def formatter(self) -> logging.Formatter:
-        """Build the formatter that writes so."""
+        """Return a new formatter for this format."""
         if self is LogFormat.JSON:
             return JsonFormatter()
         return TextFormatter()
@@ -29,16 +29,16 @@
     level: str,
     stream: TextIO | None = None,
 ) -> None:
-    """Write the lines of this process; a later call replaces an earlier one.
+    """Configure logging of this process, replacing an earlier configuration.
 
     :param log_format: text for people, JSON for programs.
-    :param level: lowest level of the system's own lines; libraries speak
-        from warnings upwards.
-    :param stream: where to write, standard error when not given.
+    :param level: lowest level of the system's own lines; libraries log warnings
+        and above.
+    :param stream: where to write; standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(log_format.formatter())
     root = logging.getLogger()
     root.handlers = [handler]
     root.setLevel(logging.WARNING)
-    logging.getLogger(ROOT).setLevel(level.upper())
+    logging.getLogger(ROOT_LOGGER).setLevel(level.upper())
--- a/src/sardinetrack/logs/events.py
+++ b/src/sardinetrack/logs/events.py
@@ -1,7 +1,8 @@
 """Structured lines on standard output: one for each decision.
 
-The writer never blocks: lines wait in a bounded buffer, and what a stuck
-reader makes it drop is counted and told by the next line that gets through.
+The writer never blocks: lines wait in a bounded buffer. Lines that don't fit
+because the reader is stuck are dropped and counted, and a later line reports
+the count.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 
 import msgspec
 
-MOST_LINES: Final = 2000
+MAX_LINES: Final = 2000
 """Lines that wait for a slow reader; about 500 KB at 250 bytes a line."""
-_MOST_BYTES: Final = 65_536
-"""Bytes written at once: the usual capacity of a pipe."""
-_FAILED_STATUS: Final = 400
+_MAX_WRITE_BYTES: Final = 65_536
+"""Target size of one write: the usual capacity of a pipe."""
+_MIN_ERROR_STATUS: Final = 400
 
 
 class Event(StrEnum):
-    """Every kind of line; docs/OPERATIONS.md has the table."""
+    """Kinds of lines; docs/OPERATIONS.md describes each."""
 
     STARTED = 'started'
     STOPPING = 'stopping'
@@ -63,55 +64,55 @@
 class EventLog:
     """Writes lines without ever waiting for their reader."""
 
-    def __init__(self, fileno: int, node: str) -> None:
-        """Take over a file descriptor, and make it non-blocking.
+    def __init__(self, fileno: int, instance: str) -> None:
+        """Make the file descriptor non-blocking.
 
-        :param fileno: of standard output.
-        :param node: name of this instance, in each line.
+        :param fileno: file descriptor of standard output.
+        :param instance: name of this instance, written in each line.
         """
         os.set_blocking(fileno, False)
         self._fileno = fileno
-        self._node = node
+        self._instance = instance
         self._encode = msgspec.json.Encoder().encode
-        self._waiting: deque[bytes] = deque()
+        self._buffer: deque[bytes] = deque()
         self._partial = b''
         self.dropped = 0
-        self._dropped_told = 0
+        self._dropped_reported = 0
 
     def write(self, event: Event, **fields: object) -> None:
-        """Put one line in the buffer.
+        """Add one line to the buffer.
 
-        :param event: its kind.
-        :param fields: what decided, with units in the names.
+        :param event: the kind of line.
+        :param fields: the values behind the decision, with units in the names.
         """
-        if len(self._waiting) >= MOST_LINES and not self._make_room(fields):
+        if len(self._buffer) >= MAX_LINES and not self._evict_for(fields):
             self.dropped += 1
             return
-        line = {'time': round(time.time(), 3), 'node': self._node}
+        line = {'time': round(time.time(), 3), 'node': self._instance}
         line['event'] = event
         self._append({**line, **fields})
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
-        while self._partial or self._waiting:
+        """Write as much as the reader accepts without blocking."""
+        while self._partial or self._buffer:
             if not self._partial:
                 self._partial = self._next_block()
             if not self._write_partial():
                 return
-        if self.dropped > self._dropped_told:
-            # Told only when the reader goes on: one such line for each flush
-            # would fill the memory that the bound is there to keep.
-            self._dropped_told = self.dropped
+        if self.dropped > self._dropped_reported:
+            # Reported only once the reader has caught up: one such line for
+            # each flush would use up the memory that the limit protects.
+            self._dropped_reported = self.dropped
             self.write(Event.LINES_DROPPED, lines=self.dropped)
 
     def _append(self, line: dict[str, object]) -> None:
-        self._waiting.append(b'%b\n' % self._encode(line))
+        self._buffer.append(b'%b\n' % self._encode(line))
 
-    def _make_room(self, fields: dict[str, object]) -> bool:
-        """Drop the oldest line in favour of one about a failed request."""
+    def _evict_for(self, fields: dict[str, object]) -> bool:
+        """Drop the oldest line if the new one is about a failed request."""
         status = fields.get('status')
-        if isinstance(status, int) and status >= _FAILED_STATUS:
-            self._waiting.popleft()
+        if isinstance(status, int) and status >= _MIN_ERROR_STATUS:
+            self._buffer.popleft()
             self.dropped += 1
             return True
         return False
@@ -119,8 +120,8 @@
     def _next_block(self) -> bytes:
         lines: list[bytes] = []
         size = 0
-        while self._waiting and size < _MOST_BYTES:
-            lines.append(self._waiting.popleft())
+        while self._buffer and size < _MAX_WRITE_BYTES:
+            lines.append(self._buffer.popleft())
             size += len(lines[-1])
         return b''.join(lines)
 
@@ -130,9 +131,9 @@
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody reads the lines any more; there is nowhere to tell it.
+            # The reader has closed its end, so the error cannot be reported.
             self._partial = b''
-            self._waiting.clear()
+            self._buffer.clear()
             return False
         self._partial = self._partial[written:]
         return True
--- a/src/sardinetrack/logs/formatters.py
+++ b/src/sardinetrack/logs/formatters.py
@@ -10,47 +10,47 @@
 from datetime import UTC, datetime
 from typing import Final
 
-from sardinetrack.logs.lines import FIELDS, FieldValue
-from sardinetrack.logs.mask import MASK, mask_text, names_secret
+from sardinetrack.logs.lines import FIELDS_KEY, FieldValue
+from sardinetrack.logs.mask import MASK, is_secret_name, mask_text
 
-_PLAIN: Final = re.compile(r'[\w.:/@+\-]+')
+_UNQUOTED: Final = re.compile(r'[\w.:/@+\-]+')
 
 
 class MaskingFormatter(logging.Formatter):
-    """Base of the formats; masks secrets as its last step."""
+    """Base class of the formatters; masks secrets as the last step."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Write one record as one line, a traceback in text excepted."""
+        """Format a record as one line; in text, a traceback adds more."""
         return mask_text(self.render(record))
 
     @abstractmethod
     def render(self, record: logging.LogRecord) -> str:
-        """Write one record before masking."""
+        """Format a record before masking."""
 
     def traceback(self, record: logging.LogRecord) -> str:
-        """Write the record's traceback, empty when it has none."""
+        """Format the record's traceback; empty if it has none."""
         return self.formatException(record.exc_info) if record.exc_info else ''
 
 
 class TextFormatter(MaskingFormatter):
-    """``LEVEL prefix: sentence key=value ...``."""
+    """``LEVEL prefix: message key=value ...``."""
 
     def render(self, record: logging.LogRecord) -> str:
-        """Write one record as text."""
-        sentence = record.getMessage().replace('\n', r'\n')
-        words = [f'{record.levelname} {_prefix(record)}: {sentence}']
+        """Format a record as text."""
+        message = record.getMessage().replace('\n', r'\n')
+        chunks = [f'{record.levelname} {_prefix(record)}: {message}']
         for name, field in _fields(record).items():
-            words.append(f'{name}={_text(field)}')
+            chunks.append(f'{name}={_format_value(field)}')
         trace = self.traceback(record)
-        line = ' '.join(words)
+        line = ' '.join(chunks)
         return f'{line}\n{trace}' if trace else line
 
 
 class JsonFormatter(MaskingFormatter):
-    """One JSON object a line."""
+    """One JSON object per line."""
 
     def render(self, record: logging.LogRecord) -> str:
-        """Write one record as JSON."""
+        """Format a record as JSON."""
         when = datetime.fromtimestamp(record.created, UTC)
         line: dict[str, FieldValue] = {
             'time': when.isoformat(timespec='milliseconds'),
@@ -70,14 +70,14 @@
 
 
 def _fields(record: logging.LogRecord) -> Mapping[str, FieldValue]:
-    fields: Mapping[str, FieldValue] = getattr(record, FIELDS, {})
+    fields: Mapping[str, FieldValue] = getattr(record, FIELDS_KEY, {})
     return {
-        name: MASK if names_secret(name) else field
+        name: MASK if is_secret_name(name) else field
         for name, field in fields.items()
     }
 
 
-def _text(field: FieldValue) -> str:
-    if isinstance(field, str) and not _PLAIN.fullmatch(field):
+def _format_value(field: FieldValue) -> str:
+    if isinstance(field, str) and not _UNQUOTED.fullmatch(field):
         return json.dumps(field, ensure_ascii=False)
     return str(field)
--- a/src/sardinetrack/logs/lines.py
+++ b/src/sardinetrack/logs/lines.py
@@ -1,4 +1,4 @@
-"""Write log lines: a sentence, typed fields and the prefix of a part."""
+"""Write log lines: a message, typed fields and a component's prefix."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 FieldValue = str | int | float | bool | None
 
-FIELDS: Final = 'sardinetrack_fields'
+FIELDS_KEY: Final = 'sardinetrack_fields'
 """Name of the log record's attribute that holds the fields."""
-ROOT: Final = 'sardinetrack'
+ROOT_LOGGER: Final = 'sardinetrack'
 
 
 class Part(StrEnum):
-    """A part of the system; the value is the prefix of its lines."""
+    """A component of the system; the value is the prefix of its lines."""
 
     ENTRY = 'entry'
     SIDE = 'side'
@@ -32,30 +32,30 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionRecord:
-    """One routing or placement decision; ``None`` is left out of the line."""
+    """A routing or placement decision; ``None`` fields are not written."""
 
     request_id: str | None
     """``None`` where only the attempt is known."""
     workspace: str
     pool: str
     backend_server: str
-    """Empty where the decision was to run it nowhere."""
+    """Empty if the decision was not to run the request anywhere."""
     reason: str
     attempt_id: str = ''
     waited_seconds: float | None = None
     suspect: bool | None = None
-    """Whether it was running when another backend server crashed."""
+    """Whether the request was running when another backend server crashed."""
 
 
 class PartLogger:
-    """Logger of one part."""
+    """Logger of one component."""
 
     def __init__(self, part: Part) -> None:
-        """Write under the prefix of a part."""
-        self._logger = logging.getLogger(f'{ROOT}.{part.value}')
+        """Log under the component's prefix."""
+        self._logger = logging.getLogger(f'{ROOT_LOGGER}.{part.value}')
 
     def decision(self, sentence: str, record: DecisionRecord) -> None:
-        """Write the line of a routing or placement decision."""
+        """Log a routing or placement decision."""
         if self._logger.isEnabledFor(logging.INFO):
             fields = {
                 name: field
@@ -65,24 +65,24 @@
             self._write(logging.INFO, sentence, fields)
 
     def debug(self, sentence: str, **fields: FieldValue) -> None:
-        """Tell a detail."""
+        """Log a detail."""
         self._write(logging.DEBUG, sentence, fields)
 
     def info(self, sentence: str, **fields: FieldValue) -> None:
-        """Tell an ordinary event."""
+        """Log an ordinary event."""
         self._write(logging.INFO, sentence, fields)
 
     def warning(self, sentence: str, **fields: FieldValue) -> None:
-        """Tell of a failure that the system copes with."""
+        """Log a failure that the system handles itself."""
         self._write(logging.WARNING, sentence, fields)
 
     def error(self, sentence: str, **fields: FieldValue) -> None:
-        """Tell of a failure that an operator should look at."""
+        """Log a failure that needs an operator's attention."""
         self._write(logging.ERROR, sentence, fields)
 
     def exception(self, sentence: str, **fields: FieldValue) -> None:
-        """Tell of a fault in the program, with the traceback at hand."""
-        self._logger.error(sentence, exc_info=True, extra={FIELDS: fields})
+        """Log a program fault with the traceback of the current exception."""
+        self._logger.error(sentence, exc_info=True, extra={FIELDS_KEY: fields})
 
     def _write(
         self,
@@ -90,4 +90,4 @@
         sentence: str,
         fields: dict[str, FieldValue],
     ) -> None:
-        self._logger.log(level, sentence, extra={FIELDS: fields})
+        self._logger.log(level, sentence, extra={FIELDS_KEY: fields})
--- a/src/sardinetrack/logs/mask.py
+++ b/src/sardinetrack/logs/mask.py
@@ -1,4 +1,4 @@
-"""Keep secrets out of log lines, whatever a caller of the logger passes."""
+"""Mask secrets in log lines, whatever is passed to the logger."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 def mask_text(text: str) -> str:
     """Mask bearer tokens.
 
-    The parts pass no tokens to the logger. This is the second safeguard: a
-    header that slips into a sentence or a traceback would let any reader of
-    the logs act as that caller. Every line passes here as its last step.
+    Components pass no tokens to the logger; this is a second safeguard. A
+    header that got into a message or a traceback would let any reader of the
+    logs act as that caller, so every line is masked as the last step.
 
-    :param text: a finished log line.
-    :return: the line without what follows the word ``Bearer``.
+    :param text: a formatted log line.
+    :return: the line with what follows the word ``Bearer`` masked.
     """
     return _BEARER.sub(rf'\1{MASK}', text)
 
 
-def names_secret(field: str) -> bool:
-    """Tell whether a field's name says that its value is secret."""
+def is_secret_name(field: str) -> bool:
+    """Return whether a field's name marks its value as secret."""
     return field.lower() in _SECRET_NAMES
--- a/src/sardinetrack/reports/summary.py
+++ b/src/sardinetrack/reports/summary.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from sardinetrack.logs.events import Event
-from sardinetrack.logs.story import Line
+from sardinetrack.logs.request_trace import Line
 
 SERVED: Final = 'served'
 LATE: Final = 'late'
--- a/tests/logs/events.feature
+++ b/tests/logs/events.feature
@@ -1,32 +1,32 @@
-Feature: Lines that never wait for their reader
+Feature: Writing event lines never blocks
 
-  Scenario: A reader that stops delays nobody
+  Scenario: A stopped reader blocks no write
     The reader of standard output hangs. Lines wait in a bounded buffer;
-    no write blocks, and what is dropped is counted.
+    no write blocks, and dropped lines are counted.
 
     Given a log whose reader has stopped
     When 20000 lines are written
     Then no write took longer than 0.05 seconds
-    And the memory of waiting lines is bounded
+    And the number of buffered lines is limited
 
-  Scenario: What was dropped is told when the reader goes on
+  Scenario: Dropped lines are reported when the reader resumes
     Given a log whose reader has stopped
     When 20000 lines are written
-    And the reader goes on
-    Then a line tells how many lines were dropped
-    And every line that came is whole
+    And the reader resumes
+    Then a line reports how many lines were dropped
+    And every line received is complete
 
-  Scenario: Lines about failed requests are kept before good ones
+  Scenario: Lines about failed requests take precedence when the buffer is full
     Given a log whose reader has stopped
     When 20000 lines are written
     And a line about a request with status 502 is written
-    And the reader goes on
-    Then the line about status 502 is there
+    And the reader resumes
+    Then the line about status 502 is received
 
-  Scenario: A reader that is gone is no fault
+  Scenario: A closed reader causes no error
     Given a log whose reader has stopped
     When the reader closes its end
-    Then writing goes on without an error
+    Then writing continues without an error
 
-  Scenario: The page lists every kind of line
+  Scenario: The operations page lists every kind of line
     Then docs/OPERATIONS.md has a row for each kind of line and no other
--- a/tests/logs/lines.feature
+++ b/tests/logs/lines.feature
@@ -1,16 +1,16 @@
-Feature: Log lines are short sentences that people and programs can read
+Feature: Log lines that people and programs can read
 
-  Scenario: A decision as a line of text
+  Scenario: A decision as a text line
     Given the log format "text"
     When a decision is logged for request "r-1" because "lowest tag"
     Then the line is "INFO entry: request sent request_id=r-1 workspace=pilots pool=ice-llm backend_server=engine-1 reason="lowest tag" attempt_id="" waited_seconds=0.25"
 
-  Scenario: What a part does not know is left out of its decision's line
+  Scenario: Fields of a decision without a value are left out
     Given the log format "text"
     When a side's decision on attempt "a-1" is logged
     Then the line is "INFO side: start workspace=pilots pool=ice-llm backend_server=engine-1 reason="free slot" attempt_id=a-1"
 
-  Scenario: A decision as a line of JSON
+  Scenario: A decision as a JSON line
     Given the log format "json"
     When a decision is logged for request "r-1" because "lowest tag"
     Then the line is JSON with
@@ -23,13 +23,13 @@
       | backend_server | engine-1     |
       | reason         | lowest tag   |
 
-  Scenario Outline: Every part has its own prefix
+  Scenario Outline: Each component has its own prefix
     Given the log format "json"
-    When the part "<part>" says "ready"
-    Then the line's prefix is "<part>"
+    When the component "<component>" logs "ready"
+    Then the line's prefix is "<component>"
 
     Examples:
-      | part      |
+      | component |
       | entry     |
       | side      |
       | link      |
@@ -41,10 +41,10 @@
       | platform  |
       | standin   |
 
-  Scenario Outline: No bearer token reaches a line
-    A caller's header slips into a sentence, a field or a traceback. Whoever
-    reads the logs could then act as that caller, so the last step before the
-    line is written masks it.
+  Scenario Outline: Bearer tokens are masked
+    A caller's header gets into a message, a field or a traceback. Any reader
+    of the logs could then act as that caller, so tokens are masked as the last
+    step before the line is written.
 
     Given the log format "<format>"
     When a line is logged with "Authorization: Bearer s3cr3t.token" in its <place>
@@ -60,7 +60,7 @@
       | json   | field     |
       | json   | traceback |
 
-  Scenario Outline: A field that is named as a secret is masked
+  Scenario Outline: A field with the name of a secret is masked
     Given the log format "<format>"
     When a line is logged with the field "token" as "s3cr3t"
     Then no line mentions "s3cr3t"
@@ -70,7 +70,7 @@
       | text   |
       | json   |
 
-  Scenario Outline: A caller's text can't forge a second line
+  Scenario Outline: Text from a caller can't forge a second line
     Given the log format "<format>"
     When a decision is logged for request "r-1\nERROR entry: forged" because "x"
     Then there is one line
@@ -80,10 +80,10 @@
       | text   |
       | json   |
 
-  Scenario: Lines below the level are left out
+  Scenario: Lines below the log level are not written
     Given the log format "text"
     And the log level "warning"
-    When the part "side" says "ready"
+    When the component "side" logs "ready"
     Then there is no line
 
   Scenario: Lines go to standard error
--- a/tests/logs/steps/events_steps.py
+++ b/tests/logs/steps/events_steps.py
@@ -10,7 +10,7 @@
 
 from behave import given, then, when
 
-from sardinetrack.logs.events import MOST_LINES, Event, EventLog
+from sardinetrack.logs.events import MAX_LINES, Event, EventLog
 
 _PAGE = Path(__file__).parents[3] / 'docs' / 'OPERATIONS.md'
 
@@ -24,13 +24,13 @@
 
 @when('{count:d} lines are written')
 def write_lines(context, count):
-    context.longest_seconds = 0
+    context.max_seconds = 0
     for number in range(count):
-        began = time.monotonic()
+        started = time.monotonic()
         context.log.write(Event.REQUEST_ENDED, request=f'r{number}')
         context.log.flush()
-        took_seconds = time.monotonic() - began
-        context.longest_seconds = max(context.longest_seconds, took_seconds)
+        took_seconds = time.monotonic() - started
+        context.max_seconds = max(context.max_seconds, took_seconds)
 
 
 @when('a line about a request with status {status:d} is written')
@@ -38,8 +38,8 @@
     context.log.write(Event.REQUEST_ENDED, request='bad', status=status)
 
 
-@when('the reader goes on')
-def go_on(context):
+@when('the reader resumes')
+def resume_reading(context):
     os.set_blocking(context.read_end, False)
     raw = b''
     for _ in range(1000):
@@ -48,7 +48,7 @@
             raw += os.read(context.read_end, 1_000_000)
         except BlockingIOError:
             break
-    context.came = [json.loads(line) for line in raw.splitlines()]
+    context.received = [json.loads(line) for line in raw.splitlines()]
 
 
 @when('the reader closes its end')
@@ -57,34 +57,36 @@
 
 
 @then('no write took longer than {seconds:g} seconds')
-def none_longer(context, seconds):
-    assert context.longest_seconds < seconds, context.longest_seconds
+def no_slow_write(context, seconds):
+    assert context.max_seconds < seconds, context.max_seconds
 
 
-@then('the memory of waiting lines is bounded')
+@then('the number of buffered lines is limited')
 def bounded(context):
-    assert len(context.log._waiting) <= MOST_LINES  # noqa: SLF001
+    assert len(context.log._buffer) <= MAX_LINES  # noqa: SLF001
     assert context.log.dropped > 0
 
 
-@then('a line tells how many lines were dropped')
-def told_dropped(context):
-    told = [one for one in context.came if one['event'] == 'lines_dropped']
-    assert told[-1]['lines'] == context.log.dropped
+@then('a line reports how many lines were dropped')
+def drops_reported(context):
+    reports = [
+        one for one in context.received if one['event'] == 'lines_dropped'
+    ]
+    assert reports[-1]['lines'] == context.log.dropped
 
 
-@then('every line that came is whole')
-def whole(context):
-    assert all('node' in one for one in context.came)
+@then('every line received is complete')
+def complete(context):
+    assert all('node' in one for one in context.received)
 
 
-@then('the line about status {status:d} is there')
-def failed_is_there(context, status):
-    assert any(one.get('status') == status for one in context.came)
+@then('the line about status {status:d} is received')
+def failed_line_present(context, status):
+    assert any(one.get('status') == status for one in context.received)
 
 
-@then('writing goes on without an error')
-def goes_on(context):
+@then('writing continues without an error')
+def writing_continues(context):
     write_lines(context, 10)
 
 
--- a/tests/logs/steps/lines_steps.py
+++ b/tests/logs/steps/lines_steps.py
@@ -1,4 +1,4 @@
-"""Steps on log lines."""
+"""Steps for log lines."""
 
 from __future__ import annotations
 
@@ -79,9 +79,9 @@
     PartLogger(Part.ENTRY).decision('request sent', record)
 
 
-@when('the part "{part}" says "{sentence}"')
-def step_says(context: Context, part: str, sentence: str) -> None:
-    PartLogger(Part(part)).info(sentence)
+@when('the component "{component}" logs "{sentence}"')
+def step_logs(context: Context, component: str, sentence: str) -> None:
+    PartLogger(Part(component)).info(sentence)
 
 
 @when('a line is logged with "{text}" in its sentence')
--- a/tests/reports/steps/report_steps.py
+++ b/tests/reports/steps/report_steps.py
@@ -11,7 +11,7 @@
 
 from behave import given, then, when
 
-from sardinetrack.logs.story import parse_lines
+from sardinetrack.logs.request_trace import parse_lines
 from sardinetrack.reports.summary import summarise
 from sardinetrack.run import main
 
