--- a/src/sardinetrack/cli/report.py
+++ b/src/sardinetrack/cli/report.py
@@ -50,7 +50,7 @@
         """Write the page."""
         lines = chain.from_iterable(read_logs(options.logs))
         summary = summarise(lines, options.objective_seconds)
-        if not summary.ends:
+        if not summary.outcomes:
             raise CommandError('no line tells of the end of a request')
         try:
             page = import_module('sardinetrack.reports.page')
@@ -60,7 +60,7 @@
                 " 'sardinetrack[report]'",
             ) from error
         try:
-            options.out.write_text(page.write_page(summary))
+            options.out.write_text(page.render_page(summary))
         except OSError as error:
             raise CommandError(f'{options.out}: {error.strerror}') from error
         return ExitCode.DONE
--- a/src/sardinetrack/reports/__init__.py
+++ b/src/sardinetrack/reports/__init__.py
@@ -1,1 +1,1 @@
-"""A page about a run, drawn from the structured lines of its processes."""
+"""HTML report of a run, drawn from its processes' log lines."""
--- a/tests/reports/steps/report_steps.py
+++ b/tests/reports/steps/report_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the page about a run."""
+"""Steps for the report of a run."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 @given(
-    'the lines of a run with {served:d} served, {late:d} late'
+    'the log lines of a run with {served:d} served, {late:d} late'
     ' and {refused:d} refused requests',
 )
 def write_run(context, served, late, refused):
@@ -69,18 +69,18 @@
     _write(context, lines)
 
 
-@given('the lines of a run whose entry dropped {count:d} lines')
+@given('the log lines of a run whose entry dropped {count:d} lines')
 def write_dropped(context, count):
     line = {'time': 101, 'node': 'e1', 'event': 'lines_dropped'}
     _write(context, [_ended(1), {**line, 'lines': count}])
 
 
-@given('the lines of a run without requests')
+@given('the log lines of a run without requests')
 def write_none(context):
     _write(context, [{'time': 1, 'node': 'e1', 'event': 'started'}])
 
 
-@given('the lines of a run whose request ended with "{reason}"')
+@given('the log lines of a run whose request ended with "{reason}"')
 def write_reason(context, reason):
     _write(context, [_ended(1, status=503, reason=reason)])
 
@@ -117,8 +117,8 @@
         assert f'<td>{name}</td><td>{number}</td>' in context.page, name
 
 
-@then('the page has {count:d} pictures and needs no other file')
-def pictures(context, count):
+@then('the page has {count:d} images and needs no other file')
+def images(context, count):
     assert context.page.count('<svg') == count
     assert 'src=' not in context.page
     assert '<link' not in context.page
@@ -131,23 +131,23 @@
     assert first == second
 
 
-@then('workspace {name} has waited {seconds:g} seconds at the median')
-def waited(context, name, seconds):
+@then('the median wait of workspace {name} is {seconds:g} seconds')
+def median_wait(context, name, seconds):
     median = context.summary.waits[name].median_seconds
     assert math.isclose(median, seconds)
 
 
-@then('server {server} was sent {tokens:d} tokens in the first second')
-def sent(context, server, tokens):
+@then('{tokens:d} tokens were sent to server {server} in the first second')
+def tokens_sent(context, server, tokens):
     assert context.summary.sent_tokens[server][0] == tokens
 
 
-@then('the page says that {count:d} lines were dropped')
+@then('the page reports {count:d} dropped lines')
 def dropped(context, count):
     assert f'dropped: {count}.' in context.page
 
 
-@then('the command fails and says "{text}"')
+@then('the command fails with "{text}"')
 def fails(context, text):
     assert context.code != 0
     assert text in context.errors, context.errors
