--- a/src/sardinetrack/cli/__init__.py
+++ b/src/sardinetrack/cli/__init__.py
@@ -1,3 +1,3 @@
-"""The commands, one module each."""
+"""Commands of the command line, one module each."""
 
 from __future__ import annotations
--- a/src/sardinetrack/cli/api.py
+++ b/src/sardinetrack/cli/api.py
@@ -1,4 +1,4 @@
-"""What every command of the command line offers."""
+"""Base class and error of the commands."""
 
 from __future__ import annotations
 
@@ -10,35 +10,39 @@
 
 
 class CommandError(Exception):
-    """A command can't do its work; its message is all the user sees."""
+    """A command failed; its message is all that the user sees."""
 
     def __init__(
         self,
         message: str,
         exit_code: ExitCode = ExitCode.FAILED,
     ) -> None:
-        """Remember what to say and how to exit."""
+        """Create the error.
+
+        :param message: text for standard error; it may have several lines.
+        :param exit_code: exit code of the process.
+        """
         super().__init__(message)
         self.exit_code = exit_code
 
 
 class Command(ABC):
-    """One command, which registers its own arguments."""
+    """A command, which registers its own arguments."""
 
     name: ClassVar[str]
     help: ClassVar[str]
     examples: ClassVar[tuple[str, ...]]
-    """Whole command lines."""
+    """Complete command lines."""
 
     @abstractmethod
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Register the arguments of this command."""
+        """Register the command's arguments."""
 
     @abstractmethod
     def run(self, options: Namespace) -> int:
-        """Do the work.
+        """Run the command.
 
         :param options: the parsed arguments.
         :return: the exit code.
-        :raises CommandError: the user reads its message.
+        :raises CommandError: the user sees its message.
         """
--- a/src/sardinetrack/cli/arguments.py
+++ b/src/sardinetrack/cli/arguments.py
@@ -1,4 +1,4 @@
-"""Types of arguments that several commands take."""
+"""Argument types that several commands use."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def port_number(text: str) -> int:
-    """Read a port.
+    """Parse a port.
 
-    :raises ArgumentTypeError: it is none.
+    :raises ArgumentTypeError: the text is not a port.
     """
     return _validate(_PORT, text)
 
 
 def http_url(text: str) -> str:
-    """Read the URL of an endpoint, with an IP number.
+    """Parse the URL of an endpoint, whose host is an IP address.
 
-    :raises ArgumentTypeError: it is none.
+    :raises ArgumentTypeError: the text is not such a URL.
     """
     return _validate(_URL, text)
 
@@ -37,5 +37,5 @@
     try:
         return adapter.validate_python(text)
     except ValidationError as error:
-        reason = error.errors(include_url=False)[0]['msg']
-        raise ArgumentTypeError(reason_of(reason).lower()) from error
+        message = error.errors(include_url=False)[0]['msg']
+        raise ArgumentTypeError(reason_of(message).lower()) from error
--- a/src/sardinetrack/cli/catalogue.py
+++ b/src/sardinetrack/cli/catalogue.py
@@ -1,4 +1,4 @@
-"""``sardinetrack catalogue``: an operator's hand on the catalogue."""
+"""``sardinetrack catalogue``: list, show and edit catalogue entries."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     ShowAction,
     run_action,
 )
-from sardinetrack.cli.catalogue_errors import telling_errors
+from sardinetrack.cli.catalogue_errors import translate_errors
 from sardinetrack.cli.exit_codes import ExitCode
 from sardinetrack.config.loader import load_settings
 from sardinetrack.config.model import OperatorSettings
 
-_WAIT_SECONDS: Final = 10.0
+_DEFAULT_WAIT_SECONDS: Final = 10.0
 
 
 class CatalogueCommand(Command):
@@ -55,9 +55,9 @@
         _add_remove(actions.add_parser('remove', help='remove an entry'))
 
     def run(self, options: Namespace) -> int:
-        """Do one action."""
+        """Run one action."""
         settings = load_settings(options.settings, OperatorSettings)
-        with telling_errors():
+        with translate_errors():
             action: CatalogueAction = options.action(options)
             return anyio.run(run_action, action, settings)
 
@@ -76,14 +76,14 @@
 def _add_apply(parser: ArgumentParser) -> None:
     _add_settings(parser)
     parser.add_argument('file', help='the entry as JSON with comments')
-    _add_edit(parser)
+    _add_edit_options(parser)
     parser.set_defaults(action=_apply)
 
 
 def _add_remove(parser: ArgumentParser) -> None:
     _add_settings(parser)
     _add_key(parser)
-    _add_edit(parser)
+    _add_edit_options(parser)
     parser.set_defaults(action=_remove)
 
 
@@ -94,25 +94,25 @@
 def _add_key(parser: ArgumentParser) -> None:
     parser.add_argument(
         'key',
-        type=_read_key,
+        type=_parse_key,
         metavar='KIND/NAME',
         help='for example workspace/pilots or pool/ice-llm',
     )
 
 
-def _add_edit(parser: ArgumentParser) -> None:
+def _add_edit_options(parser: ArgumentParser) -> None:
     parser.add_argument(
         '--version',
         type=int,
         help='version that the edit is based on, 0 for a new entry; '
-        'by default the one that stands there now',
+        'by default the current version',
     )
     parser.add_argument(
         '--wait',
         type=float,
-        default=_WAIT_SECONDS,
+        default=_DEFAULT_WAIT_SECONDS,
         metavar='SECONDS',
-        help='how long to wait until the edit is in force everywhere',
+        help='how long to wait until the edit is in force at all instances',
     )
 
 
@@ -137,10 +137,10 @@
     return RemoveAction(options.key, options.version, options.wait)
 
 
-def _read_key(text: str) -> str:
+def _parse_key(text: str) -> str:
     kind, _, name = text.partition('/')
-    kinds = [known.value for known in EntryKind]
-    if kind not in kinds or not name:
-        listed = ' or '.join(f'{known}/NAME' for known in kinds)
-        raise ArgumentTypeError(f'must be {listed}')
+    known_kinds = [known.value for known in EntryKind]
+    if kind not in known_kinds or not name:
+        choices = ' or '.join(f'{known}/NAME' for known in known_kinds)
+        raise ArgumentTypeError(f'must be {choices}')
     return key_of(EntryKind(kind), name)
--- a/src/sardinetrack/cli/catalogue_actions.py
+++ b/src/sardinetrack/cli/catalogue_actions.py
@@ -27,18 +27,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Desk:
-    """What an action works with."""
+class ActionContext:
+    """Clients that an action uses."""
 
     platform: Platform
     editor: CatalogueEditor
-    instances: StatusClient
+    status_client: StatusClient
 
-    async def wait(self, edit: Edit, seconds: float) -> Rollout:
-        """Wait until an edit is in force at every listed instance."""
+    async def wait_active(self, edit: Edit, seconds: float) -> Rollout:
+        """Wait until an edit is active at every listed instance."""
         return await wait_in_force(
             partial(listed_addresses, self.platform),
-            self.instances.ask,
+            self.status_client.ask,
             key=edit.key,
             version=edit.version,
             timeout_seconds=seconds,
@@ -46,14 +46,14 @@
 
 
 class CatalogueAction(ABC):
-    """One action on the catalogue."""
+    """An action on the catalogue."""
 
     @abstractmethod
-    async def run(self, desk: Desk) -> int:
-        """Do it.
+    async def run(self, context: ActionContext) -> int:
+        """Run the action.
 
         :return: the exit code.
-        :raises CommandError: the user reads its message.
+        :raises CommandError: the user sees its message.
         """
 
 
@@ -61,40 +61,42 @@
     action: CatalogueAction,
     settings: OperatorSettings,
 ) -> int:
-    """Open what an action needs and run it."""
+    """Open the clients that an action uses, and run it."""
     async with open_access(settings) as access:
-        instances = StatusClient(access.client, (access.secret.header(),))
+        status_client = StatusClient(access.client, (access.secret.header(),))
         editor = CatalogueEditor(access.platform)
-        return await action.run(Desk(access.platform, editor, instances))
+        return await action.run(
+            ActionContext(access.platform, editor, status_client),
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class ListAction(CatalogueAction):
     """Print key, version and owner of every entry."""
 
-    async def run(self, desk: Desk) -> int:
+    async def run(self, context: ActionContext) -> int:
         """Print one line for each entry."""
-        listing = await desk.editor.list()
+        listing = await context.editor.list()
         for stored in listing.objects:
-            name = _short(stored.key).ljust(_KEY_WIDTH)
+            short_key = _short_key(stored.key).ljust(_KEY_WIDTH)
             version = str(stored.version).ljust(_VERSION_WIDTH)
-            _say(f'{name} {version} {_owner(stored.value)}')
+            _print_line(f'{short_key} {version} {_owner(stored.value)}')
         return ExitCode.DONE
 
 
 @dataclass(frozen=True, slots=True)
 class ShowAction(CatalogueAction):
-    """Print one entry in the form that ``apply`` takes."""
+    """Print one entry in the form that ``apply`` accepts."""
 
     key: str
 
-    async def run(self, desk: Desk) -> int:
+    async def run(self, context: ActionContext) -> int:
         """Print the entry below a comment with its version."""
-        stored = await desk.editor.show(self.key)
+        stored = await context.editor.show(self.key)
         if stored is None:
-            raise CommandError(f'there is no {_short(self.key)}')
-        _say(f'// {_short(self.key)} at version {stored.version}')
-        _say(json.dumps(json.loads(stored.value), indent=2))
+            raise CommandError(f'there is no {_short_key(self.key)}')
+        _print_line(f'// {_short_key(self.key)} at version {stored.version}')
+        _print_line(json.dumps(json.loads(stored.value), indent=2))
         return ExitCode.DONE
 
 
@@ -106,15 +108,15 @@
     version: int | None
     wait_seconds: float
 
-    async def run(self, desk: Desk) -> int:
-        """Write conditionally, then wait until it is in force."""
-        edit = await desk.editor.apply(
+    async def run(self, context: ActionContext) -> int:
+        """Write conditionally, then wait until the entry is active."""
+        edit = await context.editor.apply(
             self.entry,
             expected_version=self.version,
         )
-        done = 'written' if edit.changed else 'stands there already'
-        _say(f'{_short(edit.key)}: version {edit.version} {done}')
-        return await _report_rollout(desk, edit, self.wait_seconds)
+        outcome = 'written' if edit.changed else 'stands there already'
+        _print_line(f'{_short_key(edit.key)}: version {edit.version} {outcome}')
+        return await _report_rollout(context, edit, self.wait_seconds)
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,28 +127,34 @@
     version: int | None
     wait_seconds: float
 
-    async def run(self, desk: Desk) -> int:
-        """Delete conditionally, then wait until it is gone everywhere."""
-        edit = await desk.editor.remove(
+    async def run(self, context: ActionContext) -> int:
+        """Delete conditionally, then wait until no instance has the entry."""
+        edit = await context.editor.remove(
             self.key,
             expected_version=self.version,
         )
         if not edit.changed:
-            raise CommandError(f'there is no {_short(self.key)}')
-        _say(f'{_short(edit.key)}: removed')
-        return await _report_rollout(desk, edit, self.wait_seconds)
+            raise CommandError(f'there is no {_short_key(self.key)}')
+        _print_line(f'{_short_key(edit.key)}: removed')
+        return await _report_rollout(context, edit, self.wait_seconds)
 
 
-async def _report_rollout(desk: Desk, edit: Edit, seconds: float) -> int:
+async def _report_rollout(
+    context: ActionContext,
+    edit: Edit,
+    seconds: float,
+) -> int:
     started_at = anyio.current_time()
-    rollout = await desk.wait(edit, seconds)
-    passed_seconds = round(anyio.current_time() - started_at, 1)
-    name = _short(edit.key)
+    rollout = await context.wait_active(edit, seconds)
+    elapsed_seconds = round(anyio.current_time() - started_at, 1)
+    short_key = _short_key(edit.key)
     if rollout.complete:
         count = len(rollout.in_force)
-        _say(f'{name}: in force at {count} instances in {passed_seconds} s')
+        _print_line(
+            f'{short_key}: in force at {count} instances in {elapsed_seconds} s'
+        )
         return ExitCode.DONE
-    lines = [f'{name}: not in force everywhere after {passed_seconds} s']
+    lines = [f'{short_key}: not in force everywhere after {elapsed_seconds} s']
     lines.extend(f'{address}: behind' for address in rollout.behind)
     for instance, reasons in rollout.rejected.items():
         lines.extend(f'{instance}: refused: {reason}' for reason in reasons)
@@ -155,7 +163,7 @@
     raise CommandError('\n'.join(lines), ExitCode.NOT_IN_FORCE)
 
 
-def _short(key: str) -> str:
+def _short_key(key: str) -> str:
     return key.removeprefix(CATALOGUE_PREFIX)
 
 
@@ -164,5 +172,5 @@
     return str(content.get('owner', '')) if isinstance(content, dict) else ''
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
--- a/src/sardinetrack/cli/catalogue_errors.py
+++ b/src/sardinetrack/cli/catalogue_errors.py
@@ -1,4 +1,4 @@
-"""Tell an operator why an edit of the catalogue did not come about."""
+"""Translate the catalogue editor's errors into command errors."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @contextmanager
-def telling_errors() -> Iterator[None]:
-    """Turn errors of the editor into what the user reads.
+def translate_errors() -> Iterator[None]:
+    """Raise errors of the editor as command errors.
 
     :raises CommandError: with the exit code of the case.
     """
--- a/src/sardinetrack/cli/check.py
+++ b/src/sardinetrack/cli/check.py
@@ -11,17 +11,17 @@
 
 
 class CheckCommand(Command):
-    """Validate a settings file of an entry or a side."""
+    """Validate a settings file of an entry, a side or an operator."""
 
     name = 'check'
     help = 'validate settings and print the effective ones, secrets masked'
     examples = ('sardinetrack check entry.json',)
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Take the settings file."""
+        """Register the settings file."""
         parser.add_argument(
             'settings',
-            help='settings file; its "role" says whether of entry or side',
+            help='settings file; its "role" is entry, side or operator',
         )
 
     def run(self, options: Namespace) -> int:
--- a/src/sardinetrack/cli/entry.py
+++ b/src/sardinetrack/cli/entry.py
@@ -1,4 +1,4 @@
-"""``sardinetrack entry``: the daemon that terminates callers."""
+"""``sardinetrack entry``: run an entry, the router of callers' requests."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     """Run an entry until it is drained."""
 
     name = 'entry'
-    help = 'run an entry: it terminates callers and routes their requests'
+    help = 'run an entry: it accepts requests from callers and routes them'
     examples = (
         'sardinetrack entry entry.json',
         'sardinetrack entry entry.json --log-format json',
     )
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Take the settings file."""
+        """Register the settings file."""
         parser.add_argument('settings', help='settings file of this entry')
 
     def run(self, options: Namespace) -> int:
--- a/src/sardinetrack/cli/exit_codes.py
+++ b/src/sardinetrack/cli/exit_codes.py
@@ -8,7 +8,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the exit code of a command tells."""
+    """Exit codes of all commands."""
 
     DONE = 0
     FAILED = 1
--- a/src/sardinetrack/cli/experiment.py
+++ b/src/sardinetrack/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``sardinetrack experiment``: compare orders of servers on seeded crowds."""
+"""``sardinetrack experiment``: compare placement under seeded load."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from sardinetrack.cli.api import Command
 from sardinetrack.cli.exit_codes import ExitCode
-from sardinetrack.cli.table import write_table
+from sardinetrack.cli.table import format_table
 from sardinetrack.emulator.experiment import Row, compare
 from sardinetrack.emulator.load import Shape
 from sardinetrack.emulator.orders import ORDERS
 
-_RATES: Final = (24.0, 60.0)
-_SECONDS: Final = 40.0
-_SEEDS: Final = 2
-_SHAPE: Final = Shape()
-_PARTS: Final = (
+_DEFAULT_RATES: Final = (24.0, 60.0)
+_DEFAULT_SECONDS: Final = 40.0
+_DEFAULT_SEEDS: Final = 2
+_DEFAULT_SHAPE: Final = Shape()
+_FRACTIONS: Final = (
     'in_time',
     'late',
     'refused',
@@ -33,66 +33,66 @@
     'refused',
     'refused first',
     'beside idle',
-    'parts read, 1000 tokens',
+    'shared prefill, 1000 tokens',
     'worst workspace',
     'busiest/mean',
 )
 
 
 class ExperimentCommand(Command):
-    """Play crowds of prompts before emulated engines."""
+    """Simulate seeded loads of prompts on emulated engines."""
 
     name = 'experiment'
-    help = 'compare ways to place requests on seeded crowds, without a network'
+    help = 'compare placement policies under seeded loads, without a network'
     examples = (
         'sardinetrack experiment',
         'sardinetrack experiment --rate 24 --rate 60 --seeds 5 --jump 3',
     )
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Take the load."""
+        """Register the options of the load."""
         parser.add_argument(
             '--rate',
-            type=_positive,
+            type=_positive_number,
             action='append',
-            help='requests a second; may be given several times'
-            f' (default: {_RATES})',
+            help='requests per second; may be given several times'
+            f' (default: {_DEFAULT_RATES})',
         )
         parser.add_argument(
             '--seconds',
-            type=_positive,
-            default=_SECONDS,
+            type=_positive_number,
+            default=_DEFAULT_SECONDS,
             help='length of the load (default: %(default)s)',
         )
         parser.add_argument(
             '--seeds',
-            type=_count,
-            default=_SEEDS,
-            help='crowds that are drawn (default: %(default)s)',
+            type=_positive_integer,
+            default=_DEFAULT_SEEDS,
+            help='number of random loads (default: %(default)s)',
         )
         parser.add_argument(
             '--engines',
-            type=_count,
-            default=_SHAPE.engines,
-            help='model engines (default: %(default)s)',
+            type=_positive_integer,
+            default=_DEFAULT_SHAPE.engines,
+            help='number of model engines (default: %(default)s)',
         )
         parser.add_argument(
             '--jump',
-            type=_positive,
+            type=_positive_number,
             default=1.0,
-            help='times the rate in the middle third (default: %(default)s)',
+            help='rate factor in the middle third (default: %(default)s)',
         )
 
     def run(self, options: Namespace) -> int:
-        """Print a row for each order and rate."""
+        """Print a row for each placement policy and rate."""
         rows = compare(
             Shape(engines=options.engines, jump=options.jump),
             ORDERS,
-            options.rate or _RATES,
+            options.rate or _DEFAULT_RATES,
             range(1, options.seeds + 1),
             options.seconds,
         )
-        text = write_table(_HEADINGS, [_cells(row) for row in rows])
+        text = format_table(_HEADINGS, [_cells(row) for row in rows])
         sys.stdout.write(f'{text}\n')
         return ExitCode.DONE
 
@@ -100,21 +100,21 @@
 def _cells(row: Row) -> list[str]:
     thousands = row.again_tokens // _THOUSAND
     cells = [row.order, format(row.per_second, 'g')]
-    cells.extend(format(row.part(name), '.3f') for name in _PARTS)
+    cells.extend(format(row.part(name), '.3f') for name in _FRACTIONS)
     cells.append(str(thousands))
     cells.append(f'{row.worst_workspace:.3f}')
     cells.append(f'{row.busiest_part:.2f}')
     return cells
 
 
-def _positive(text: str) -> float:
+def _positive_number(text: str) -> float:
     number = float(text)
     if number <= 0:
         raise ArgumentTypeError(f'{text} is not above 0')
     return number
 
 
-def _count(text: str) -> int:
+def _positive_integer(text: str) -> int:
     number = int(text)
     if number < 1:
         raise ArgumentTypeError(f'{text} is not 1 or more')
--- a/src/sardinetrack/cli/local.py
+++ b/src/sardinetrack/cli/local.py
@@ -1,4 +1,4 @@
-"""``sardinetrack local``: everything in one process on loopback."""
+"""``sardinetrack local``: run a fleet in one process on loopback."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     """Run an entry, sides and stand-ins without settings."""
 
     name = 'local'
-    help = 'run everything in one process on loopback, with stand-ins'
+    help = 'run a fleet in one process on loopback, with stand-in servers'
     examples = (
         'sardinetrack local',
         'sardinetrack local --port 8080',
     )
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Take the callers' port."""
+        """Register the callers' port."""
         parser.add_argument(
             '--port',
             type=port_number,
             default=_ANY_PORT,
-            help='port for callers; 0, the default, takes any free one',
+            help='port for callers; 0, the default, picks any free one',
         )
 
     def run(self, options: Namespace) -> int:
--- a/src/sardinetrack/cli/logs.py
+++ b/src/sardinetrack/cli/logs.py
@@ -1,4 +1,4 @@
-"""Read the structured lines that processes have written."""
+"""Read the structured log lines of processes."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from sardinetrack.logs.request_trace import Line, parse_lines
 
 
-def read_logs(names: list[str]) -> list[list[Line]]:
-    """Read files of lines, or standard input when none is named.
+def read_logs(paths: list[str]) -> list[list[Line]]:
+    """Read files of lines, or standard input if none is given.
 
     :raises CommandError: a file can't be read.
     """
-    if not names:
+    if not paths:
         return [list(parse_lines(sys.stdin))]
     try:
         return [
-            list(parse_lines(Path(name).read_text().splitlines()))
-            for name in names
+            list(parse_lines(Path(path).read_text().splitlines()))
+            for path in paths
         ]
     except OSError as error:
         raise CommandError(f'{error.filename}: {error.strerror}') from error
--- a/src/sardinetrack/cli/operator_access.py
+++ b/src/sardinetrack/cli/operator_access.py
@@ -1,4 +1,4 @@
-"""What an operator's commands reach with an operator's settings."""
+"""Access to the platform and the instances for operators' commands."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorAccess:
-    """The platform, and what peers let in."""
+    """HTTP client, platform client and the peers' secret of an operator."""
 
     client: HttpClient
     platform: Platform
@@ -27,7 +27,7 @@
 async def open_access(
     settings: OperatorSettings,
 ) -> AsyncIterator[OperatorAccess]:
-    """Open a client for the time of the context."""
+    """Open a client until the context exits."""
     secret = PeerSecret(resolve_secret(settings.peer_secret))
     async with HttpClient() as client:
         platform = platform_client(client, settings.platform)
--- a/src/sardinetrack/cli/parser.py
+++ b/src/sardinetrack/cli/parser.py
@@ -1,4 +1,4 @@
-"""Build the parser of the command line from its commands."""
+"""Build the argument parser of the command line."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def build_parser(commands: Sequence[Command]) -> ArgumentParser:
     """Build the parser.
 
-    :param commands: in the order in which the help shows them.
+    :param commands: in the order of the help.
     :return: a parser whose result holds the chosen command as ``command``.
     """
     parser = ArgumentParser(
@@ -45,7 +45,7 @@
             formatter_class=RawDescriptionHelpFormatter,
         )
         command.add_arguments(subparser)
-        # Suppressed defaults keep what was given before the command's name.
+        # Suppressed defaults keep the values given before the command's name.
         _add_log_arguments(subparser, SUPPRESS, SUPPRESS)
         subparser.set_defaults(command=command)
     return parser
@@ -60,7 +60,7 @@
         '--log-format',
         choices=[choice.value for choice in LogFormat],
         default=log_format,
-        help='how log lines are written to standard error',
+        help='format of the log lines on standard error',
     )
     parser.add_argument(
         '--log-level',
--- a/src/sardinetrack/cli/report.py
+++ b/src/sardinetrack/cli/report.py
@@ -1,4 +1,4 @@
-"""``sardinetrack report``: draw a run from the lines of its processes."""
+"""``sardinetrack report``: write a report of a run from its log lines."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from sardinetrack.cli.logs import read_logs
 from sardinetrack.reports.summary import summarise
 
-_OBJECTIVE_SECONDS: Final = 1.0
+_DEFAULT_OBJECTIVE_SECONDS: Final = 1.0
 
 
 class ReportCommand(Command):
-    """Write a page of HTML about a run."""
+    """Write an HTML report of a run."""
 
     name = 'report'
-    help = 'draw a run as a page of HTML, from the lines of all processes'
+    help = 'write an HTML report of a run, from the log lines of all processes'
     examples = (
         'sardinetrack report --out run.html entry-*.log side-*.log',
         'sardinetrack report --out run.html --objective-seconds 0.6 all.log',
     )
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Take the files."""
+        """Register the files and the objective."""
         parser.add_argument(
             'logs',
             nargs='*',
@@ -42,7 +42,7 @@
         parser.add_argument(
             '--objective-seconds',
             type=float,
-            default=_OBJECTIVE_SECONDS,
+            default=_DEFAULT_OBJECTIVE_SECONDS,
             help='a first event later than this is late (default: %(default)s)',
         )
 
--- a/src/sardinetrack/cli/side.py
+++ b/src/sardinetrack/cli/side.py
@@ -1,4 +1,4 @@
-"""``sardinetrack side``: the daemon beside one backend server."""
+"""``sardinetrack side``: run a side, the sidecar of one backend server."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     """Run a side until it is drained."""
 
     name = 'side'
-    help = 'run a side: it hands requests to its backend server'
+    help = 'run a side: it admits and forwards requests to its backend server'
     examples = (
         'sardinetrack side side.json',
         'sardinetrack side side.json --log-format json',
     )
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Take the settings file."""
+        """Register the settings file."""
         parser.add_argument('settings', help='settings file of this side')
 
     def run(self, options: Namespace) -> int:
--- a/src/sardinetrack/cli/stand_in.py
+++ b/src/sardinetrack/cli/stand_in.py
@@ -1,4 +1,4 @@
-"""``sardinetrack stand-in``: one stand-in as a process of its own."""
+"""``sardinetrack stand-in``: run a stand-in as a process of its own."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     )
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Take the kind, a settings file and a port."""
+        """Register the kind, a settings file and a port."""
         parser.add_argument('kind', choices=tuple(_STAND_INS))
         parser.add_argument(
             'settings',
@@ -62,17 +62,17 @@
         parser.add_argument(
             '--port',
             type=port_number,
-            help='port to listen at, before the one of the settings',
+            help='port to listen on; overrides the one in the settings',
         )
 
     def run(self, options: Namespace) -> int:
         """Print one line of JSON when ready, then serve until stopped."""
-        standin = _STAND_INS[options.kind]
-        settings = standin.settings()
+        stand_in = _STAND_INS[options.kind]
+        settings = stand_in.settings()
         if options.settings is not None:
-            settings = load_settings(options.settings, standin.settings)
+            settings = load_settings(options.settings, stand_in.settings)
         if options.port is not None:
             settings = settings.model_copy(update={'port': options.port})
         log_start()
-        anyio.run(standin.run, settings)
+        anyio.run(stand_in.run, settings)
         return ExitCode.DONE
--- a/src/sardinetrack/cli/status_pages.py
+++ b/src/sardinetrack/cli/status_pages.py
@@ -20,62 +20,62 @@
 from sardinetrack.store.api import ListedInstance
 
 OPERATOR_PATH: Final = '/status'
-_READ_SECONDS: Final = 5.0
+_READ_TIMEOUT_SECONDS: Final = 5.0
 
 StatusPage = EntryStatus | SideStatus
 
 
-class UnreadableError(Exception):
-    """An instance gave no status page; the message says why."""
+class StatusUnavailableError(Exception):
+    """An instance returned no status page; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What one listed instance answered."""
+class InstanceResponse:
+    """What one listed instance returned."""
 
     listed: ListedInstance
     raw: bytes
-    """The page as it came; empty when there is none."""
+    """The page as received; empty if there is none."""
     problem: str = ''
     """Why there is no page."""
 
 
 async def read_one(url: str) -> bytes:
-    """Read the page at an operator port.
+    """Read the status page at an operator port.
 
     :param url: base URL of the port.
-    :raises UnreadableError: there is no page.
+    :raises StatusUnavailableError: there is no page.
     """
     async with HttpClient() as client:
         return await _read(client, f'{url}{OPERATOR_PATH}')
 
 
-async def read_all(settings: OperatorSettings) -> Sequence[Answer]:
-    """Ask every instance that the platform lists, all at once.
+async def read_all(settings: OperatorSettings) -> Sequence[InstanceResponse]:
+    """Query every instance that the platform lists, concurrently.
 
-    :raises PlatformError: the list can't be had.
+    :raises PlatformError: the platform did not return its list.
     """
     async with open_access(settings) as access:
         listed = await access.platform.instances()
-        answers: list[Answer] = []
+        responses: list[InstanceResponse] = []
         async with anyio.create_task_group() as tasks:
-            for row in listed:
-                tasks.start_soon(_ask, access, row, answers)
-    return sorted(answers, key=lambda answer: answer.listed.instance)
+            for record in listed:
+                tasks.start_soon(_query, access, record, responses)
+    return sorted(responses, key=lambda response: response.listed.instance)
 
 
 def decode_page(raw: bytes) -> StatusPage:
     """Decode the page of an entry or a side.
 
-    :raises UnreadableError: it is neither.
+    :raises StatusUnavailableError: it is neither.
     """
     try:
         return _decode_either(raw)
     except msgspec.ValidationError as error:
         reason = 'the answer is no status page of this version'
-        raise UnreadableError(reason) from error
+        raise StatusUnavailableError(reason) from error
     except msgspec.DecodeError as error:
-        raise UnreadableError('the answer is no JSON') from error
+        raise StatusUnavailableError('the answer is no JSON') from error
 
 
 def _decode_either(raw: bytes) -> StatusPage:
@@ -84,18 +84,18 @@
     return msgspec.json.decode(raw, type=SideStatus)
 
 
-async def _ask(
+async def _query(
     access: OperatorAccess,
-    row: ListedInstance,
-    answers: list[Answer],
+    record: ListedInstance,
+    responses: list[InstanceResponse],
 ) -> None:
-    url = f'http://{row.address}{STATUS_PATH}'
+    url = f'http://{record.address}{STATUS_PATH}'
     try:
         raw = await _read(access.client, url, access.secret.header())
-    except UnreadableError as error:
-        answers.append(Answer(row, b'', str(error)))
+    except StatusUnavailableError as error:
+        responses.append(InstanceResponse(record, b'', str(error)))
     else:
-        answers.append(Answer(row, raw))
+        responses.append(InstanceResponse(record, raw))
 
 
 async def _read(
@@ -104,13 +104,15 @@
     *headers: tuple[str, str],
 ) -> bytes:
     try:
-        with anyio.fail_after(_READ_SECONDS):
-            reply = await client.call('GET', url, headers=headers)
+        with anyio.fail_after(_READ_TIMEOUT_SECONDS):
+            http_response = await client.call('GET', url, headers=headers)
     except (NotSentError, BrokenError) as error:
-        raise UnreadableError(f'no answer: {error}') from error
+        raise StatusUnavailableError(f'no answer: {error}') from error
     except TimeoutError as error:
-        reason = f'no answer within {_READ_SECONDS} seconds'
-        raise UnreadableError(reason) from error
-    if reply.status != HTTPStatus.OK:
-        raise UnreadableError(f'answered with status {reply.status}')
-    return reply.body
+        reason = f'no answer within {_READ_TIMEOUT_SECONDS} seconds'
+        raise StatusUnavailableError(reason) from error
+    if http_response.status != HTTPStatus.OK:
+        raise StatusUnavailableError(
+            f'responded with status {http_response.status}'
+        )
+    return http_response.body
--- a/src/sardinetrack/cli/status_tables.py
+++ b/src/sardinetrack/cli/status_tables.py
@@ -1,4 +1,4 @@
-"""Show status pages as tables."""
+"""Format status pages as tables."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from typing import Final
 
 from sardinetrack.cli.status_pages import (
-    Answer,
+    InstanceResponse,
     StatusPage,
-    UnreadableError,
+    StatusUnavailableError,
     decode_page,
 )
-from sardinetrack.cli.table import Row, write_table
+from sardinetrack.cli.table import Row, format_table
 from sardinetrack.entry.status import EntryStatus, PoolStatus
 from sardinetrack.side.events import SideStatus
 from sardinetrack.store.api import InstanceState
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Table:
-    heads: Sequence[str]
+    headings: Sequence[str]
     rows: Sequence[Row]
 
 
@@ -59,26 +59,26 @@
     rejected: list[Row] = field(default_factory=list)
 
     def text(self) -> str:
-        """Write the tables that have rows, an empty line between them."""
+        """Format the tables that have rows, with an empty line between them."""
         return '\n\n'.join(
-            write_table(table.heads, table.rows)
+            format_table(table.headings, table.rows)
             for table in self._tables()
             if table.rows
         )
 
     def add(self, page: StatusPage, state: str) -> None:
-        """Take in the page of one instance.
+        """Add the page of one instance.
 
-        :param state: what is shown of the instance's own state.
+        :param state: the state to show for the instance.
         """
         if isinstance(page, EntryStatus):
             self._add_entry(page, state)
         else:
             self._add_side(page, state)
 
-    def add_silent(self, answer: Answer, problem: str) -> None:
-        """Take in an instance that is listed and gave no page."""
-        listed = answer.listed
+    def add_unavailable(self, response: InstanceResponse, problem: str) -> None:
+        """Add a listed instance that returned no page."""
+        listed = response.listed
         self.instances.append(
             (
                 listed.instance,
@@ -125,7 +125,7 @@
         self.running[pool.pool] += pool.running
         for side in pool.sides:
             phase = side.phase if side.in_use else 'leaving'
-            # A side's own page, where there is one, is newer.
+            # A side's own page is newer and takes precedence.
             self.sides.setdefault(
                 side.side,
                 (
@@ -162,9 +162,9 @@
 
 
 def show_page(raw: bytes) -> str:
-    """Show the page of one instance.
+    """Format the page of one instance.
 
-    :raises UnreadableError: it is none.
+    :raises StatusUnavailableError: the page is not a status page.
     """
     page = decode_page(raw)
     tables = StatusTables()
@@ -172,18 +172,18 @@
     return tables.text()
 
 
-def show_answers(answers: Sequence[Answer]) -> str:
-    """Show what all listed instances answered."""
+def show_responses(responses: Sequence[InstanceResponse]) -> str:
+    """Format the responses of all listed instances."""
     tables = StatusTables()
-    for answer in answers:
+    for response in responses:
         try:
-            page = decode_page(answer.raw) if answer.raw else None
-        except UnreadableError as error:
-            tables.add_silent(answer, str(error))
+            page = decode_page(response.raw) if response.raw else None
+        except StatusUnavailableError as error:
+            tables.add_unavailable(response, str(error))
             continue
         if page is None:
-            tables.add_silent(answer, answer.problem)
-        elif answer.listed.state is InstanceState.LEAVING:
+            tables.add_unavailable(response, response.problem)
+        elif response.listed.state is InstanceState.LEAVING:
             tables.add(page, f'listed as leaving, {_state_of(page)}')
         else:
             tables.add(page, _state_of(page))
--- a/src/sardinetrack/cli/table.py
+++ b/src/sardinetrack/cli/table.py
@@ -1,4 +1,4 @@
-"""Write tables of text for a terminal."""
+"""Format tables of text for a terminal."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 Row = Sequence[str | int]
 
 
-def write_table(heads: Sequence[str], rows: Sequence[Row]) -> str:
-    """Align the cells of a table; numbers stand to the right.
+def format_table(headings: Sequence[str], rows: Sequence[Row]) -> str:
+    """Align the cells of a table; numbers are right-aligned.
 
-    :param heads: titles of the columns.
+    :param headings: titles of the columns.
     :param rows: as many cells each.
-    :return: one line for the heads and one for each row.
+    :return: one line for the headings and one for each row.
     """
     widths = [
         max(len(str(cell)) for cell in column)
-        for column in zip(heads, *rows, strict=True)
+        for column in zip(headings, *rows, strict=True)
+    ]
+    lines = [
+        _format_row(headings, widths),
+        *(_format_row(row, widths) for row in rows),
     ]
-    lines = [_line(heads, widths), *(_line(row, widths) for row in rows)]
     return '\n'.join(lines)
 
 
-def _line(row: Row, widths: Sequence[int]) -> str:
+def _format_row(row: Row, widths: Sequence[int]) -> str:
     cells = [
         str(cell).rjust(width)
         if isinstance(cell, int)
--- a/tests/cli/catalogue.feature
+++ b/tests/cli/catalogue.feature
@@ -1,11 +1,11 @@
-Feature: An operator's hand on the catalogue
+Feature: Operators list, show and edit the catalogue
 
   Background:
     Given a platform with the instances
       | instance | page  | revision |
       | entry-1  | entry | 1000     |
       | side-1   | side  | 1000     |
-    And operator settings for it
+    And operator settings for that platform
     And the entry file
       """
       {
@@ -29,7 +29,7 @@
     Then the exit code is 1
     And the error output mentions "there is no workspace/pilots"
 
-  Scenario: What is shown can be applied again and changes nothing
+  Scenario: Applying the output of show changes nothing
     Given "sardinetrack catalogue apply OPERATOR ENTRY" was run
     When "sardinetrack catalogue show OPERATOR workspace/pilots" is run
     Then the output mentions "// workspace/pilots at version 1"
@@ -37,11 +37,11 @@
     Then the exit code is 0
     And the output mentions "version 1 stands there already"
 
-  Scenario: A lost race is told with both versions
-    Two operators edit the same entry. The first one's write gets there before
-    the second one's, who worked on the version before it. The second one's
-    edit must not undo the first one's in silence: it is refused, and the
-    operator reads which version it was based on and which one stands there.
+  Scenario: A conflicting edit is refused with both versions
+    Two operators edit the same entry, and the second edit is based on the
+    version before the first. It must not silently overwrite the first edit: it
+    is refused, and the message names the version that it was based on and the
+    current one.
 
     Given "sardinetrack catalogue apply OPERATOR ENTRY" was run
     And the entry file
@@ -57,7 +57,7 @@
     When "sardinetrack catalogue list OPERATOR" is run
     Then the output mentions "ice service"
 
-  Scenario Outline: An edit that isn't in force in time is told with where
+  Scenario Outline: A late edit is reported with the instances that are behind
     Given the instance "late-1" whose <page> page is at revision 0
     When "sardinetrack catalogue apply OPERATOR ENTRY --wait 0.5" is run
     Then the exit code is 4
@@ -69,13 +69,13 @@
       | entry |
       | side  |
 
-  Scenario: An instance that refuses the entry is told with its reason
+  Scenario: A refusal by an instance is reported with its reason
     Given the instance "entry-2" that refuses "catalogue/workspace/pilots" because "models: taken"
     When "sardinetrack catalogue apply OPERATOR ENTRY" is run
     Then the exit code is 4
     And the error output mentions "entry-2: refused: models: taken"
 
-  Scenario: The mistakes of an entry are listed and nothing is written
+  Scenario: Errors in an entry are listed and nothing is written
     Given the entry file
       """
       {"kind": "workspace", "name": "Pilots", "owner": ""}
@@ -86,20 +86,20 @@
     When "sardinetrack catalogue list OPERATOR" is run
     Then the output is empty
 
-  Scenario: During an outage of the platform the operator reads that nothing changed
+  Scenario: A platform outage is reported, and that nothing was changed
     Given the platform has an outage
     When "sardinetrack catalogue apply OPERATOR ENTRY" is run
     Then the exit code is 1
     And the error output mentions "nothing was changed"
     And there is no traceback
 
-  Scenario Outline: Mistakes in the words are usage errors
-    When "sardinetrack catalogue <words>" is run
+  Scenario Outline: Invalid arguments are usage errors
+    When "sardinetrack catalogue <arguments>" is run
     Then the exit code is 2
     And there is no traceback
 
     Examples:
-      | words                         |
+      | arguments                     |
       | list                          |
       | show OPERATOR pilots          |
       | show OPERATOR tenant/pilots   |
--- a/tests/cli/command_line.feature
+++ b/tests/cli/command_line.feature
@@ -1,4 +1,4 @@
-Feature: The command line explains itself and never shows a traceback
+Feature: The command line has complete help and never shows a traceback
 
   Scenario: The help shows every command, with examples and exit codes
     When "sardinetrack --help" is run
@@ -12,14 +12,14 @@
     Then the exit code is 0
     And the output is the package's version
 
-  Scenario Outline: A user's mistake is one clear line and exit code 2
-    When "sardinetrack <words>" is run
+  Scenario Outline: A usage error has a clear message and exit code 2
+    When "sardinetrack <arguments>" is run
     Then the exit code is 2
     And the error output mentions "<reason>"
     And there is no traceback
 
     Examples:
-      | words                       | reason                  |
+      | arguments                   | reason                  |
       | dance                       | invalid choice          |
       | entry                       | arguments are required  |
       | local --port 70000          | 65535                   |
@@ -38,26 +38,26 @@
     And the output is JSON whose "drain_seconds" is 30
     And neither output mentions "peer-word"
 
-  Scenario: The mistakes of a settings file are listed on standard error
-    Given a settings file of an entry with two mistakes
+  Scenario: Errors in a settings file are listed on standard error
+    Given a settings file of an entry with two errors
     When "sardinetrack check SETTINGS" is run
     Then the exit code is 2
     And the output is empty
     And the error output has 2 lines
 
-  Scenario: Settings that name no role can't be checked
+  Scenario: Settings without a role can't be checked
     Given a settings file that holds "{}"
     When "sardinetrack check SETTINGS" is run
     Then the exit code is 2
     And the error output mentions "role: must be 'entry', 'side' or 'operator'"
 
-  Scenario: An interrupted command says so by its exit code
+  Scenario: An interrupted command has its own exit code
     Given a command that is interrupted
     When "sardinetrack check x" is run
     Then the exit code is 130
     And there is no traceback
 
-  Scenario: The installed program is the same as the module
+  Scenario: The module runs as the installed program does
     When the module is run as a process with "check /nowhere/x.json"
     Then the exit code is 2
     And there is no traceback
--- a/tests/cli/steps/catalogue_steps.py
+++ b/tests/cli/steps/catalogue_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the catalogue command, against a platform in another process."""
+"""Steps for the catalogue command, against a platform in another process."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         add_instance(context, name, json.dumps(page))
 
 
-@given('operator settings for it')
+@given('operator settings for that platform')
 def step_settings(context: Context) -> None:
     settings = {
         'role': 'operator',
@@ -57,7 +57,12 @@
 
 
 @given('the instance "{name}" whose {page} page is at revision {revision:d}')
-def step_late(context: Context, name: str, page: str, revision: int) -> None:
+def step_at_revision(
+    context: Context,
+    name: str,
+    page: str,
+    revision: int,
+) -> None:
     add_instance(context, name, json.dumps(_page(page, name, revision)))
 
 
@@ -73,9 +78,9 @@
     put(context, '/faults', {'outage': True})
 
 
-@given('"{words}" was run')
-def step_was_run(context: Context, words: str) -> None:
-    context.execute_steps(f'When "{words}" is run')
+@given('"{arguments}" was run')
+def step_was_run(context: Context, arguments: str) -> None:
+    context.execute_steps(f'When "{arguments}" is run')
     assert context.code == 0, context.errors
 
 
--- a/tests/cli/steps/command_line_steps.py
+++ b/tests/cli/steps/command_line_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the command line."""
+"""Steps for the command line."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
     context.path.write_text(text)
 
 
-def _run(context: Context, words: list[str]) -> None:
+def _run(context: Context, arguments: list[str]) -> None:
     output, errors = io.StringIO(), io.StringIO()
     with redirect_stdout(output), redirect_stderr(errors):
         try:
-            context.code = main(words)
-        except SystemExit as leave:
-            context.code = leave.code
+            context.code = main(arguments)
+        except SystemExit as exit_error:
+            context.code = exit_error.code
     context.output = output.getvalue()
     context.errors = errors.getvalue()
 
@@ -60,8 +60,8 @@
     _write(context, _ENTRY.replace('SECRET', secret))
 
 
-@given('a settings file of an entry with two mistakes')
-def step_mistaken_settings(context: Context) -> None:
+@given('a settings file of an entry with two errors')
+def step_invalid_settings(context: Context) -> None:
     _write(context, _ENTRY.replace('127.0.0.1', 'x').replace('galata', ''))
 
 
@@ -77,21 +77,24 @@
     context.add_cleanup(broken.stop)
 
 
-@when('"sardinetrack {words}" is run')
-def step_run(context: Context, words: str) -> None:
-    places = {'SETTINGS': 'path', 'PORT': 'port'}
-    for word, name in places.items():
+@when('"sardinetrack {arguments}" is run')
+def step_run(context: Context, arguments: str) -> None:
+    placeholders = {'SETTINGS': 'path', 'PORT': 'port'}
+    for placeholder, name in placeholders.items():
         if name in context:
-            words = words.replace(word, str(getattr(context, name)))
-    for word, path in getattr(context, 'words', {}).items():
-        words = words.replace(word, str(path))
-    _run(context, shlex.split(words))
+            arguments = arguments.replace(
+                placeholder,
+                str(getattr(context, name)),
+            )
+    for placeholder, path in getattr(context, 'words', {}).items():
+        arguments = arguments.replace(placeholder, str(path))
+    _run(context, shlex.split(arguments))
 
 
-@when('the module is run as a process with "{words}"')
-def step_process(context: Context, words: str) -> None:
+@when('the module is run as a process with "{arguments}"')
+def step_process(context: Context, arguments: str) -> None:
     done = subprocess.run(
-        [sys.executable, '-m', 'sardinetrack', *shlex.split(words)],
+        [sys.executable, '-m', 'sardinetrack', *shlex.split(arguments)],
         capture_output=True,
         text=True,
         check=False,
@@ -139,8 +142,8 @@
     for command in COMMANDS:
         assert command.examples
         for example in command.examples:
-            words = shlex.split(example)[1:]
-            assert parser.parse_args(words).command is command
+            arguments = shlex.split(example)[1:]
+            assert parser.parse_args(arguments).command is command
 
 
 @then("the output is the package's version")
@@ -175,20 +178,20 @@
 
 @then('docs/operators.md has one row for each exit code and no other')
 def step_page(context: Context) -> None:
-    found = re.findall(r'^\| (\d+) \| (.+) \|$', _PAGE, re.MULTILINE)
-    wanted = [(str(int(code)), text) for code, text in MEANINGS.items()]
-    assert found == wanted, found
+    listed = re.findall(r'^\| (\d+) \| (.+) \|$', _PAGE, re.MULTILINE)
+    expected = [(str(int(code)), text) for code, text in MEANINGS.items()]
+    assert listed == expected, listed
 
 
 @then('docs/operators.md has one row for each metric and no other')
 def step_metrics(context: Context) -> None:
-    found = re.findall(_METRIC_ROW, _PAGE, re.MULTILINE)
-    wanted = [
+    listed = re.findall(_METRIC_ROW, _PAGE, re.MULTILINE)
+    expected = [
         (_served_name(metric), metric.type)
         for metrics in (EntryMetrics(), SideMetrics())
         for metric in metrics.registry.collect()
     ]
-    assert sorted(found) == sorted(wanted), set(found) ^ set(wanted)
+    assert sorted(listed) == sorted(expected), set(listed) ^ set(expected)
 
 
 def _served_name(metric: Metric) -> str:
--- a/tests/cli/steps/explain_steps.py
+++ b/tests/cli/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the story of a request."""
+"""Steps for the trace of a request."""
 
 from __future__ import annotations
 
@@ -67,29 +67,29 @@
     output, errors = io.StringIO(), io.StringIO()
     with redirect_stdout(output), redirect_stderr(errors):
         context.code = main(['explain', request, *context.files])
-    context.sentences = output.getvalue().splitlines()
+    context.output_lines = output.getvalue().splitlines()
     context.errors = errors.getvalue()
 
 
-@then('it reads: {events}')
-def reads(context, events):
+@then('the output has the events: {events}')
+def has_events(context, events):
     expected = events.split(', ')
-    assert len(context.sentences) == len(expected), context.sentences
-    for sentence, event in zip(context.sentences, expected, strict=True):
-        assert f' {event} ' in sentence, context.sentences
+    assert len(context.output_lines) == len(expected), context.output_lines
+    for output_line, event in zip(context.output_lines, expected, strict=True):
+        assert f' {event} ' in output_line, context.output_lines
 
 
-@then('the last sentence says that a file is missing')
-def says_missing(context):
-    assert 'missing' in context.sentences[-1]
+@then('the last line reports that a file is missing')
+def reports_missing(context):
+    assert 'missing' in context.output_lines[-1]
 
 
-@then('the last sentence says that {node} dropped {count:d}')
-def says_dropped(context, node, count):
-    assert f'{node} {count}' in context.sentences[-1]
+@then('the last line reports that {node} dropped {count:d}')
+def reports_dropped(context, node, count):
+    assert f'{node} {count}' in context.output_lines[-1]
 
 
-@then('the command fails and says that no line is about {request}')
-def says_unknown(context, request):
+@then('the command fails because no line is about {request}')
+def fails_unknown(context, request):
     assert context.code != 0
     assert f'no line is about {request}' in context.errors
--- a/tests/cli/steps/pages.py
+++ b/tests/cli/steps/pages.py
@@ -1,4 +1,4 @@
-"""Pages that instances would serve, and their rows in the platform."""
+"""Status pages of fake instances, and their records at the platform."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 _POLL_SECONDS = 0.02
 _HEADERS = (('authorization', 'Bearer standin-token'),)
-_SECONDS = 20
+_TIMEOUT_SECONDS = 20
 
 
 class _Page(BaseHTTPRequestHandler):
@@ -20,13 +20,13 @@
     text = ''
 
     def do_GET(self) -> None:
-        """Answer as the class says."""
+        """Respond with the class's status and text."""
         self.send_response(self.status)
         self.end_headers()
         self.wfile.write(self.text.encode())
 
     def log_message(self, *_: object) -> None:
-        """Say nothing."""
+        """Log nothing."""
 
 
 def serve_page(context: Context, status: int, text: str) -> int:
@@ -45,26 +45,26 @@
 
 
 def put(context: Context, path: str, content: object) -> None:
-    """Write at the stand-in of the platform."""
+    """Send a PUT request to the stand-in of the platform."""
     address = urlsplit(context.url).netloc
-    connection = HTTPConnection(address, timeout=_SECONDS)
+    connection = HTTPConnection(address, timeout=_TIMEOUT_SECONDS)
     body = json.dumps(content)
     connection.request('PUT', path, body, headers=dict(_HEADERS))
     assert connection.getresponse().status < 300
     connection.close()
 
 
-def add_instance(context: Context, name: str, page: str, **row: str) -> None:
-    """Let the platform list an instance that answers with a page.
+def add_instance(context: Context, name: str, page: str, **fields: str) -> None:
+    """Serve a status page and list its instance at the platform.
 
-    :param row: what differs from a live entry in galata.
+    :param fields: what differs from a live entry in galata.
     """
     port = serve_page(context, 200, page)
     context.addresses[name] = f'127.0.0.1:{port}'
-    listed = {
+    record = {
         'instance': name,
         'role': 'entry',
         'address': context.addresses[name],
         'failure_domain': 'galata',
     }
-    put(context, f'/instances/{name}', {**listed, **row})
+    put(context, f'/instances/{name}', {**record, **fields})
--- a/tests/cli/steps/process_steps.py
+++ b/tests/cli/steps/process_steps.py
@@ -1,4 +1,4 @@
-"""Steps on commands that run as processes or call others."""
+"""Steps for commands that run as processes or call other processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from behave.runner import Context
 from pages import serve_page
 
-_SECONDS = 20
+_TIMEOUT_SECONDS = 20
 
 
 def _listen(context: Context) -> socket.socket:
@@ -30,17 +30,17 @@
     process.communicate()
 
 
-@given('a port that is taken')
-def step_taken(context: Context) -> None:
+@given('a port that is in use')
+def step_port_in_use(context: Context) -> None:
     _listen(context)
 
 
-@given('a port that nobody listens at')
-def step_free(context: Context) -> None:
+@given('a closed port')
+def step_closed_port(context: Context) -> None:
     _listen(context).close()
 
 
-@given('an operator port that answers {status:d} with "{text}"')
+@given('an operator port that responds with {status:d} and "{text}"')
 def step_operator(context: Context, status: int, text: str) -> None:
     context.port = serve_page(context, status, text)
 
@@ -51,12 +51,12 @@
     context.execute_steps(f'When "sardinetrack status --url {url}" is run')
 
 
-@when('the process "{words}" is started')
-def step_start(context: Context, words: str) -> None:
+@when('the process "{arguments}" is started')
+def step_start(context: Context, arguments: str) -> None:
     if 'path' in context:
-        words = words.replace('SETTINGS', str(context.path))
+        arguments = arguments.replace('SETTINGS', str(context.path))
     context.process = subprocess.Popen(
-        [sys.executable, '-m', 'sardinetrack', *words.split()],
+        [sys.executable, '-m', 'sardinetrack', *arguments.split()],
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
@@ -67,7 +67,7 @@
 @when('the process is interrupted')
 def step_interrupt(context: Context) -> None:
     context.process.send_signal(signal.SIGINT)
-    context.errors = context.process.communicate(timeout=_SECONDS)[1]
+    context.errors = context.process.communicate(timeout=_TIMEOUT_SECONDS)[1]
     context.code = context.process.returncode
 
 
@@ -77,10 +77,10 @@
     assert context.url.startswith('http://127.0.0.1:')
 
 
-@then('a call of that URL is answered')
-def step_answered(context: Context) -> None:
+@then('a request to that URL gets a response')
+def step_responds(context: Context) -> None:
     address = urlsplit(context.url).netloc
-    connection = HTTPConnection(address, timeout=_SECONDS)
+    connection = HTTPConnection(address, timeout=_TIMEOUT_SECONDS)
     connection.request('GET', '/')
     assert connection.getresponse().status
     connection.close()
@@ -91,10 +91,14 @@
     assert json.loads(context.output)[name] == text
 
 
-def _call_often(context: Context, ready: dict[str, str], calls: int) -> None:
+def _call_repeatedly(
+    context: Context,
+    ready: dict[str, str],
+    calls: int,
+) -> None:
     connection = HTTPConnection(
         urlsplit(ready['entry_url']).netloc,
-        timeout=_SECONDS,
+        timeout=_TIMEOUT_SECONDS,
     )
     body = json.dumps(
         {
@@ -106,9 +110,9 @@
     headers = {'Authorization': f'Bearer {ready["token"]}'}
     for _ in range(calls):
         connection.request('POST', '/v1/chat/completions', body, headers)
-        reply = connection.getresponse()
-        reply.read()
-        context.statuses.append(reply.status)
+        response = connection.getresponse()
+        response.read()
+        context.statuses.append(response.status)
     connection.close()
 
 
@@ -116,13 +120,13 @@
 def step_call(context: Context, calls: int, connections: int) -> None:
     ready = json.loads(context.process.stdout.readline())
     context.statuses = []
-    each = calls // connections
+    calls_each = calls // connections
     with ThreadPoolExecutor(connections) as pool:
         for _ in range(connections):
-            pool.submit(_call_often, context, ready, each)
+            pool.submit(_call_repeatedly, context, ready, calls_each)
 
 
-@then('every call was answered {status:d}')
+@then('every call gets a response with status {status:d}')
 def step_all(context: Context, status: int) -> None:
     assert len(context.statuses) == 300, len(context.statuses)
     assert set(context.statuses) == {status}, set(context.statuses)
--- a/tests/cli/steps/status_steps.py
+++ b/tests/cli/steps/status_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the status of the fleet."""
+"""Steps for the status of the fleet."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sardinetrack.messages.api import ConfigDigest, SideLoad, SidePhase
 from sardinetrack.side.events import SideStatus as SidePage
 
-_HEAD = re.compile(r'([A-Z ]+) (.*)')
+_HEADED_CELL = re.compile(r'([A-Z ]+) (.*)')
 _GAP = re.compile('  +')
 
 
@@ -48,8 +48,8 @@
 
 
 @given(
-    'the entry "{name}" at revision {revision:d} where {waiting:d} of pool '
-    '"{pool}" wait and {running:d} run',
+    'the entry "{name}" at revision {revision:d} with {waiting:d} waiting and '
+    '{running:d} running requests in pool "{pool}"',
 )
 def step_entry(
     context: Context,
@@ -74,7 +74,7 @@
 
 
 @given(
-    'the entry "{name}" that keeps "{key}" out of force because "{reason}"',
+    'the entry "{name}" that rejects "{key}" because "{reason}"',
 )
 def step_rejecting(context: Context, name: str, key: str, reason: str) -> None:
     rejected = (RejectedStatus(key, 5, (reason,)),)
@@ -82,8 +82,8 @@
 
 
 @given(
-    'the side "{name}" at revision {revision:d} where {running:d} of '
-    '{limit:d} slots are taken',
+    'the side "{name}" at revision {revision:d} with {running:d} of '
+    '{limit:d} slots in use',
 )
 def step_side(
     context: Context,
@@ -109,14 +109,14 @@
     add_instance(context, name, text, role='side')
 
 
-@given('the listed instance "{name}" that answers "{text}"')
+@given('the listed instance "{name}" that responds with "{text}"')
 def step_listed(context: Context, name: str, text: str) -> None:
     add_instance(context, name, text, role='side')
 
 
-@given('the listed instance "{name}" that is gone')
-def step_gone(context: Context, name: str) -> None:
-    context.execute_steps('Given a port that nobody listens at')
+@given('the listed instance "{name}" that has crashed')
+def step_crashed(context: Context, name: str) -> None:
+    context.execute_steps('Given a closed port')
     address = f'127.0.0.1:{context.port}'
     add_instance(context, name, '', role='side', address=address)
 
@@ -129,12 +129,15 @@
 
 @then('the output has the rows')
 def step_rows(context: Context) -> None:
-    wanted = [context.table.headings, *(row.cells for row in context.table)]
-    pairs = [[_HEAD.fullmatch(cell).groups() for cell in row] for row in wanted]
-    heads = [head for head, _ in pairs[0]]
+    expected = [context.table.headings, *(row.cells for row in context.table)]
+    pairs = [
+        [_HEADED_CELL.fullmatch(cell).groups() for cell in row]
+        for row in expected
+    ]
+    titles = [title for title, _ in pairs[0]]
     rows = [[cell for _, cell in row] for row in pairs]
     tables = [_cells(table) for table in context.output.split('\n\n')]
-    assert [heads, *rows] in tables, context.output
+    assert [titles, *rows] in tables, context.output
 
 
 def _cells(table: str) -> list[list[str]]:
