--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,4 +1,4 @@
-"""Start one process of a node from a checkout: ``start.py ROLE``."""
+"""Start one process of an instance from a checkout: ``start.py ROLE``."""
 
 from __future__ import annotations
 
--- a/src/sardinetrack/run.py
+++ b/src/sardinetrack/run.py
@@ -40,7 +40,8 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one command.
 
-    :param arguments: the words after the program's name.
+    :param arguments: the command line without the program's name; by default
+        that of the process.
     :return: the exit code.
     """
     options = build_parser(COMMANDS).parse_args(arguments)
@@ -50,7 +51,7 @@
     except KeyboardInterrupt:
         return ExitCode.INTERRUPTED
     except Exception as error:
-        return _explain(error)
+        return _report_error(error)
 
 
 def _run(options: Namespace) -> int:
@@ -58,8 +59,9 @@
     return command.run(options)
 
 
-def _explain(error: Exception) -> int:
-    # A port that is taken shows inside the task group that opens it.
+def _report_error(error: Exception) -> int:
+    # The error of a port in use comes in the exception group of the task group
+    # that opens the port.
     cause = error
     while isinstance(cause, ExceptionGroup) and len(cause.exceptions) == 1:
         cause = cause.exceptions[0]
