--- a/src/sardinetrack/cli/operator_access.py
+++ b/src/sardinetrack/cli/operator_access.py
@@ -1,4 +1,4 @@
-"""What an operator's commands reach with an operator's settings."""
+"""Access to the platform and the instances for operators' commands."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
 
-from sardinetrack.compose.platform import platform_of
+from sardinetrack.compose.platform import platform_client
 from sardinetrack.config.model import OperatorSettings
 from sardinetrack.config.secret import resolve_secret
 from sardinetrack.http.client import HttpClient
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorAccess:
-    """The platform, and what peers let in."""
+    """HTTP client, platform client and the peers' secret of an operator."""
 
     client: HttpClient
     platform: Platform
@@ -27,8 +27,8 @@
 async def open_access(
     settings: OperatorSettings,
 ) -> AsyncIterator[OperatorAccess]:
-    """Open a client for the time of the context."""
+    """Open a client until the context exits."""
     secret = PeerSecret(resolve_secret(settings.peer_secret))
     async with HttpClient() as client:
-        platform = platform_of(client, settings.platform)
+        platform = platform_client(client, settings.platform)
         yield OperatorAccess(client, platform, secret)
--- a/src/sardinetrack/cli/report.py
+++ b/src/sardinetrack/cli/report.py
@@ -1,4 +1,4 @@
-"""``sardinetrack report``: draw a run from the lines of its processes."""
+"""``sardinetrack report``: write a report of a run from its log lines."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from sardinetrack.cli.logs import read_logs
 from sardinetrack.reports.summary import summarise
 
-_OBJECTIVE_SECONDS: Final = 1.0
+_DEFAULT_OBJECTIVE_SECONDS: Final = 1.0
 
 
 class ReportCommand(Command):
-    """Write a page of HTML about a run."""
+    """Write an HTML report of a run."""
 
     name = 'report'
-    help = 'draw a run as a page of HTML, from the lines of all processes'
+    help = 'write an HTML report of a run, from the log lines of all processes'
     examples = (
         'sardinetrack report --out run.html entry-*.log side-*.log',
         'sardinetrack report --out run.html --objective-seconds 0.6 all.log',
     )
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Take the files."""
+        """Register the files and the objective."""
         parser.add_argument(
             'logs',
             nargs='*',
@@ -42,7 +42,7 @@
         parser.add_argument(
             '--objective-seconds',
             type=float,
-            default=_OBJECTIVE_SECONDS,
+            default=_DEFAULT_OBJECTIVE_SECONDS,
             help='a first event later than this is late (default: %(default)s)',
         )
 
@@ -50,7 +50,7 @@
         """Write the page."""
         lines = chain.from_iterable(read_logs(options.logs))
         summary = summarise(lines, options.objective_seconds)
-        if not summary.ends:
+        if not summary.outcomes:
             raise CommandError('no line tells of the end of a request')
         try:
             page = import_module('sardinetrack.reports.page')
@@ -60,7 +60,7 @@
                 " 'sardinetrack[report]'",
             ) from error
         try:
-            options.out.write_text(page.write_page(summary))
+            options.out.write_text(page.render_page(summary))
         except OSError as error:
             raise CommandError(f'{options.out}: {error.strerror}') from error
         return ExitCode.DONE
