--- a/src/sardinetrack/platform/__init__.py
+++ b/src/sardinetrack/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translates between the users' platform and the product, and nothing else.
+"""Translates between the users' platform and sardinetrack, and nothing else.
 
-No other package knows the platform's names.
+No other package uses the platform's names.
 """
--- a/src/sardinetrack/platform/catalogue.py
+++ b/src/sardinetrack/platform/catalogue.py
@@ -1,4 +1,4 @@
-"""The operator's objects in the store, decoded once into product types."""
+"""Decodes the operator's objects in the store into sardinetrack's types."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 CONFIGURATION_PREFIX: Final = 'config/'
 CONFIGURATION_KEY: Final = 'config/main'
 EVACUATIONS_PREFIX: Final = 'evacuations/'
-"""An object stands there for each zone that is evacuated, under its name."""
+"""Holds one object for each zone that is evacuated, named after the zone."""
 _MILLISECONDS: Final = 1000.0
-_KINDS: Final = MappingProxyType(
+_ROUTE_KINDS: Final = MappingProxyType(
     {
         'streaming': RouteKind.STREAMING,
         'idempotent': RouteKind.IDEMPOTENT,
@@ -33,16 +33,16 @@
 )
 
 
-class _Camel(msgspec.Struct, rename='camel'):
-    """Names on the wire are in camel case."""
+class _CamelCase(msgspec.Struct, rename='camel'):
+    """Base of the messages whose field names are in camel case on the wire."""
 
 
-class _Weighted(msgspec.Struct):
+class _WeightedService(msgspec.Struct):
     service: str
     weight: float
 
 
-class _Route(_Camel):
+class _Route(_CamelCase):
     name: str
     host: str
     path_prefix: str
@@ -51,22 +51,23 @@
     target_latency_ms: float = 1000
     priority: int = 0
     service: str = ''
-    weighted_services: list[_Weighted] = []
-    # How many engines one attempt of a client may be sent to, the first too.
+    weighted_services: list[_WeightedService] = []
+    # Maximum number of engines that one attempt of a client may be sent to,
+    # including the first.
     max_attempts: int = 1
     anonymous: bool = False
-    # Its requests carry the parts of their prompts; no session is pinned.
+    # Whether requests carry the blocks of their prompts; no session is pinned.
     session_affinity: bool = False
     stream_resume: bool = False
     target_gap_ms: float = 0
 
 
-class _Engine(_Camel):
+class _Engine(_CamelCase):
     slots: int
     kv_capacity: int
 
 
-class _Service(_Camel):
+class _Service(_CamelCase):
     name: str
     max_connections: int = 64
     engine: _Engine | None = None
@@ -74,7 +75,7 @@
     warmup_per_s: float = 0
 
 
-class _Limits(_Camel):
+class _Limits(_CamelCase):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
     header_timeout_ms: float = 3000
@@ -82,13 +83,13 @@
     tokens_per_s: float = 0
 
 
-class _Tenant(_Camel):
+class _Tenant(_CamelCase):
     name: str
     api_keys: list[str] = []
     priority: int | None = None
 
 
-class _Config(_Camel):
+class _Config(_CamelCase):
     version: int
     routes: list[_Route]
     services: list[_Service]
@@ -97,30 +98,30 @@
 
 
 def configuration_of(spec: bytes) -> Configuration:
-    """Translate the operator's newest configuration.
+    """Decode the operator's configuration.
 
-    :raises TranslationError: it is not one.
+    :raises TranslationError: the object is not a valid configuration.
     """
     try:
-        read = msgspec.json.decode(spec, type=_Config, strict=False)
+        decoded = msgspec.json.decode(spec, type=_Config, strict=False)
     except msgspec.DecodeError as error:
         raise TranslationError(f'configuration: {error}') from error
     return Configuration(
-        version=read.version,
-        routes=_routes(read.routes),
-        pools={service.name: _pool(service) for service in read.services},
+        version=decoded.version,
+        routes=_routes_by_host(decoded.routes),
+        pools={service.name: _pool(service) for service in decoded.services},
         workspaces={
             key: Workspace(tenant.name, tenant.priority)
-            for tenant in read.tenants
+            for tenant in decoded.tenants
             for key in tenant.api_keys
         },
-        limits=_limits(read.limits),
+        limits=_limits(decoded.limits),
     )
 
 
-def _routes(read: list[_Route]) -> dict[str, tuple[Route, ...]]:
+def _routes_by_host(decoded: list[_Route]) -> dict[str, tuple[Route, ...]]:
     by_host: dict[str, list[Route]] = {}
-    for route in read:
+    for route in decoded:
         by_host.setdefault(route.host.lower(), []).append(_route(route))
     return {
         host: tuple(
@@ -134,46 +135,50 @@
     return len(route.path_prefix)
 
 
-def _route(read: _Route) -> Route:
-    weighted = read.weighted_services or [_Weighted(read.service, 1)]
+def _route(decoded: _Route) -> Route:
+    weighted = decoded.weighted_services or [
+        _WeightedService(decoded.service, 1)
+    ]
     return Route(
-        name=read.name,
-        host=read.host.lower(),
-        path_prefix=read.path_prefix,
-        kind=_KINDS[read.type],
-        pools=tuple(WeightedPool(one.service, one.weight) for one in weighted),
-        max_servers=max(1, read.max_attempts),
-        timeout_seconds=read.timeout_ms / _MILLISECONDS,
-        first_answer_seconds=read.target_latency_ms / _MILLISECONDS,
-        event_gap_seconds=read.target_gap_ms / _MILLISECONDS,
-        priority=read.priority,
-        anonymous=read.anonymous,
-        resumable=read.stream_resume,
-        by_prompt=read.session_affinity,
+        name=decoded.name,
+        host=decoded.host.lower(),
+        path_prefix=decoded.path_prefix,
+        kind=_ROUTE_KINDS[decoded.type],
+        pools=tuple(
+            WeightedPool(target.service, target.weight) for target in weighted
+        ),
+        max_servers=max(1, decoded.max_attempts),
+        timeout_seconds=decoded.timeout_ms / _MILLISECONDS,
+        first_answer_seconds=decoded.target_latency_ms / _MILLISECONDS,
+        event_gap_seconds=decoded.target_gap_ms / _MILLISECONDS,
+        priority=decoded.priority,
+        anonymous=decoded.anonymous,
+        resumable=decoded.stream_resume,
+        by_prompt=decoded.session_affinity,
     )
 
 
-def _pool(read: _Service) -> Pool:
+def _pool(decoded: _Service) -> Pool:
     pool = Pool(
-        read.name,
-        read.max_connections,
-        cold_per_second=read.warmup_per_s,
-        cold_seconds=read.warmup_s,
+        decoded.name,
+        decoded.max_connections,
+        cold_per_second=decoded.warmup_per_s,
+        cold_seconds=decoded.warmup_s,
     )
-    if read.engine is None:
+    if decoded.engine is None:
         return pool
     return replace(
         pool,
-        slots=read.engine.slots,
-        memory_tokens=read.engine.kv_capacity,
+        slots=decoded.engine.slots,
+        memory_tokens=decoded.engine.kv_capacity,
     )
 
 
-def _limits(read: _Limits) -> CallerLimits:
+def _limits(decoded: _Limits) -> CallerLimits:
     return CallerLimits(
-        header_bytes=read.max_header_bytes,
-        body_bytes=read.max_body_bytes,
-        header_seconds=read.header_timeout_ms / _MILLISECONDS,
-        idle_seconds=read.idle_timeout_ms / _MILLISECONDS,
-        tokens_per_second=read.tokens_per_s,
+        header_bytes=decoded.max_header_bytes,
+        body_bytes=decoded.max_body_bytes,
+        header_seconds=decoded.header_timeout_ms / _MILLISECONDS,
+        idle_seconds=decoded.idle_timeout_ms / _MILLISECONDS,
+        tokens_per_second=decoded.tokens_per_s,
     )
--- a/src/sardinetrack/platform/dialect.py
+++ b/src/sardinetrack/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The headers of the platform's callers and backend servers."""
+"""Translates the HTTP headers of the platform's callers and backend servers."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 READY_PATH: Final = b'/v1/readyz'
 _MILLISECONDS: Final = 1000.0
-_TEXT: Final = 'latin-1'
+_ENCODING: Final = 'latin-1'
 _REQUEST_ID: Final = b'x-sardinetrack-request-id'
-_STAMP: Final = b'x-sardinetrack-server-stamp'
-_LOAD: Final = b'x-sardinetrack-server-load'
-_NOT_RUN: Final = b'x-sardinetrack-not-processed'
+_SERVER_STAMP: Final = b'x-sardinetrack-server-stamp'
+_SERVER_LOAD: Final = b'x-sardinetrack-server-load'
+_NOT_PROCESSED: Final = b'x-sardinetrack-not-processed'
 _HOP_BY_HOP: Final = frozenset(
     (
         b'connection',
@@ -34,9 +34,10 @@
         b'content-length',
     ),
 )
-# Ours to set; as a caller sends them they would pin memory, reserve places
-# or let a request go on from the memory of another one.
-_OURS: Final = frozenset(
+# Only the router sets these. If they were accepted from a caller, they would
+# pin KV cache memory, reserve slots or continue a request from the KV cache of
+# another one.
+_ROUTER_ONLY: Final = frozenset(
     (
         b'x-sardinetrack-hold',
         b'x-sardinetrack-pin-ms',
@@ -54,12 +55,12 @@
         b'host',
     ),
 )
-_DROPPED: Final = _HOP_BY_HOP | _OURS
-_NOT_CALLERS: Final = _HOP_BY_HOP | {_LOAD}
+_DROPPED_FROM_REQUESTS: Final = _HOP_BY_HOP | _ROUTER_ONLY
+_DROPPED_FROM_RESPONSES: Final = _HOP_BY_HOP | {_SERVER_LOAD}
 
 
 class PlatformDialect(Dialect):
-    """Reads and writes the platform's headers."""
+    """Parses and encodes the platform's headers."""
 
     def call(
         self,
@@ -68,37 +69,41 @@
         headers: Headers,
         now: float,
     ) -> Call:
-        """Read the head of a request."""
+        """Parse the head of a caller's request."""
         fields = dict(headers)
-        host = _one(headers, b'host').decode(_TEXT).lower()
-        path = target.partition(b'?')[0].decode(_TEXT)
+        host = _single_header(headers, b'host').decode(_ENCODING).lower()
+        path = target.partition(b'?')[0].decode(_ENCODING)
         if not path.startswith('/'):
-            raise AnsweredError(ErrorKind.BAD_REQUEST, 'the path is no path')
+            raise AnsweredError(
+                ErrorKind.BAD_REQUEST, 'the request path must start with /'
+            )
         return Call(
-            request_id=fields.get(_REQUEST_ID, b'').decode(_TEXT),
+            request_id=fields.get(_REQUEST_ID, b'').decode(_ENCODING),
             method=method,
             target=target,
             host=host,
             path=path,
-            forwarded=_lines(headers, _DROPPED),
+            forwarded=_header_lines(headers, _DROPPED_FROM_REQUESTS),
             body=b'',
             arrived_seconds=now,
-            patience_seconds=_seconds(
+            patience_seconds=_parse_seconds(
                 fields.get(b'x-sardinetrack-deadline-ms'),
             ),
-            api_key=_bearer(fields.get(b'authorization', b'')),
-            prompt=_prompt(fields),
-            after_event=_integer(fields.get(b'last-event-id')),
+            api_key=_bearer_token(fields.get(b'authorization', b'')),
+            prompt=_parse_prompt(fields),
+            after_event=_parse_integer(fields.get(b'last-event-id')),
         )
 
     def request(self, call: Call, sending: Sending) -> bytes:
-        """Write the request as a server gets it."""
-        patience = max(1, int(sending.patience_seconds * _MILLISECONDS))
+        """Encode the request as the backend server receives it."""
+        max_wait_milliseconds = max(
+            1, int(sending.patience_seconds * _MILLISECONDS)
+        )
         lines = [
             b'%b %b HTTP/1.1\r\nhost: %b\r\n'
-            % (call.method, call.target, call.host.encode(_TEXT)),
+            % (call.method, call.target, call.host.encode(_ENCODING)),
             call.forwarded,
-            b'x-sardinetrack-deadline-ms: %d\r\n' % patience,
+            b'x-sardinetrack-deadline-ms: %d\r\n' % max_wait_milliseconds,
             b'x-sardinetrack-expect-instance: %b\r\n'
             % sending.server.instance.encode(),
         ]
@@ -113,106 +118,106 @@
         return b''.join(lines)
 
     def reply(self, status: int, headers: Headers) -> ReplyHead:
-        """Read the head of a server's answer."""
+        """Parse the head of a backend server's response."""
         fields = dict(headers)
         misdirected = status == HTTPStatus.MISDIRECTED_REQUEST
         encoded = b'content-encoding' in fields
         return ReplyHead(
             status=status,
-            forwarded=_lines(headers, _NOT_CALLERS),
-            request_id=fields.get(_REQUEST_ID, b'').decode(_TEXT),
-            not_run=misdirected or _NOT_RUN in fields,
-            genuine=_STAMP in fields and not encoded,
-            running=_running(fields.get(_LOAD)),
-            idle_seconds=_idle(fields.get(b'keep-alive', b'')),
+            forwarded=_header_lines(headers, _DROPPED_FROM_RESPONSES),
+            request_id=fields.get(_REQUEST_ID, b'').decode(_ENCODING),
+            not_run=misdirected or _NOT_PROCESSED in fields,
+            genuine=_SERVER_STAMP in fields and not encoded,
+            running=_parse_load(fields.get(_SERVER_LOAD)),
+            idle_seconds=_parse_idle_timeout(fields.get(b'keep-alive', b'')),
             misdirected=misdirected,
         )
 
     def identity(self, call: Call) -> bytes:
-        """Write the request's id."""
-        name = call.request_id.encode(_TEXT)
-        return b'%b: %b\r\n' % (_REQUEST_ID, name)
+        """Encode the header line with the request id."""
+        encoded_id = call.request_id.encode(_ENCODING)
+        return b'%b: %b\r\n' % (_REQUEST_ID, encoded_id)
 
 
-def _one(headers: Headers, wanted: bytes) -> bytes:
-    found = [content for name, content in headers if name == wanted]
-    if len(found) != 1:
+def _single_header(headers: Headers, required: bytes) -> bytes:
+    contents = [content for name, content in headers if name == required]
+    if len(contents) != 1:
         raise AnsweredError(
             ErrorKind.BAD_REQUEST,
-            f'{wanted.decode()} must be given once',
+            f'header {required.decode()} must occur exactly once',
         )
-    return found[0]
+    return contents[0]
 
 
-def _lines(headers: Headers, dropped: frozenset[bytes]) -> bytes:
+def _header_lines(headers: Headers, dropped: frozenset[bytes]) -> bytes:
     return b''.join(
         b'%b: %b\r\n' % line for line in headers if line[0] not in dropped
     )
 
 
-def _bearer(authorization: bytes) -> str | None:
+def _bearer_token(authorization: bytes) -> str | None:
     scheme, _, key = authorization.partition(b' ')
     if scheme.lower() != b'bearer':
         return None
-    return key.strip().decode(_TEXT)
+    return key.strip().decode(_ENCODING)
 
 
-def _seconds(content: bytes | None) -> float | None:
+def _parse_seconds(content: bytes | None) -> float | None:
     try:
         return float(content) / _MILLISECONDS if content else None
     except ValueError:
         return None
 
 
-def _integer(content: bytes | None) -> int | None:
+def _parse_integer(content: bytes | None) -> int | None:
     try:
         return int(content) if content else None
     except ValueError:
         return None
 
 
-def _prompt(fields: dict[bytes, bytes]) -> Prompt:
+def _parse_prompt(fields: dict[bytes, bytes]) -> Prompt:
     counts = fields.get(b'x-sardinetrack-token-count', b'').split(b',')
     if len(counts) != 2:
         return Prompt()
-    tokens = _integer(counts[0]) or 0
-    most_tokens = _integer(counts[1]) or 0
-    hint = _integer(fields.get(b'x-sardinetrack-length-hint'))
-    answer_tokens = most_tokens
+    tokens = _parse_integer(counts[0]) or 0
+    max_output_tokens = _parse_integer(counts[1]) or 0
+    hint = _parse_integer(fields.get(b'x-sardinetrack-length-hint'))
+    output_tokens = max_output_tokens
     if hint is not None:
-        answer_tokens = min(hint, most_tokens or hint)
+        output_tokens = min(hint, max_output_tokens or hint)
     prefix = fields.get(b'x-sardinetrack-prefix-hash', b'')
     return Prompt(
-        _parts(prefix),
+        _parse_blocks(prefix),
         tokens,
-        answer_tokens,
-        most_tokens,
+        output_tokens,
+        max_output_tokens,
         is_estimated=hint is not None,
     )
 
 
-def _parts(prefix: bytes) -> tuple[PromptPart, ...]:
-    parts: list[PromptPart] = []
-    for word in prefix.split(b','):
-        part_id, colon, tokens = word.strip().partition(b':')
+def _parse_blocks(prefix: bytes) -> tuple[PromptPart, ...]:
+    blocks: list[PromptPart] = []
+    for item in prefix.split(b','):
+        block_id, colon, tokens = item.strip().partition(b':')
         if colon:
-            name = part_id.decode(_TEXT)
-            parts.append(PromptPart(name, _integer(tokens) or 0))
-    return tuple(parts)
+            name = block_id.decode(_ENCODING)
+            blocks.append(PromptPart(name, _parse_integer(tokens) or 0))
+    return tuple(blocks)
 
 
-def _running(content: bytes | None) -> int:
-    """Read running and waiting requests; the third number is the slots."""
-    counts = [_integer(count) for count in (content or b'').split(b',')]
+def _parse_load(content: bytes | None) -> int:
+    """Add running and waiting requests; the third number is the slots."""
+    counts = [_parse_integer(count) for count in (content or b'').split(b',')]
     if len(counts) < 2:
         return -1
     return (counts[0] or 0) + (counts[1] or 0)
 
 
-def _idle(keep_alive: bytes) -> float | None:
-    for word in keep_alive.split(b','):
-        name, _, content = word.strip().partition(b'=')
+def _parse_idle_timeout(keep_alive: bytes) -> float | None:
+    for item in keep_alive.split(b','):
+        name, _, content = item.strip().partition(b'=')
         if name.lower() == b'timeout':
-            seconds = _integer(content)
+            seconds = _parse_integer(content)
             return None if seconds is None else float(seconds)
     return None
--- a/src/sardinetrack/platform/errors.py
+++ b/src/sardinetrack/platform/errors.py
@@ -4,8 +4,8 @@
 
 
 class TranslationError(ValueError):
-    """An object of the operator or of a server can't be understood."""
+    """An object of the operator or of a server can't be decoded."""
 
 
 class SettingsFileError(Exception):
-    """The settings can't be used; the text says why and where."""
+    """The settings file is unusable; the message says why and where."""
--- a/src/sardinetrack/platform/store.py
+++ b/src/sardinetrack/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store behind the product's object API; the only client."""
+"""The only client of the platform's store; implements ``ObjectApi``."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     WatchLostError,
 )
 
-CALL_SECONDS: Final = 0.9
-"""A call that takes longer has met a silent connection; it answers in 4 ms."""
+CALL_TIMEOUT_SECONDS: Final = 0.9
+"""The store responds in 4 ms; a slower call is on a silent connection."""
 _WATCH_GRACE_SECONDS: Final = 0.6
 _RETRY_AFTER_SECONDS: Final = 0.2
 _MILLISECONDS: Final = 1000
@@ -50,18 +50,19 @@
     spec: msgspec.Raw = msgspec.Raw(b'null')
 
 
-class _Named(msgspec.Struct):
+class _NameOnly(msgspec.Struct):
     name: str
 
 
 class _NamedObject(msgspec.Struct):
-    metadata: _Named
+    metadata: _NameOnly
 
 
 class _Page(msgspec.Struct, rename='camel'):
-    # The revision of the whole store, not of any object.
+    # Revision of the whole store, not of any object.
     as_of: int
-    # Each is read by itself: one that can't be must not cost the others.
+    # Decoded one by one, since an object that can't be decoded must not affect
+    # the others.
     items: list[msgspec.Raw] = []
     truncated: bool = False
 
@@ -76,8 +77,8 @@
     events: list[_Change] = []
 
 
-class _Answer(ReplySink):
-    """Collects one answer."""
+class _ResponseCollector(ReplySink):
+    """Collects one response."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
@@ -101,10 +102,13 @@
 
 
 class PlatformStore(ObjectApi):
-    """Objects by ``KIND/NAME``; every call ends within a bound."""
+    """Objects under ``KIND/NAME``; every call has a timeout."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        """Remember where the store is."""
+        """Create a client that opens connections when they are needed.
+
+        :param address: IP and port of the store.
+        """
         self._address = address
         self._pool = ServerPool()
         self.use = StoreUse()
@@ -114,8 +118,8 @@
         status, body = await self._call(_READ, key)
         if status == HTTPStatus.NOT_FOUND:
             return None
-        _check(_READ, status)
-        return _stored(key.partition('/')[0], _decode(body, _Object))
+        _raise_for_status(_READ, status)
+        return _to_stored_object(key.partition('/')[0], _decode(body, _Object))
 
     async def put(
         self,
@@ -132,20 +136,20 @@
         body = msgspec.json.encode(
             {'metadata': metadata, 'spec': msgspec.Raw(value)},
         )
-        creates = expected_version == 0
-        status, answer = await self._call(
-            'POST' if creates else 'PUT',
-            kind if creates else key,
+        is_new = expected_version == 0
+        status, response_body = await self._call(
+            'POST' if is_new else 'PUT',
+            kind if is_new else key,
             body,
         )
-        _check('PUT', status, answer, kind)
-        return _stored(kind, _decode(answer, _Object))
+        _raise_for_status('PUT', status, response_body, kind)
+        return _to_stored_object(kind, _decode(response_body, _Object))
 
     async def delete(self, key: str, *, expected_version: int) -> int:
         """Delete conditionally."""
         query = {'revision': expected_version}
         status, body = await self._call('DELETE', key, query=query)
-        _check('DELETE', status, body, key.partition('/')[0])
+        _raise_for_status('DELETE', status, body, key.partition('/')[0])
         return expected_version
 
     async def list(self, prefix: str) -> Listing:
@@ -155,13 +159,13 @@
         query: dict[str, str | int] = {}
         while True:
             status, body = await self._call(_READ, kind, query=query)
-            _check(_READ, status)
+            _raise_for_status(_READ, status)
             page = _decode(body, _Page)
-            read = self._readable(kind, page.as_of, page.items)
-            found.extend(read)
-            if not page.truncated or not read:
+            decoded = self._decode_each(kind, page.as_of, page.items)
+            found.extend(decoded)
+            if not page.truncated or not decoded:
                 return Listing(page.as_of, tuple(found))
-            query = {'after': read[-1].key.partition('/')[2]}
+            query = {'after': decoded[-1].key.partition('/')[2]}
 
     async def watch(
         self,
@@ -181,33 +185,36 @@
             },
             timeout_seconds=wait_seconds + _WATCH_GRACE_SECONDS,
         )
-        _check(_READ, status)
+        _raise_for_status(_READ, status)
         changes = _decode(body, _Changes)
         found: list[StoredObject] = []
         for change in changes.events:
-            read = self._readable(kind, changes.as_of, [change.object])
-            found.extend(replace(one, deleted=change.removed) for one in read)
+            decoded = self._decode_each(kind, changes.as_of, [change.object])
+            found.extend(
+                replace(one, deleted=change.removed) for one in decoded
+            )
         return Listing(changes.as_of, tuple(found))
 
-    def _readable(
+    def _decode_each(
         self,
         kind: str,
         as_of: int,
         items: Sequence[msgspec.Raw],
     ) -> Sequence[StoredObject]:
-        """Read each object by itself.
+        """Decode each object separately.
 
-        Any writer may put any bytes into the store. What has a name stands
-        there as an object that says nothing, so that nobody goes on with what
-        stood there before; what has none can't be an object we know.
+        Any writer may put any bytes into the store. An undecodable object that
+        has a name is returned with an empty value, so that its earlier content
+        is not used any longer; one without a name can't be an object that this
+        client knows.
         """
         found: list[StoredObject] = []
         for raw in items:
             try:
-                found.append(_stored(kind, _decode(raw, _Object)))
+                found.append(_to_stored_object(kind, _decode(raw, _Object)))
             except NoAnswerError:
                 self.use.unreadable += 1
-                found.extend(_named(kind, as_of, raw))
+                found.extend(_empty_object(kind, as_of, raw))
         return found
 
     async def _call(
@@ -217,7 +224,7 @@
         body: bytes = b'',
         *,
         query: dict[str, Any] | None = None,
-        timeout_seconds: float = CALL_SECONDS,
+        timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> tuple[int, bytes]:
         self.use.calls += 1
         request = self._request(method, key, body, query)
@@ -227,7 +234,7 @@
         except NotConnectedError as error:
             raise UnavailableError(str(error) or 'no connection') from error
         except TimeoutError as error:
-            raise _no_answer(method, 'no answer in time') from error
+            raise _no_response_error(method, 'no response in time') from error
 
     def _request(
         self,
@@ -255,31 +262,33 @@
         request: bytes,
     ) -> tuple[int, bytes]:
         connection = await self._pool.take(self._address)
-        answer = _Answer()
+        response = _ResponseCollector()
         try:
-            connection.send(request, answer)
-            broken = await answer.done
+            connection.send(request, response)
+            break_reason = await response.done
         except BaseException:
-            # The answer may still come on it, and would then be taken for
-            # that of the next call.
+            # A late response on this connection would be taken for that of the
+            # next call.
             connection.abort()
             raise
         finally:
             self._pool.give_back(self._address, connection)
-        if broken is not None:
-            raise _no_answer(method, broken.value)
-        return answer.status, answer.body
+        if break_reason is not None:
+            raise _no_response_error(method, break_reason.value)
+        return response.status, response.body
 
 
-def _no_answer(method: str, detail: str) -> NoAnswerError | UncertainError:
-    # A write whose answer is lost may stand in the store, or stand there
-    # seconds later; only a read is surely without effect.
+def _no_response_error(
+    method: str, detail: str
+) -> NoAnswerError | UncertainError:
+    # A write whose response is lost may have taken effect, or take effect
+    # seconds later; only a read certainly has none.
     if method == _READ:
         return NoAnswerError(detail)
     return UncertainError(detail)
 
 
-def _check(
+def _raise_for_status(
     method: str,
     status: int,
     body: bytes = b'',
@@ -289,12 +298,14 @@
         return
     missing = status == HTTPStatus.NOT_FOUND and method != _READ
     if missing or status == HTTPStatus.CONFLICT:
-        current = None if missing else _stored(kind, _decode(body, _Object))
+        current = (
+            None if missing else _to_stored_object(kind, _decode(body, _Object))
+        )
         raise ConflictError(current)
-    raise _error_of(method, status)
+    raise _error_for_status(method, status)
 
 
-def _error_of(method: str, status: int) -> PlatformError:
+def _error_for_status(method: str, status: int) -> PlatformError:
     text = f'status {status}'
     match status:
         case HTTPStatus.TOO_MANY_REQUESTS:
@@ -304,11 +315,13 @@
         case HTTPStatus.GONE:
             return WatchLostError(text)
     if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-        return _no_answer(method, text)
+        return _no_response_error(method, text)
     return RefusedError(text)
 
 
-def _named(kind: str, as_of: int, raw: msgspec.Raw) -> list[StoredObject]:
+def _empty_object(
+    kind: str, as_of: int, raw: msgspec.Raw
+) -> list[StoredObject]:
     try:
         named = msgspec.json.decode(raw, type=_NamedObject)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -321,14 +334,16 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise NoAnswerError(f'unreadable answer: {error}') from error
+        raise NoAnswerError(f'unreadable response: {error}') from error
 
 
-def _stored(kind: str, read: _Object, *, deleted: bool = False) -> StoredObject:
-    metadata = read.metadata
+def _to_stored_object(
+    kind: str, decoded: _Object, *, deleted: bool = False
+) -> StoredObject:
+    metadata = decoded.metadata
     return StoredObject(
         f'{kind}/{metadata.name}',
         metadata.revision,
-        bytes(read.spec),
+        bytes(decoded.spec),
         deleted,
     )
--- a/tests/platform/steps/settings_steps.py
+++ b/tests/platform/steps/settings_steps.py
@@ -29,34 +29,35 @@
 
 
 @when(
-    'its settings file says that a revocation binds after {seconds:d} seconds',
+    'its settings file says that'
+    ' a revocation takes effect after {seconds:d} seconds',
 )
-def change_bound(context, seconds):
+def change_revocation(context, seconds):
     _reload(
         context,
         SETTINGS.replace('revokeMs = 5000', f'revokeMs = {seconds}000'),
     )
 
 
-@when('its settings file is broken')
-def break_settings(context):
+@when('its settings file is invalid')
+def invalidate_settings(context):
     context.before = context.fleet.settings
     _reload(context, SETTINGS.replace('zone = "galata"', 'zone = 7'))
 
 
 @then(
-    'keys hold for less than {seconds:d} seconds,'
-    ' and a line names revoke_seconds',
+    'keys are accepted for less than {seconds:d} seconds,'
+    ' and a log line names revoke_seconds',
 )
-def bound_changed(context, seconds):
+def revocation_changed(context, seconds):
     context.fleet.freshness.confirm(boot_clock() - seconds)
     assert not context.fleet.freshness.holds()
     assert context.line['event'] == 'reloaded'
     assert context.line['changed'] == ['revoke_seconds']
 
 
-@then('the settings are as before and a line says why')
-def settings_kept(context):
+@then('the settings are unchanged and a log line explains why')
+def settings_unchanged(context):
     assert context.fleet.settings is context.before
     assert context.line['event'] == 'config_refused'
     assert 'zone' in context.line['cause']
@@ -73,8 +74,8 @@
     context.settings_text = context.settings_text.replace(line, other)
 
 
-@then('the node knows its addresses, bounds and store')
-def settings_known(context):
+@then('the instance has its addresses, limits and store')
+def settings_translated(context):
     settings = _read_settings(context)
     assert settings.callers == ('10.1.0.33', 8783)
     assert settings.store == ('10.200.1.7', 8781)
@@ -82,14 +83,14 @@
     assert (settings.grace_seconds, settings.revoke_seconds) == (8, 5)
 
 
-@then('they are refused, and the line names {named}')
+@then('they are refused, and the message names {named}')
 def settings_refused(context, named):
     try:
         _read_settings(context)
     except SettingsFileError as error:
         assert named in str(error), error
         return
-    raise AssertionError('they were taken')
+    raise AssertionError('they were accepted')
 
 
 def _read_settings(context):
--- a/tests/platform/steps/store_steps.py
+++ b/tests/platform/steps/store_steps.py
@@ -16,7 +16,7 @@
     WatchLostError,
 )
 
-_KIND = 'servers/'
+_PREFIX = 'servers/'
 _ERRORS = (
     ('unavailable', UnavailableError),
     ('throttled', ThrottledError),
@@ -51,14 +51,14 @@
     return context.loop.run_until_complete(coroutine)
 
 
-async def _watch(context, wait_seconds, act):
-    revision = (await context.client.list(_KIND)).revision
+async def _watch(context, wait_seconds, make_change):
+    revision = (await context.client.list(_PREFIX)).revision
     loop = asyncio.get_running_loop()
-    loop.call_later(0.1, act)
+    loop.call_later(0.1, make_change)
     began = loop.time()
     try:
         context.changes = await context.client.watch(
-            _KIND,
+            _PREFIX,
             after_revision=revision,
             wait_seconds=wait_seconds,
         )
@@ -69,38 +69,38 @@
 
 @when('a server is added while the client watches')
 def add_server(context):
-    def act():
+    def make_change():
         context.store.put('servers', 'i-new', {})
 
-    _run(context, _watch(context, 2, act))
+    _run(context, _watch(context, 2, make_change))
 
 
 @when('the client watches for {seconds:g} seconds and nothing changes')
-def watch_calm(context, seconds):
+def watch_unchanged(context, seconds):
     _run(context, _watch(context, seconds, int))
 
 
-@when('the history is forgotten while the client watches')
-def forget(context):
-    def act():
+@when('the history is discarded while the client watches')
+def discard_history(context):
+    def make_change():
         context.store.put('other', 'x', {})
         context.store.compact()
 
-    _run(context, _watch(context, 2, act))
+    _run(context, _watch(context, 2, make_change))
 
 
-@when('the store answers {fault}')
+@when('the store has the fault {fault}')
 def set_fault(context, fault):
     context.store.fault = fault
 
 
-@when('answers to writes are lost')
+@when('responses to writes are lost')
 def lose_writes(context):
     context.store.writes_lost = True
 
 
 @when('two writers replace the same revision')
-def race(context):
+def write_concurrently(context):
     async def write_both():
         stored = await context.client.get('servers/i-0')
         writes = [
@@ -113,47 +113,47 @@
         ]
         return await asyncio.gather(*writes, return_exceptions=True)
 
-    context.ends = _run(context, write_both())
+    context.outcomes = _run(context, write_both())
 
 
 @then('the client lists {count:d} objects')
-def lists(context, count):
-    listing = _run(context, context.client.list(_KIND))
+def lists_objects(context, count):
+    listing = _run(context, context.client.list(_PREFIX))
     assert len(listing.objects) == count
     assert listing.revision == context.store.revision
 
 
-@then('the watch tells {count:d} change within {seconds:g} seconds')
-@then('the watch tells {count:d} changes within {seconds:g} seconds')
-def tells(context, count, seconds):
+@then('the watch returns {count:d} change within {seconds:g} seconds')
+@then('the watch returns {count:d} changes within {seconds:g} seconds')
+def watch_returns(context, count, seconds):
     assert len(context.changes.objects) == count
     assert context.changes.revision == context.store.revision
     assert context.took_seconds < seconds
 
 
-@then('the client says the watch is lost')
-def is_lost(context):
+@then('the client reports that the watch is lost')
+def watch_is_lost(context):
     assert isinstance(context.error, WatchLostError)
 
 
-@then('a list says the store is {said}')
-def list_fails(context, said):
-    expected = dict(_ERRORS)[said]
+@then('a list fails because the store is {reason}')
+def list_fails(context, reason):
+    expected = dict(_ERRORS)[reason]
     try:
-        _run(context, context.client.list(_KIND))
+        _run(context, context.client.list(_PREFIX))
     except expected:
         return
-    raise AssertionError('the list was answered')
+    raise AssertionError('the list succeeded')
 
 
-@then('within {seconds:g} seconds a list says the store is {said}')
-def list_fails_in_time(context, seconds, said):
+@then('within {seconds:g} seconds a list fails because the store is {reason}')
+def list_fails_in_time(context, seconds, reason):
     began = context.loop.time()
-    list_fails(context, said)
+    list_fails(context, reason)
     assert context.loop.time() - began < seconds
 
 
-@then('a write is uncertain, and stands in the store')
+@then('a write is uncertain, and its value is in the store')
 def write_uncertain(context):
     try:
         _run(
@@ -164,12 +164,18 @@
         stored = _run(context, context.client.get('servers/i-0'))
         assert stored.value == b'{}'
         return
-    raise AssertionError('the write was answered')
-
-
-@then('one of them is told what stands there')
-def one_is_told(context):
-    lost = [end for end in context.ends if isinstance(end, ConflictError)]
-    won = [end for end in context.ends if end not in lost]
-    assert len(lost) == 1, context.ends
-    assert lost[0].current.version == won[0].version
+    raise AssertionError('the write succeeded')
+
+
+@then('one of them receives the current version')
+def one_receives_current(context):
+    rejected = [
+        outcome
+        for outcome in context.outcomes
+        if isinstance(outcome, ConflictError)
+    ]
+    accepted = [
+        outcome for outcome in context.outcomes if outcome not in rejected
+    ]
+    assert len(rejected) == 1, context.outcomes
+    assert rejected[0].current.version == accepted[0].version
--- a/tests/platform/steps/translation_steps.py
+++ b/tests/platform/steps/translation_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the translation between the platform and the product."""
+"""Steps for the translation between the platform and sardinetrack."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 from sardinetrack.topology.servers import BackendServer
 
 _SOURCE = Path(__file__).parents[3] / 'src' / 'sardinetrack'
-_WORDS = re.compile(
+_PLATFORM_NAMES = re.compile(
     r'x-sardinetrack-|/v1/(readyz|report|objects|hold|kv-)|SARDINETRACK_BOOT|'
     'kvCapacity|pathPrefix|weightedServices|streamResume|sessionAffinity|'
     'maxAttempts|apiKeys|healthPath|warmupLeftMs|internalPortRange|'
     'listenAddresses|nodeName',
     re.IGNORECASE,
 )
-_ALLOWED = ('platform', 'standin')
+_ALLOWED_PACKAGES = ('platform', 'standin')
 _CONFIGURATION = MappingProxyType(
     {
         'version': 7,
@@ -96,57 +96,57 @@
 
 @given("the operator's example configuration")
 def example_configuration(context):
-    context.sent = json.loads(json.dumps(dict(_CONFIGURATION)))
+    context.document = json.loads(json.dumps(dict(_CONFIGURATION)))
 
 
-@when('its {field} becomes {word}')
-def change_field(context, field, word):
-    target = context.sent
+@when('its {field} becomes {content}')
+def change_field(context, field, content):
+    target = context.document
     if field == 'route type':
-        target, field = context.sent['routes'][0], 'type'
-    target[field] = json.loads(word)
+        target, field = context.document['routes'][0], 'type'
+    target[field] = json.loads(content)
 
 
-@then("its routes, pools, workspaces and limits are the product's")
+@then('its routes, pools, workspaces and limits are translated')
 def is_translated(context):
-    read = configuration_of(json.dumps(context.sent).encode())
-    route = read.routes['ficu95.example'][1]
+    decoded = configuration_of(json.dumps(context.document).encode())
+    route = decoded.routes['ficu95.example'][1]
     assert route.kind is RouteKind.STREAMING
     assert (route.timeout_seconds, route.first_answer_seconds) == (15, 1)
     assert [one.weight for one in route.pools] == [90, 10]
     assert route.repeatable
-    assert read.pools['models'].runs_models
-    assert read.pools['models'].memory_tokens == 582039
-    assert not read.pools['plain'].runs_models
-    assert read.workspaces['k2'].name == 'hule'
-    assert read.limits.idle_seconds == 15
+    assert decoded.pools['models'].runs_models
+    assert decoded.pools['models'].memory_tokens == 582039
+    assert not decoded.pools['plain'].runs_models
+    assert decoded.workspaces['k2'].name == 'hule'
+    assert decoded.limits.idle_seconds == 15
 
 
-@then('a path under two prefixes goes to the longer one')
-def longest_wins(context):
-    read = configuration_of(json.dumps(context.sent).encode())
-    assert read.route('ficu95.example', '/lohu/more/x').name == 'r-2'
-    assert read.route('ficu95.example', '/lohu/mor').name == 'r-1'
+@then('a path under two prefixes matches the longer one')
+def longest_prefix_matches(context):
+    decoded = configuration_of(json.dumps(context.document).encode())
+    assert decoded.route('ficu95.example', '/lohu/more/x').name == 'r-2'
+    assert decoded.route('ficu95.example', '/lohu/mor').name == 'r-1'
 
 
-@then('a path under no prefix goes nowhere')
+@then('a path under no prefix has no route')
 def no_route(context):
-    read = configuration_of(json.dumps(context.sent).encode())
-    assert read.route('ficu95.example', '/other/') is None
-    assert read.route('other.example', '/lohu/') is None
+    decoded = configuration_of(json.dumps(context.document).encode())
+    assert decoded.route('ficu95.example', '/other/') is None
+    assert decoded.route('other.example', '/lohu/') is None
 
 
-@then('it is refused, and the line names {named}')
+@then('it is refused, and the message names {named}')
 def config_refused(context, named):
     try:
-        configuration_of(json.dumps(context.sent).encode())
+        configuration_of(json.dumps(context.document).encode())
     except TranslationError as error:
         assert named in str(error), error
         return
-    raise AssertionError('it was taken')
+    raise AssertionError('it was accepted')
 
 
-@given('a fleet with version {version:d} in force')
+@given('a fleet with active version {version:d}')
 def open_fleet(context, version):
     pipe = os.pipe()
     context.log_read = pipe[0]
@@ -160,32 +160,35 @@
         context.fleet,
         PlatformDecoder(),
     )
-    _come(context, version)
+    _receive(context, version)
 
 
-def _come(context, version):
+def _receive(context, version):
     spec = json.dumps({**_CONFIGURATION, 'version': version}).encode()
     context.follower.changed(StoredObject('config/main', version, spec))
 
 
-@when("a configuration comes that can't be translated")
-def come_broken(context):
+@when("a configuration arrives that can't be translated")
+def receive_invalid(context):
     context.follower.changed(StoredObject('config/main', 9, b'{"version":9}'))
 
 
-@when('version {version:d} comes late')
-def come_late(context, version):
-    _come(context, version)
+@when('version {version:d} arrives late')
+def receive_late(context, version):
+    _receive(context, version)
 
 
-@then('version {version:d} is in force')
-def in_force(context, version):
+@then('version {version:d} is active')
+def is_active(context, version):
     assert context.fleet.configuration.version == version
 
 
-@then('version {version:d} is in force and a line says why the other is not')
-def in_force_and_told(context, version):
-    in_force(context, version)
+@then(
+    'version {version:d} is active'
+    ' and a log line explains why the other is not',
+)
+def is_active_and_logged(context, version):
+    is_active(context, version)
     context.log.flush()
     lines = os.read(context.log_read, 100_000).splitlines()
     last = json.loads(lines[-1])
@@ -193,15 +196,15 @@
     assert 'routes' in last['cause']
 
 
-@given("a request as a platform's client sends it")
+@given('a request as a client of the platform sends it')
 def client_request(context):
     context.dialect = PlatformDialect()
     context.call = context.dialect.call(b'POST', b'/lohu/1?q=2', _HEAD, 5)
     context.call.body = b'body'
 
 
-@then('its prompt, key, patience and place in the stream are read')
-def head_read(context):
+@then('its prompt, key, maximum wait and last event are parsed')
+def head_parsed(context):
     call = context.call
     assert call.prompt.tokens == 1460
     assert [part.part_id for part in call.prompt.parts] == ['5c', '91', 'e4']
@@ -214,9 +217,9 @@
 
 
 @then(
-    'the server gets what is left of the patience, its name and the workspace',
+    'the server receives the remaining wait, its name and the workspace',
 )
-def server_gets(context):
+def server_receives(context):
     server = BackendServer(
         'i-1',
         'models',
@@ -226,8 +229,8 @@
         8,
         leaving=False,
     )
-    sending = Sending(server, 9.5, 'hule', 14)
-    context.sent_bytes = context.dialect.request(context.call, sending)
+    attempt = Sending(server, 9.5, 'hule', 14)
+    context.sent_bytes = context.dialect.request(context.call, attempt)
     for line in (
         b'POST /lohu/1?q=2 HTTP/1.1',
         b'x-sardinetrack-deadline-ms: 9500',
@@ -240,20 +243,20 @@
         assert context.sent_bytes.split(b'\r\n').count(line) == 1, line
 
 
-@then('neither the key nor a header of one connection goes on')
-def not_handed_on(context):
+@then('neither the key nor a hop-by-hop header is forwarded')
+def not_forwarded(context):
     assert b'secret-key' not in context.sent_bytes
     assert b'keep-alive' not in context.sent_bytes
 
 
 @then(
-    'these answers prove that nothing has run: 421, 503 with the mark',
+    'these responses prove that nothing has run: 421, 503 with the header',
 )
 def proofs(context):
     dialect = PlatformDialect()
     assert dialect.reply(421, ()).not_run
-    mark = (b'x-sardinetrack-not-processed', b'1')
-    assert dialect.reply(503, (mark,)).not_run
+    header = (b'x-sardinetrack-not-processed', b'1')
+    assert dialect.reply(503, (header,)).not_run
 
 
 @then('these do not: 500, 503, 504')
@@ -262,12 +265,12 @@
     assert not any(dialect.reply(one, ()).not_run for one in (500, 503, 504))
 
 
-@then('no module outside the adapter holds a word of the platform')
-def no_words(context):
+@then('no module outside the adapter contains a name of the platform')
+def no_platform_names(context):
     found = [
         f'{path.relative_to(_SOURCE)}: {match.group()}'
         for path in sorted(_SOURCE.rglob('*.py'))
-        if path.relative_to(_SOURCE).parts[0] not in _ALLOWED
-        for match in _WORDS.finditer(path.read_text())
+        if path.relative_to(_SOURCE).parts[0] not in _ALLOWED_PACKAGES
+        for match in _PLATFORM_NAMES.finditer(path.read_text())
     ]
     assert not found, found
--- a/tests/platform/translation.feature
+++ b/tests/platform/translation.feature
@@ -1,43 +1,43 @@
-Feature: The platform's words become the product's
+Feature: Translation of the platform's formats
 
   Scenario: The operator's configuration
     Given the operator's example configuration
-    Then its routes, pools, workspaces and limits are the product's
+    Then its routes, pools, workspaces and limits are translated
 
-  Scenario: The longest prefix of a host wins
+  Scenario: The longest matching prefix of a host is chosen
     Given the operator's example configuration
-    Then a path under two prefixes goes to the longer one
-    And a path under no prefix goes nowhere
+    Then a path under two prefixes matches the longer one
+    And a path under no prefix has no route
 
-  Scenario Outline: What can't be translated is told in a line
+  Scenario Outline: A configuration that can't be translated is reported in one line
     Given the operator's example configuration
-    When its <field> becomes <word>
-    Then it is refused, and the line names <named>
+    When its <field> becomes <content>
+    Then it is refused, and the message names <named>
 
     Examples:
-      | field      | word     | named     |
+      | field      | content  | named     |
       | version    | "x"      | version   |
       | routes     | 7        | routes    |
       | route type | "sluggy" | type      |
 
-  Scenario: A configuration that can't be translated leaves the last in force
-    Given a fleet with version 7 in force
-    When a configuration comes that can't be translated
-    Then version 7 is in force and a line says why the other is not
+  Scenario: A configuration that can't be translated leaves the last one active
+    Given a fleet with active version 7
+    When a configuration arrives that can't be translated
+    Then version 7 is active and a log line explains why the other is not
 
-  Scenario: An older version never comes back
-    Given a fleet with version 7 in force
-    When version 5 comes late
-    Then version 7 is in force
+  Scenario: An older version is never activated again
+    Given a fleet with active version 7
+    When version 5 arrives late
+    Then version 7 is active
 
   Scenario: A settings file
     Given the platform's example settings
-    Then the node knows its addresses, bounds and store
+    Then the instance has its addresses, limits and store
 
-  Scenario Outline: A broken settings file
+  Scenario Outline: An invalid settings file
     Given the platform's example settings
     When their <line> becomes <other>
-    Then they are refused, and the line names <named>
+    Then they are refused, and the message names <named>
 
     Examples:
       | line                          | other                   | named       |
@@ -46,22 +46,22 @@
       | nodeName = "edge-galata-1"    | other = 1               | nodeName    |
       | nodeName = "edge-galata-1"    | nodeName = [            | Invalid     |
 
-  Scenario: Changed settings are taken over without a restart
-    Given a fleet with version 7 in force
-    When its settings file says that a revocation binds after 3 seconds
-    Then keys hold for less than 3 seconds, and a line names revoke_seconds
+  Scenario: Changed settings take effect without a restart
+    Given a fleet with active version 7
+    When its settings file says that a revocation takes effect after 3 seconds
+    Then keys are accepted for less than 3 seconds, and a log line names revoke_seconds
 
-  Scenario: Broken settings leave the last good ones in force
-    Given a fleet with version 7 in force
-    When its settings file is broken
-    Then the settings are as before and a line says why
+  Scenario: Invalid settings leave the last valid ones in effect
+    Given a fleet with active version 7
+    When its settings file is invalid
+    Then the settings are unchanged and a log line explains why
 
-  Scenario: A request's head
-    Given a request as a platform's client sends it
-    Then its prompt, key, patience and place in the stream are read
-    And the server gets what is left of the patience, its name and the workspace
-    And neither the key nor a header of one connection goes on
+  Scenario: The head of a request
+    Given a request as a client of the platform sends it
+    Then its prompt, key, maximum wait and last event are parsed
+    And the server receives the remaining wait, its name and the workspace
+    And neither the key nor a hop-by-hop header is forwarded
 
-  Scenario: Only proofs of "not run" count as such
-    Then these answers prove that nothing has run: 421, 503 with the mark
+  Scenario: Only some responses prove that the request has not run
+    Then these responses prove that nothing has run: 421, 503 with the header
     And these do not: 500, 503, 504
