--- a/src/sardinetrack/store/__init__.py
+++ b/src/sardinetrack/store/__init__.py
@@ -1,3 +1,3 @@
-"""Access to the platform: its object API and its list of instances."""
+"""Access to the platform's object store and its list of instances."""
 
 from __future__ import annotations
--- a/src/sardinetrack/store/api.py
+++ b/src/sardinetrack/store/api.py
@@ -8,16 +8,16 @@
 from typing import Final
 
 MAX_VALUE_BYTES: Final = 1_000_000
-"""Largest value that the platform holds."""
+"""Largest value that the platform stores."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """One object as the platform holds it."""
+    """One object in the platform's store."""
 
     key: str
     version: int
-    """Grows with every write to any object; 0 never occurs."""
+    """Increases with every write to any object; never 0."""
     value: bytes
     """JSON text of at most one megabyte; empty when ``deleted``."""
     deleted: bool = False
@@ -32,7 +32,7 @@
 
 
 class InstanceState(StrEnum):
-    """What the lagging list says about an instance."""
+    """State of an instance in the platform's list, which lags."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """One row of the platform's lagging list of instances."""
+    """One record of the platform's lagging list of instances."""
 
     instance: str
     role: str
     """``entry`` or ``side``."""
     address: str
-    """``IP:port`` of the peer endpoint."""
+    """Peer address, as ``IP:port``."""
     failure_domain: str
     pool: str = ''
     """The pool of a side's backend server; empty for an entry."""
@@ -55,41 +55,48 @@
 
 
 class PlatformError(Exception):
-    """The platform did not do what was asked."""
+    """A call on the platform failed."""
 
 
 class UnavailableError(PlatformError):
-    """The call did not reach the platform or was refused before any effect."""
+    """The call did not reach the platform or was rejected before any effect."""
 
 
 class NoAnswerError(UnavailableError):
-    """A read was sent and its answer did not come whole or in time."""
+    """A read was sent, but no complete response arrived in time."""
 
 
 class ThrottledError(UnavailableError):
-    """The platform refused the call because of its rate; nothing happened."""
+    """The platform rejected the call because of its rate; it had no effect."""
 
     def __init__(self, retry_after_seconds: float) -> None:
-        """Remember when to come back."""
+        """Create the error.
+
+        :param retry_after_seconds: delay after which the call may be repeated.
+        """
         super().__init__('throttled')
         self.retry_after_seconds = retry_after_seconds
 
 
 class UncertainError(PlatformError):
-    """The reply was lost: a write may or may not have taken effect."""
+    """The response was lost: a write may or may not have taken effect."""
 
 
 class ConflictError(PlatformError):
-    """A conditional write found another version than the one expected."""
+    """A conditional write found another version than the expected one."""
 
     def __init__(self, current: StoredObject | None) -> None:
-        """Remember what stands there now, ``None`` for nothing."""
+        """Create the error.
+
+        :param current: the object that is stored now; ``None`` if there is
+            none.
+        """
         super().__init__('version conflict')
         self.current = current
 
 
 class RefusedError(PlatformError):
-    """The platform will never take this call: token, size or shape."""
+    """The platform permanently rejects this call: its token, size or format."""
 
 
 class WatchLostError(PlatformError):
@@ -98,7 +105,7 @@
 
 @dataclass(slots=True)
 class StoreUse:
-    """What a client of the store counts since its start."""
+    """Counters of a client of the store since its start."""
 
     calls: int = 0
     unreadable: int = 0
@@ -110,7 +117,7 @@
 
     @abstractmethod
     async def get(self, key: str) -> StoredObject | None:
-        """Read one object, ``None`` when there is none."""
+        """Read one object; ``None`` if it does not exist."""
 
     @abstractmethod
     async def put(
@@ -124,10 +131,10 @@
 
         :param key: the object's key.
         :param value: JSON text of at most one megabyte.
-        :param expected_version: the version that must stand there; 0 for
-            "nothing stands there"; ``None`` for an unconditional write.
+        :param expected_version: the version that the object must have; 0 if it
+            must not exist; ``None`` for an unconditional write.
         :return: the object as written.
-        :raises ConflictError: another version stands there.
+        :raises ConflictError: the object has another version.
         """
 
     @abstractmethod
@@ -149,16 +156,16 @@
         after_revision: int,
         wait_seconds: float,
     ) -> Listing:
-        """Wait for changes after a revision; empty when none came in time.
+        """Wait for changes after a revision; empty if there are none in time.
 
-        Deleted objects come as ``deleted``. Events may lag and repeat.
+        Deleted objects are returned as ``deleted``. Events may lag and repeat.
 
         :raises WatchLostError: the revision is too old; list again.
         """
 
 
 class Platform(ObjectApi):
-    """The calls that the system makes on the platform; each is counted."""
+    """All calls that the system makes on the platform; each is counted."""
 
     @abstractmethod
     async def instances(self) -> tuple[ListedInstance, ...]:
--- a/src/sardinetrack/store/backoff.py
+++ b/src/sardinetrack/store/backoff.py
@@ -1,4 +1,4 @@
-"""How long to wait after a failed call on the platform."""
+"""Delay after a failed call on the platform."""
 
 from __future__ import annotations
 
@@ -7,37 +7,39 @@
 
 from sardinetrack.store.api import PlatformError, ThrottledError
 
-_FIRST_SECONDS: Final = 0.1
-_LONGEST_SECONDS: Final = 1.0
-_LONGEST_THROTTLED_SECONDS: Final = 2.0
-_FACTOR: Final = 2.0
-_SPREAD: Final = 0.5
+_INITIAL_BACKOFF_SECONDS: Final = 0.1
+_MAX_BACKOFF_SECONDS: Final = 1.0
+_MAX_THROTTLED_BACKOFF_SECONDS: Final = 2.0
+_BACKOFF_FACTOR: Final = 2.0
+_MIN_JITTER_FACTOR: Final = 0.5
 
 
 class Backoff:
-    """Exponential, jittered, and bounded.
+    """Exponential backoff with jitter and an upper bound.
 
-    The bound keeps a node from sleeping through the end of an outage; the
-    jitter keeps a fleet from returning in the same instant.
+    The bound prevents an instance from sleeping through the end of an outage;
+    the jitter prevents a fleet from retrying at the same moment.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        """Start short.
+    def __init__(self, rng: random.Random) -> None:
+        """Start with the initial delay.
 
-        :param chance: source of the jitter.
+        :param rng: random number generator for the jitter.
         """
-        self._chance = chance
-        self._next_seconds = _FIRST_SECONDS
+        self._rng = rng
+        self._next_bound_seconds = _INITIAL_BACKOFF_SECONDS
 
     def reset(self) -> None:
-        """Note that a call succeeded."""
-        self._next_seconds = _FIRST_SECONDS
+        """Return to the initial delay after a successful call."""
+        self._next_bound_seconds = _INITIAL_BACKOFF_SECONDS
 
     def wait_seconds(self, error: PlatformError) -> float:
-        """Tell how long to wait after an error."""
-        bound_seconds = self._next_seconds
-        self._next_seconds = min(bound_seconds * _FACTOR, _LONGEST_SECONDS)
-        wait_seconds = bound_seconds * self._chance.uniform(_SPREAD, 1)
+        """Return the delay after an error and lengthen the next one."""
+        bound_seconds = self._next_bound_seconds
+        self._next_bound_seconds = min(
+            bound_seconds * _BACKOFF_FACTOR, _MAX_BACKOFF_SECONDS
+        )
+        delay_seconds = bound_seconds * self._rng.uniform(_MIN_JITTER_FACTOR, 1)
         if isinstance(error, ThrottledError):
-            wait_seconds += error.retry_after_seconds
-        return min(wait_seconds, _LONGEST_THROTTLED_SECONDS)
+            delay_seconds += error.retry_after_seconds
+        return min(delay_seconds, _MAX_THROTTLED_BACKOFF_SECONDS)
--- a/src/sardinetrack/store/http.py
+++ b/src/sardinetrack/store/http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP."""
+"""HTTP client of the platform's object API."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     ConflictBody,
     ListingBody,
     ObjectBody,
-    listing_of,
-    object_of,
+    listing_from_body,
+    object_from_body,
 )
 
 _CALL_TIMEOUT_SECONDS: Final = 2.0
@@ -45,7 +45,7 @@
 
 
 class HttpPlatform(Platform):
-    """Calls on the object API; every call ends within a bound."""
+    """Calls the object API over HTTP; every call has a timeout."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
         *,
         call_timeout_seconds: float = _CALL_TIMEOUT_SECONDS,
     ) -> None:
-        """Remember where the platform is.
+        """Create a client of the platform.
 
-        :param client: an open client; its owner closes it.
+        :param client: an open HTTP client; its owner closes it.
         :param url: base URL without a trailing slash.
         :param token: the bearer token.
-        :param call_timeout_seconds: longest wait for a whole answer.
+        :param call_timeout_seconds: maximum wait for a complete response.
         """
         self._client = client
         self._url = url
@@ -69,10 +69,10 @@
 
     async def get(self, key: str) -> StoredObject | None:
         """Read one object."""
-        reply = await self._call(_READ, _object_path(key))
-        if reply.status == HTTPStatus.NOT_FOUND:
+        response = await self._call(_READ, _object_path(key))
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        return object_of(_body_of(_READ, reply, ObjectBody))
+        return object_from_body(_decode_body(_READ, response, ObjectBody))
 
     async def put(
         self,
@@ -83,29 +83,29 @@
     ) -> StoredObject:
         """Write conditionally."""
         method = 'PUT'
-        reply = await self._call(
+        response = await self._call(
             method,
             _object_path(key),
-            headers=_condition(expected_version),
+            headers=_condition_headers(expected_version),
             body=value,
         )
-        return object_of(_body_of(method, reply, ObjectBody))
+        return object_from_body(_decode_body(method, response, ObjectBody))
 
     async def delete(self, key: str, *, expected_version: int) -> int:
         """Delete conditionally."""
         method = 'DELETE'
-        reply = await self._call(
+        response = await self._call(
             method,
             _object_path(key),
-            headers=_condition(expected_version),
+            headers=_condition_headers(expected_version),
         )
-        return _body_of(method, reply, ObjectBody).version
+        return _decode_body(method, response, ObjectBody).version
 
     async def list(self, prefix: str) -> Listing:
         """Read all objects under a prefix."""
         query = urlencode({'prefix': prefix})
-        reply = await self._call(_READ, f'/objects?{query}')
-        return listing_of(_body_of(_READ, reply, ListingBody))
+        response = await self._call(_READ, f'/objects?{query}')
+        return listing_from_body(_decode_body(_READ, response, ListingBody))
 
     async def watch(
         self,
@@ -122,17 +122,17 @@
                 'wait_seconds': wait_seconds,
             }
         )
-        reply = await self._call(
+        response = await self._call(
             _READ,
             f'/watch?{query}',
             timeout_seconds=wait_seconds + _WATCH_GRACE_SECONDS,
         )
-        return listing_of(_body_of(_READ, reply, ListingBody))
+        return listing_from_body(_decode_body(_READ, response, ListingBody))
 
     async def instances(self) -> tuple[ListedInstance, ...]:
         """Read the lagging list of instances."""
-        reply = await self._call(_READ, '/instances')
-        return _body_of(_READ, reply, tuple[ListedInstance, ...])
+        response = await self._call(_READ, '/instances')
+        return _decode_body(_READ, response, tuple[ListedInstance, ...])
 
     async def _call(
         self,
@@ -143,35 +143,40 @@
         body: bytes = b'',
         timeout_seconds: float | None = None,
     ) -> Reply:
-        bound_seconds = timeout_seconds or self._call_timeout_seconds
+        limit_seconds = timeout_seconds or self._call_timeout_seconds
         try:
-            with anyio.fail_after(bound_seconds):
+            with anyio.fail_after(limit_seconds):
                 return await self._client.call(
                     method,
                     self._url + path,
                     headers=(self._authorization, *headers),
                     body=body,
-                    read_seconds=bound_seconds,
+                    read_seconds=limit_seconds,
                 )
         except NotSentError as error:
             raise UnavailableError(str(error)) from error
         except (BrokenError, TimeoutError) as error:
-            raise _no_answer(method, str(error)) from error
+            raise _no_response_error(method, str(error)) from error
 
 
-def _no_answer(method: str, detail: str) -> NoAnswerError | UncertainError:
-    # A write whose answer is lost may stand in the store: a caller that took
-    # it for refused would write twice or give up a lease that it holds.
+def _no_response_error(
+    method: str, detail: str
+) -> NoAnswerError | UncertainError:
+    # A write whose response is lost may have taken effect: a caller that
+    # treated it as rejected would write twice or give up a lease that it
+    # holds.
     if method == _READ:
-        return NoAnswerError(detail or 'no answer in time')
-    return UncertainError(detail or 'no answer in time')
+        return NoAnswerError(detail or 'no response in time')
+    return UncertainError(detail or 'no response in time')
 
 
 def _object_path(key: str) -> str:
     return f'/objects/{quote(key)}'
 
 
-def _condition(expected_version: int | None) -> tuple[tuple[str, str], ...]:
+def _condition_headers(
+    expected_version: int | None,
+) -> tuple[tuple[str, str], ...]:
     if expected_version is None:
         return ()
     if expected_version == 0:
@@ -179,45 +184,49 @@
     return (('if-match', str(expected_version)),)
 
 
-def _body_of(method: str, reply: Reply, kind: type[_BodyT]) -> _BodyT:
-    if reply.status != HTTPStatus.OK:
-        _raise_for(method, reply)
+def _decode_body(
+    method: str, response: Reply, body_type: type[_BodyT]
+) -> _BodyT:
+    if response.status != HTTPStatus.OK:
+        _raise_for(method, response)
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(response.body, type=body_type)
     except msgspec.DecodeError as error:
-        raise _no_answer(method, f'unreadable answer: {error}') from error
+        raise _no_response_error(
+            method, f'unreadable response: {error}'
+        ) from error
 
 
-def _raise_for(method: str, reply: Reply) -> NoReturn:
-    raise _error_of(method, reply)
+def _raise_for(method: str, response: Reply) -> NoReturn:
+    raise _error_for_status(method, response)
 
 
-def _error_of(method: str, reply: Reply) -> PlatformError:
-    text = f'status {reply.status}'
-    match reply.status:
+def _error_for_status(method: str, response: Reply) -> PlatformError:
+    text = f'status {response.status}'
+    match response.status:
         case HTTPStatus.PRECONDITION_FAILED:
-            return _conflict(method, reply)
+            return _conflict_error(method, response)
         case HTTPStatus.TOO_MANY_REQUESTS:
-            return ThrottledError(_retry_after_seconds(reply))
+            return ThrottledError(_retry_after_seconds(response))
         case HTTPStatus.SERVICE_UNAVAILABLE:
             return UnavailableError(text)
         case HTTPStatus.GONE:
             return WatchLostError(text)
-    if reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-        return _no_answer(method, text)
+    if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+        return _no_response_error(method, text)
     return RefusedError(text)
 
 
-def _conflict(method: str, reply: Reply) -> PlatformError:
+def _conflict_error(method: str, response: Reply) -> PlatformError:
     try:
-        current = msgspec.json.decode(reply.body, type=ConflictBody).current
+        current = msgspec.json.decode(response.body, type=ConflictBody).current
     except msgspec.DecodeError as error:
-        return _no_answer(method, f'unreadable answer: {error}')
-    return ConflictError(object_of(current) if current else None)
+        return _no_response_error(method, f'unreadable response: {error}')
+    return ConflictError(object_from_body(current) if current else None)
 
 
-def _retry_after_seconds(reply: Reply) -> float:
+def _retry_after_seconds(response: Reply) -> float:
     try:
-        return float(reply.header('retry-after') or _RETRY_AFTER_SECONDS)
+        return float(response.header('retry-after') or _RETRY_AFTER_SECONDS)
     except ValueError:
         return _RETRY_AFTER_SECONDS
--- a/src/sardinetrack/store/in_process.py
+++ b/src/sardinetrack/store/in_process.py
@@ -19,28 +19,28 @@
 )
 from sardinetrack.store.memory import MemoryStore
 
-_LAG_STEP_SECONDS: Final = 0.02
+_LAG_POLL_INTERVAL_SECONDS: Final = 0.02
 
 
 @dataclass
 class Disturbance:
-    """What goes wrong with the calls."""
+    """Faults to inject into the calls."""
 
     outage: bool = False
     lose_replies: int = 0
-    """So many next writes take effect while their reply is lost."""
+    """Number of next writes that take effect but whose response is lost."""
     watch_lag_seconds: float = 0
     list_lag_seconds: float = 0
 
 
 @dataclass(eq=False)
-class _Waiter:
+class _WaitingWatch:
     prefix: str
     changed: anyio.Event = field(default_factory=anyio.Event)
 
 
 class MemoryPlatform(Platform):
-    """Calls straight into a store, with disturbances on demand."""
+    """Calls a store directly and injects faults on demand."""
 
     def __init__(
         self,
@@ -48,21 +48,24 @@
         *,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Wrap a store, by default a new one."""
+        """Wrap a store, by default a new one.
+
+        :param clock: returns the current moment in seconds.
+        """
         self.store = store or MemoryStore()
-        self._disturbance = Disturbance()
+        self._faults = Disturbance()
         self._clock = clock
-        self._waiters: set[_Waiter] = set()
+        self._waiting_watches: set[_WaitingWatch] = set()
 
-    def disturb(self, disturbance: Disturbance) -> None:
-        """Replace what goes wrong; waiting watches meet it at once."""
-        self._disturbance = disturbance
-        for waiter in self._waiters:
-            waiter.changed.set()
+    def disturb(self, faults: Disturbance) -> None:
+        """Replace the injected faults, also for watches that are waiting."""
+        self._faults = faults
+        for watch in self._waiting_watches:
+            watch.changed.set()
 
     async def get(self, key: str) -> StoredObject | None:
         """Read one object."""
-        await self._enter()
+        await self._begin_call()
         return self.store.get(key)
 
     async def put(
@@ -73,21 +76,21 @@
         expected_version: int | None,
     ) -> StoredObject:
         """Write conditionally."""
-        await self._enter()
+        await self._begin_call()
         stored = self.store.put(self._clock(), key, value, expected_version)
-        self._written(key)
+        self._finish_write(key)
         return stored
 
     async def delete(self, key: str, *, expected_version: int) -> int:
         """Delete conditionally."""
-        await self._enter()
+        await self._begin_call()
         version = self.store.delete(self._clock(), key, expected_version)
-        self._written(key)
+        self._finish_write(key)
         return version
 
     async def list(self, prefix: str) -> Listing:
         """Read all objects under a prefix."""
-        await self._enter()
+        await self._begin_call()
         return self.store.list(prefix)
 
     async def watch(
@@ -98,51 +101,55 @@
         wait_seconds: float,
     ) -> Listing:
         """Wait for changes."""
-        await self._enter()
+        await self._begin_call()
         deadline = self._clock() + wait_seconds
         while True:
             now = self._clock()
-            lag_seconds = self._disturbance.watch_lag_seconds
-            seen = self.store.changes(now, prefix, after_revision, lag_seconds)
-            if seen.objects or now >= deadline:
-                return seen
-            await self._changed(prefix, deadline - now)
-            await self._enter()
+            lag_seconds = self._faults.watch_lag_seconds
+            listing = self.store.changes(
+                now, prefix, after_revision, lag_seconds
+            )
+            if listing.objects or now >= deadline:
+                return listing
+            await self._wait_for_change(prefix, deadline - now)
+            await self._begin_call()
 
     async def instances(self) -> tuple[ListedInstance, ...]:
         """Read the list of instances."""
-        await self._enter()
-        lag_seconds = self._disturbance.list_lag_seconds
+        await self._begin_call()
+        lag_seconds = self._faults.list_lag_seconds
         return self.store.instances(self._clock(), lag_seconds)
 
-    def set_instance(self, row: ListedInstance) -> None:
-        """Let the platform's scheduler know an instance."""
-        self.store.set_instance(self._clock(), row)
+    def set_instance(self, instance_record: ListedInstance) -> None:
+        """Add an instance to the platform's list, or replace its record."""
+        self.store.set_instance(self._clock(), instance_record)
 
     def remove_instance(self, instance: str) -> None:
-        """Let the platform's scheduler forget an instance."""
+        """Remove an instance from the platform's list."""
         self.store.remove_instance(self._clock(), instance)
 
-    async def _enter(self) -> None:
+    async def _begin_call(self) -> None:
         await anyio.lowlevel.checkpoint()
-        if self._disturbance.outage:
+        if self._faults.outage:
             raise UnavailableError('outage')
 
-    def _written(self, key: str) -> None:
-        for waiter in self._waiters:
-            if key.startswith(waiter.prefix):
-                waiter.changed.set()
-        if self._disturbance.lose_replies:
-            self._disturbance.lose_replies -= 1
-            raise UncertainError('reply lost')
-
-    async def _changed(self, prefix: str, seconds: float) -> None:
-        waiter = _Waiter(prefix)
-        lagging = self._disturbance.watch_lag_seconds
-        bound = min(seconds, _LAG_STEP_SECONDS) if lagging else seconds
-        self._waiters.add(waiter)
+    def _finish_write(self, key: str) -> None:
+        for watch in self._waiting_watches:
+            if key.startswith(watch.prefix):
+                watch.changed.set()
+        if self._faults.lose_replies:
+            self._faults.lose_replies -= 1
+            raise UncertainError('response lost')
+
+    async def _wait_for_change(self, prefix: str, seconds: float) -> None:
+        watch = _WaitingWatch(prefix)
+        lagging = self._faults.watch_lag_seconds
+        max_seconds = (
+            min(seconds, _LAG_POLL_INTERVAL_SECONDS) if lagging else seconds
+        )
+        self._waiting_watches.add(watch)
         try:
-            with anyio.move_on_after(bound):
-                await waiter.changed.wait()
+            with anyio.move_on_after(max_seconds):
+                await watch.changed.wait()
         finally:
-            self._waiters.discard(waiter)
+            self._waiting_watches.discard(watch)
--- a/src/sardinetrack/store/memory.py
+++ b/src/sardinetrack/store/memory.py
@@ -18,40 +18,40 @@
 )
 
 _HISTORY_EVENTS: Final = 4096
-_FIRST_REVISION: Final = 0
+_INITIAL_REVISION: Final = 0
 
 
 @dataclass(frozen=True, slots=True)
-class _Event:
+class _Change:
     at_seconds: float
     stored: StoredObject
 
 
 @dataclass(frozen=True, slots=True)
-class _Roster:
-    """The list of instances as it stood from a time on."""
+class _InstanceList:
+    """The list of instances from a moment on."""
 
     since_seconds: float
-    rows: tuple[ListedInstance, ...]
+    records: tuple[ListedInstance, ...]
 
 
 class MemoryStore:
-    """Objects with versions, a bounded log of changes, listed instances."""
+    """Objects with versions, a bounded log of changes, a list of instances."""
 
     def __init__(self, *, history_events: int = _HISTORY_EVENTS) -> None:
-        """Start empty.
+        """Create an empty store.
 
-        :param history_events: changes that a watch can look back on.
+        :param history_events: number of changes kept for watches.
         """
         self._objects: dict[str, StoredObject] = {}
-        self._events: deque[_Event] = deque()
+        self._changes: deque[_Change] = deque()
         self._history_events = history_events
-        self._forgotten_revision = _FIRST_REVISION
-        self._rosters: deque[_Roster] = deque()
-        self.revision = _FIRST_REVISION
+        self._discarded_revision = _INITIAL_REVISION
+        self._instance_lists: deque[_InstanceList] = deque()
+        self.revision = _INITIAL_REVISION
 
     def get(self, key: str) -> StoredObject | None:
-        """Read one object, ``None`` when there is none."""
+        """Read one object; ``None`` if it does not exist."""
         return self._objects.get(key)
 
     def put(
@@ -63,15 +63,15 @@
     ) -> StoredObject:
         """Write conditionally; see ``Platform.put``.
 
-        :raises ConflictError: another version stands there.
+        :raises ConflictError: the object has another version.
         :raises RefusedError: the value is too large.
         """
         if len(value) > MAX_VALUE_BYTES:
             raise RefusedError('the value is too large')
-        self._expect(key, expected_version)
+        self._check_version(key, expected_version)
         stored = StoredObject(key, self.revision + 1, value)
         self._objects[key] = stored
-        self._record(now, stored)
+        self._append_change(now, stored)
         return stored
 
     def delete(self, now: float, key: str, expected_version: int) -> int:
@@ -79,10 +79,10 @@
 
         :return: the version of the deletion.
         """
-        self._expect(key, expected_version)
+        self._check_version(key, expected_version)
         if self._objects.pop(key, None) is not None:
-            gone = StoredObject(key, self.revision + 1, b'', deleted=True)
-            self._record(now, gone)
+            deletion = StoredObject(key, self.revision + 1, b'', deleted=True)
+            self._append_change(now, deletion)
         return self.revision
 
     def list(self, prefix: str) -> Listing:
@@ -101,12 +101,12 @@
         after_revision: int,
         lag_seconds: float = 0,
     ) -> Listing:
-        """Read the newest change of each key since a revision.
+        """Read the newest change of each key after a revision.
 
-        :param lag_seconds: changes younger than this are not shown yet.
+        :param lag_seconds: changes younger than this are not returned yet.
         :raises WatchLostError: the log does not reach back that far.
         """
-        if not self._forgotten_revision <= after_revision <= self.revision:
+        if not self._discarded_revision <= after_revision <= self.revision:
             raise WatchLostError(str(after_revision))
         newest: dict[str, StoredObject] = {}
         shown_revision = after_revision
@@ -116,60 +116,67 @@
                 newest.setdefault(stored.key, stored)
         return Listing(shown_revision, tuple(reversed(newest.values())))
 
-    def set_instance(self, now: float, row: ListedInstance) -> None:
-        """Enter or replace a row of the list of instances."""
-        self._replace_row(now, row.instance, (row,))
+    def set_instance(self, now: float, instance_record: ListedInstance) -> None:
+        """Add a record to the list of instances, or replace it."""
+        self._replace_record(now, instance_record.instance, (instance_record,))
 
     def remove_instance(self, now: float, instance: str) -> None:
-        """Take a row off the list of instances."""
-        self._replace_row(now, instance, ())
+        """Remove a record from the list of instances."""
+        self._replace_record(now, instance, ())
 
     def instances(
         self,
         now: float,
         lag_seconds: float = 0,
     ) -> tuple[ListedInstance, ...]:
-        """Read the list of instances as it stood a lag ago."""
-        shown: tuple[ListedInstance, ...] = ()
-        for roster in self._rosters:
-            if roster.since_seconds + lag_seconds > now:
+        """Read the list of instances as it was a lag ago."""
+        listed: tuple[ListedInstance, ...] = ()
+        for instance_list in self._instance_lists:
+            if instance_list.since_seconds + lag_seconds > now:
                 break
-            shown = roster.rows
-        return shown
+            listed = instance_list.records
+        return listed
 
     def _since(
         self,
         after_revision: int,
         until_seconds: float,
     ) -> Iterator[StoredObject]:
-        # From the newest back: a watcher that is up to date costs one step.
-        for event in reversed(self._events):
-            if event.stored.version <= after_revision:
+        # Iterates from the newest change back: a watch that is up to date
+        # costs one step.
+        for change in reversed(self._changes):
+            if change.stored.version <= after_revision:
                 return
-            if event.at_seconds <= until_seconds:
-                yield event.stored
+            if change.at_seconds <= until_seconds:
+                yield change.stored
 
-    def _expect(self, key: str, expected_version: int | None) -> None:
+    def _check_version(self, key: str, expected_version: int | None) -> None:
         current = self._objects.get(key)
         version = current.version if current else 0
         if expected_version not in {None, version}:
             raise ConflictError(current)
 
-    def _record(self, now: float, stored: StoredObject) -> None:
+    def _append_change(self, now: float, stored: StoredObject) -> None:
         self.revision = stored.version
-        self._events.append(_Event(now, stored))
-        if len(self._events) > self._history_events:
-            oldest = self._events.popleft()
-            self._forgotten_revision = oldest.stored.version
+        self._changes.append(_Change(now, stored))
+        if len(self._changes) > self._history_events:
+            oldest = self._changes.popleft()
+            self._discarded_revision = oldest.stored.version
 
-    def _replace_row(
+    def _replace_record(
         self,
         now: float,
         instance: str,
-        rows: tuple[ListedInstance, ...],
+        records: tuple[ListedInstance, ...],
     ) -> None:
-        latest = self._rosters[-1].rows if self._rosters else ()
-        kept = tuple(row for row in latest if row.instance != instance)
-        self._rosters.append(_Roster(now, kept + rows))
-        if len(self._rosters) > self._history_events:
-            self._rosters.popleft()
+        latest = (
+            self._instance_lists[-1].records if self._instance_lists else ()
+        )
+        others = tuple(
+            instance_record
+            for instance_record in latest
+            if instance_record.instance != instance
+        )
+        self._instance_lists.append(_InstanceList(now, others + records))
+        if len(self._instance_lists) > self._history_events:
+            self._instance_lists.popleft()
--- a/src/sardinetrack/store/wire.py
+++ b/src/sardinetrack/store/wire.py
@@ -8,7 +8,7 @@
 
 
 class ObjectBody(Struct, frozen=True):
-    """An object on the wire; the value is its JSON text."""
+    """JSON form of an object; the value is its JSON text."""
 
     key: str
     version: int
@@ -17,20 +17,20 @@
 
 
 class ListingBody(Struct, frozen=True):
-    """A listing on the wire."""
+    """JSON form of a listing."""
 
     revision: int
     objects: tuple[ObjectBody, ...]
 
 
 class ConflictBody(Struct, frozen=True):
-    """What stands there when a conditional write fails."""
+    """The stored object that made a conditional write fail."""
 
     current: ObjectBody | None
 
 
 def object_body(stored: StoredObject) -> ObjectBody:
-    """Put an object on the wire."""
+    """Convert an object to its JSON form."""
     return ObjectBody(
         stored.key,
         stored.version,
@@ -39,8 +39,8 @@
     )
 
 
-def object_of(body: ObjectBody) -> StoredObject:
-    """Take an object off the wire."""
+def object_from_body(body: ObjectBody) -> StoredObject:
+    """Convert an object from its JSON form."""
     return StoredObject(
         body.key,
         body.version,
@@ -50,16 +50,16 @@
 
 
 def listing_body(listing: Listing) -> ListingBody:
-    """Put a listing on the wire."""
+    """Convert a listing to its JSON form."""
     return ListingBody(
         listing.revision,
         tuple(object_body(stored) for stored in listing.objects),
     )
 
 
-def listing_of(body: ListingBody) -> Listing:
-    """Take a listing off the wire."""
+def listing_from_body(body: ListingBody) -> Listing:
+    """Convert a listing from its JSON form."""
     return Listing(
         body.revision,
-        tuple(object_of(stored) for stored in body.objects),
+        tuple(object_from_body(stored) for stored in body.objects),
     )
--- a/tests/store/steps/http_steps.py
+++ b/tests/store/steps/http_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the stand-in of the platform and the client on it."""
+"""Steps for the stand-in of the platform and its client."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 _TOKEN = 'platform-token'
 _HISTORY_EVENTS = 4
-_ROW = ListedInstance('e1', 'entry', '127.0.0.1:1', 'galata')
+_LISTED = ListedInstance('e1', 'entry', '127.0.0.1:1', 'galata')
 
 
-@given('a stand-in of the platform and a client on it')
-def bench(context):
+@given('a stand-in of the platform and a client of it')
+def open_client(context):
     stack = ExitStack()
     context.add_cleanup(stack.close)
     context.portal = stack.enter_context(start_blocking_portal())
-    own = context.portal.wrap_async_context_manager
+    enter = context.portal.wrap_async_context_manager
     store = MemoryStore(history_events=_HISTORY_EVENTS)
     context.standin = PlatformStandin(_TOKEN, MemoryPlatform(store))
-    context.http = stack.enter_context(own(HttpClient()))
+    context.http = stack.enter_context(enter(HttpClient()))
     context.server_stack = stack.enter_context(ExitStack())
     context.server = context.server_stack.enter_context(
-        own(serving(context.standin, '127.0.0.1', 0))
+        enter(serving(context.standin, '127.0.0.1', 0))
     )
     context.platform = _client(context, _TOKEN)
     context.written = []
@@ -51,7 +51,7 @@
     )
 
 
-def _control(context, method, path, body=b''):
+def _call_standin(context, method, path, body=b''):
     call = partial(
         context.http.call,
         method,
@@ -59,9 +59,9 @@
         headers=[('authorization', f'Bearer {_TOKEN}')],
         body=body,
     )
-    reply = context.portal.call(call)
-    assert reply.status in {200, 204}, reply
-    return reply.body
+    response = context.portal.call(call)
+    assert response.status in {200, 204}, response
+    return response.body
 
 
 def _put(context, key, text, version):
@@ -74,8 +74,10 @@
 
 
 def _delete(context, key, version):
-    erase = partial(context.platform.delete, key, expected_version=version)
-    context.portal.call(erase)
+    delete_object = partial(
+        context.platform.delete, key, expected_version=version
+    )
+    context.portal.call(delete_object)
 
 
 def _get(context, key):
@@ -87,17 +89,17 @@
     _put(context, key, text, 0)
 
 
-@when('"{key}" is replaced with "{text}" over its version')
+@when('"{key}" is replaced with "{text}" if its version is unchanged')
 def replace(context, key, text):
     _put(context, key, text, _get(context, key).version)
 
 
-@when('"{key}" is deleted over its version')
+@when('"{key}" is deleted if its version is unchanged')
 def delete(context, key):
     _delete(context, key, _get(context, key).version)
 
 
-@then('the list of "{prefix}" holds "{key}" with "{text}" only')
+@then('the list of "{prefix}" contains only "{key}" with "{text}"')
 def listed(context, prefix, key, text):
     listing = context.portal.call(context.platform.list, prefix)
     rows = [(row.key, row.value.decode()) for row in listing.objects]
@@ -106,7 +108,7 @@
 
 
 @then('each write got a greater version than the one before')
-def growing(context):
+def versions_increase(context):
     assert context.written == sorted(set(context.written))
 
 
@@ -120,8 +122,8 @@
     assert _get(context, key).value.decode() == text
 
 
-@then('a read of "{key}" finds "{text}" in the end')
-def finds_late(context, key, text):
+@then('a read of "{key}" eventually finds "{text}"')
+def eventually_finds(context, key, text):
     for _ in range(100):
         stored = _get(context, key)
         if stored:
@@ -130,14 +132,14 @@
     assert stored.value.decode() == text
 
 
-@when('two writers replace "{key}" over the same version')
-def race(context, key):
+@when('two writers replace the same version of "{key}"')
+def replace_concurrently(context, key):
     context.old_version = _get(context, key).version
-    context.portal.call(_race, context, key)
+    context.portal.call(_write_both, context, key)
 
 
-async def _race(context, key):
-    context.race = []
+async def _write_both(context, key):
+    context.outcomes = []
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_write, context, key, b'left')
@@ -151,31 +153,31 @@
         )
     except ConflictError as error:
         stored = error
-    context.race.append(stored)
+    context.outcomes.append(stored)
 
 
-@then('one write stands and the other learns the version that stands')
-def one_stands(context):
-    errors = [row for row in context.race if isinstance(row, ConflictError)]
-    stored = [row for row in context.race if row not in errors]
-    assert len(errors) == len(stored) == 1, context.race
-    assert errors[0].current == stored[0], context.race
-    context.stands = stored[0]
+@then('one write succeeds and the other receives the current version')
+def one_succeeds(context):
+    errors = [row for row in context.outcomes if isinstance(row, ConflictError)]
+    stored = [row for row in context.outcomes if row not in errors]
+    assert len(errors) == len(stored) == 1, context.outcomes
+    assert errors[0].current == stored[0], context.outcomes
+    context.accepted = stored[0]
 
 
-@then('a create of "{key}" learns the version that stands')
+@then('a create of "{key}" receives the current version')
 def create_refused(context, key):
-    _keep(context, partial(_put, context, key, 'x', 0))
-    assert context.error.current == context.stands
+    _record_error(context, partial(_put, context, key, 'x', 0))
+    assert context.error.current == context.accepted
 
 
-@then('a delete of "{key}" over the old version learns the version that stands')
+@then('a delete of the old version of "{key}" receives the current version')
 def delete_refused(context, key):
-    _keep(context, partial(_delete, context, key, context.old_version))
-    assert context.error.current == context.stands
+    _record_error(context, partial(_delete, context, key, context.old_version))
+    assert context.error.current == context.accepted
 
 
-def _keep(context, call):
+def _record_error(context, call):
     context.error = None
     try:
         call()
@@ -186,25 +188,25 @@
 @step('the faults {faults}')
 def set_faults(context, faults):
     body = faults.removeprefix('are ').encode()
-    _control(context, 'PUT', '/faults', body)
+    _call_standin(context, 'PUT', '/faults', body)
 
 
-@when('"{key}" is put with "{text}" and the error is kept')
-def put_kept(context, key, text):
-    _keep(context, partial(_put, context, key, text, None))
+@when('"{key}" is put with "{text}" and the error is recorded')
+def put_recorded(context, key, text):
+    _record_error(context, partial(_put, context, key, text, None))
 
 
-@when('the call "{call}" is made and the error is kept')
-def call_kept(context, call):
+@when('the call "{call}" is made and the error is recorded')
+def call_recorded(context, call):
     for key in 'opqrst':
         if call == 'an old watch':
             _put(context, key, 'x', 0)
     for _ in range(2):
-        made = partial(context.portal.call, _named(context, call))
-        _keep(context, made)
+        made = partial(context.portal.call, _call_named(context, call))
+        _record_error(context, made)
 
 
-def _named(context, call):
+def _call_named(context, call):
     platform = context.platform
     put = partial(platform.put, 'k', expected_version=None)
     watch = partial(platform.watch, 'a/', wait_seconds=0.1)
@@ -225,35 +227,37 @@
 
 
 @when('the platform stops before a put')
-def stopped(context):
+def stop_platform(context):
     context.server_stack.close()
-    call_kept(context, 'a put')
+    call_recorded(context, 'a put')
 
 
-@when('a get is made with a foreign token')
-def foreign(context):
+@when('a get is made with a wrong token')
+def use_wrong_token(context):
     context.platform = _client(context, 'foreign')
-    call_kept(context, 'a get')
+    call_recorded(context, 'a get')
 
 
 @when('a watch waits while "{key}" is created with "{text}"')
 def watch_create(context, key, text):
-    _watch(context, partial(_standin_put, context, key, text))
+    _watch(context, partial(_put_directly, context, key, text))
 
 
 @when('a watch waits while "{key}" is deleted')
 def watch_delete(context, key):
     version = _get(context, key).version
-    erase = partial(context.standin.platform.delete, expected_version=version)
-    _watch(context, partial(erase, key))
+    delete_object = partial(
+        context.standin.platform.delete, expected_version=version
+    )
+    _watch(context, partial(delete_object, key))
 
 
-@when('a watch waits in vain')
-def watch_vain(context):
+@when('a watch waits without a change')
+def watch_without_change(context):
     _watch(context, partial(anyio.sleep, 0))
 
 
-def _standin_put(context, key, text):
+def _put_directly(context, key, text):
     return context.standin.platform.put(key, text.encode(), expected_version=0)
 
 
@@ -264,48 +268,48 @@
 async def _watch_during(context, change):
     after = context.standin.platform.store.revision
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_later, change)
-        context.seen = await context.platform.watch(
+        tasks.start_soon(_change_later, change)
+        context.listing = await context.platform.watch(
             'a/', after_revision=after, wait_seconds=0.8
         )
 
 
-async def _later(change):
+async def _change_later(change):
     await anyio.sleep(0.1)
     await change()
 
 
-@then('the watch brings "{key}"')
-def brings(context, key):
-    assert context.seen.objects[0].key == key, context.seen
-    assert not context.seen.objects[0].deleted, context.seen
+@then('the watch returns "{key}"')
+def watch_returns(context, key):
+    assert context.listing.objects[0].key == key, context.listing
+    assert not context.listing.objects[0].deleted, context.listing
 
 
-@then('the watch, repeating "{older}", brings "{key}"')
-def repeats(context, older, key):
-    keys = [row.key for row in context.seen.objects]
+@then('the watch returns "{key}" and "{older}" again')
+def watch_repeats(context, older, key):
+    keys = [row.key for row in context.listing.objects]
     assert keys[0] == key, keys
     assert older in keys[1:], keys
 
 
-@then('the watch tells that "{key}" is deleted')
-def brings_deleted(context, key):
-    rows = [(row.key, row.deleted) for row in context.seen.objects]
+@then('the watch returns the deletion of "{key}"')
+def watch_returns_deletion(context, key):
+    rows = [(row.key, row.deleted) for row in context.listing.objects]
     assert rows == [(key, True)], rows
 
 
-@then('the watch brings nothing')
-def brings_nothing(context):
-    assert not context.seen.objects
+@then('the watch returns nothing')
+def watch_returns_nothing(context):
+    assert not context.listing.objects
 
 
-@when('an instance "{name}" is entered in the list')
-def enter(context, name):
+@when('an instance "{name}" is added to the list')
+def add_instance(context, name):
     body = (
         b'{"instance": "e1", "role": "entry", "address": "127.0.0.1:1",'
         b' "failure_domain": "galata"}'
     )
-    _control(context, 'PUT', f'/instances/{name}', body)
+    _call_standin(context, 'PUT', f'/instances/{name}', body)
 
 
 @then('no instance is listed')
@@ -316,7 +320,7 @@
 @then('the instance "{name}" is listed')
 def one_listed(context, name):
     rows = context.portal.call(context.platform.instances)
-    assert rows == (_ROW,), rows
+    assert rows == (_LISTED,), rows
     assert rows[0].instance == name
 
 
@@ -327,6 +331,6 @@
 
 @then('the count of "{one}" is {first:d} and of "{other}" is {second:d}')
 def counted(context, one, first, other, second):
-    reply = _control(context, 'GET', '/calls')
-    calls = msgspec.json.decode(reply)['taken']
+    response = _call_standin(context, 'GET', '/calls')
+    calls = msgspec.json.decode(response)['taken']
     assert (calls[one], calls[other]) == (first, second), calls
