--- a/src/sardinetrack/catalogue/api.py
+++ b/src/sardinetrack/catalogue/api.py
@@ -1,4 +1,4 @@
-"""Data classes of the catalogue, as the rest of the system reads them."""
+"""Data classes of the catalogue, as the rest of the system uses them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ServiceClass(StrEnum):
-    """Class of a workspace; it sets the defaults of its limits."""
+    """Class of a workspace; it determines the defaults of its limits."""
 
     INTERACTIVE = 'interactive'
     STANDARD = 'standard'
@@ -26,7 +26,7 @@
 
 
 class PoolClass(StrEnum):
-    """Class of a pool: what its backend servers speak."""
+    """Class of a pool: the protocol of its backend servers."""
 
     MODEL = 'model'
     SERVICE = 'service'
@@ -38,7 +38,7 @@
 
     weight: float
     concurrency: int
-    """Requests that may run at once."""
+    """Requests that may run at the same time."""
     rate_per_second: float
     waiting: int
     """Requests that may wait at one entry."""
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """One workspace in force."""
+    """One active workspace."""
 
     name: str
     owner: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RepeatableCall:
-    """A call of a plain service that may be repeated safely."""
+    """A call of a plain service that can be repeated safely."""
 
     method: str
     path_prefix: str
@@ -66,19 +66,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """One pool of backend servers in force."""
+    """One active pool of backend servers."""
 
     name: str
     owner: str
     pool_class: PoolClass
     slots_per_server: int
-    """First guess of a server's concurrency; the side learns the rest."""
+    """Initial estimate of a server's concurrency; the side adjusts it."""
     max_body_bytes: int
     max_run_seconds: float
     models: tuple[str, ...]
     """Model names served by a model pool."""
     repeatable: tuple[RepeatableCall, ...]
     checks_fencing: frozenset[str]
-    """Backend servers that refuse an order with an old fencing number."""
+    """Backend servers that reject a load command with an old fencing token."""
     prompt_token_cost: float
     """Cost of one prompt token in units of one generated token."""
--- a/src/sardinetrack/catalogue/ask.py
+++ b/src/sardinetrack/catalogue/ask.py
@@ -1,4 +1,4 @@
-"""Ask an instance over HTTP what configuration it has in force."""
+"""Query over HTTP which configuration is active at an instance."""
 
 from __future__ import annotations
 
@@ -15,22 +15,24 @@
 from sardinetrack.messages.api import ConfigDigest
 from sardinetrack.store.api import InstanceState, Platform
 
-_ASK_SECONDS: Final = 1.0
+_QUERY_TIMEOUT_SECONDS: Final = 1.0
 
 
-class _Rejected(msgspec.Struct, frozen=True):
+class _RejectedEntry(msgspec.Struct, frozen=True):
     key: str
     reasons: tuple[str, ...]
 
 
-class _EntryPage(msgspec.Struct, frozen=True):
+class _EntryStatusPage(msgspec.Struct, frozen=True):
     instance: str
     revision: int
     digest: str
-    rejected: tuple[_Rejected, ...]
+    rejected: tuple[_RejectedEntry, ...]
 
     def config_status(self) -> ConfigStatus:
-        rejected = {row.key: row.reasons for row in self.rejected}
+        rejected = {
+            rejection.key: rejection.reasons for rejection in self.rejected
+        }
         return ConfigStatus(
             self.instance,
             self.revision,
@@ -39,7 +41,7 @@
         )
 
 
-class _SidePage(msgspec.Struct, frozen=True):
+class _SideStatusPage(msgspec.Struct, frozen=True):
     instance: str
     configuration: ConfigDigest
 
@@ -52,50 +54,53 @@
 
 
 class StatusClient:
-    """Asks the peer endpoints of instances."""
+    """Queries the peer endpoints of instances."""
 
     def __init__(
         self,
         client: HttpClient,
         headers: tuple[tuple[str, str], ...],
     ) -> None:
-        """Remember how to ask.
+        """Create a client.
 
-        :param headers: show the peer secret.
+        :param client: an open HTTP client; its owner closes it.
+        :param headers: headers that carry the peer secret.
         """
         self._client = client
         self._headers = headers
 
     async def ask(self, address: str) -> ConfigStatus | None:
-        """Ask one instance.
+        """Query one instance.
 
         :param address: ``IP:port``.
-        :return: its answer, ``None`` when there is none.
+        :return: the status, ``None`` if there is no response.
         """
         try:
-            with anyio.fail_after(_ASK_SECONDS):
-                reply = await self._client.call(
+            with anyio.fail_after(_QUERY_TIMEOUT_SECONDS):
+                response = await self._client.call(
                     'GET',
                     f'http://{address}{STATUS_PATH}',
                     headers=self._headers,
-                    read_seconds=_ASK_SECONDS,
+                    read_seconds=_QUERY_TIMEOUT_SECONDS,
                 )
         except (NotSentError, BrokenError, TimeoutError):
             return None
-        return _status_of(reply.status, reply.body)
+        return _decode_status(response.status, response.body)
 
 
-def _status_of(status: int, body: bytes) -> ConfigStatus | None:
+def _decode_status(status: int, body: bytes) -> ConfigStatus | None:
     if status != HTTPStatus.OK:
         return None
     with suppress(msgspec.DecodeError):
-        return msgspec.json.decode(body, type=_EntryPage).config_status()
+        return msgspec.json.decode(body, type=_EntryStatusPage).config_status()
     with suppress(msgspec.DecodeError):
-        return msgspec.json.decode(body, type=_SidePage).config_status()
+        return msgspec.json.decode(body, type=_SideStatusPage).config_status()
     return None
 
 
 async def listed_addresses(platform: Platform) -> tuple[str, ...]:
-    """Tell the peer addresses of all live instances."""
-    rows = await platform.instances()
-    return tuple(row.address for row in rows if row.state is InstanceState.LIVE)
+    """Return the peer addresses of all live instances."""
+    listed = await platform.instances()
+    return tuple(
+        one.address for one in listed if one.state is InstanceState.LIVE
+    )
--- a/src/sardinetrack/catalogue/coverage.py
+++ b/src/sardinetrack/catalogue/coverage.py
@@ -1,9 +1,9 @@
-"""What a configuration update covers.
+"""Completeness of configuration updates.
 
-An update that holds *every* change after one revision up to another lets its
-receiver know what is gone without having been told, key by key. It says so by
-one more object, whose key is the catalogue's prefix and whose version is the
-revision after which the update is complete.
+An update that contains *every* change after one revision up to another lets its
+receiver derive which keys were deleted without a list of them. Such an update
+contains one more object, whose key is the catalogue's prefix and whose version
+is the revision after which the update is complete.
 """
 
 from __future__ import annotations
@@ -22,28 +22,32 @@
 ) -> ConfigUpdate:
     """Build an update that is complete between two revisions.
 
-    :param after_revision: 0 when it holds all that is live at ``revision``.
+    :param after_revision: 0 if it contains all that is live at ``revision``.
     """
-    mark = ConfigObject(CATALOGUE_PREFIX, after_revision, '', deleted=True)
-    return ConfigUpdate(revision, (mark, *changes))
+    marker = ConfigObject(CATALOGUE_PREFIX, after_revision, '', deleted=True)
+    return ConfigUpdate(revision, (marker, *changes))
 
 
-def covered_after(update: ConfigUpdate) -> int | None:
-    """Tell after which revision an update is complete, if it is."""
-    marks = (row for row in update.objects if row.key == CATALOGUE_PREFIX)
-    mark = next(marks, None)
-    return mark.version if mark else None
+def complete_after(update: ConfigUpdate) -> int | None:
+    """Return the revision after which an update is complete, if it is."""
+    markers = (
+        change for change in update.objects if change.key == CATALOGUE_PREFIX
+    )
+    marker = next(markers, None)
+    return marker.version if marker else None
 
 
-def changes_in(update: ConfigUpdate) -> list[ConfigObject]:
+def sorted_changes(update: ConfigUpdate) -> list[ConfigObject]:
     """List the changes of an update, oldest first."""
-    rows = [row for row in update.objects if row.key != CATALOGUE_PREFIX]
-    rows.sort(key=_version_of)
-    return rows
+    selected = [
+        change for change in update.objects if change.key != CATALOGUE_PREFIX
+    ]
+    selected.sort(key=_version_of)
+    return selected
 
 
-def platform_update(after_revision: int, listing: Listing) -> ConfigUpdate:
-    """Turn what the platform gave into an update.
+def update_from_listing(after_revision: int, listing: Listing) -> ConfigUpdate:
+    """Convert a listing of the platform to an update.
 
     :param after_revision: 0 for a list, the watched revision for a watch.
     """
@@ -56,5 +60,5 @@
     return ConfigObject(stored.key, stored.version, text, stored.deleted)
 
 
-def _version_of(row: ConfigObject) -> int:
-    return row.version
+def _version_of(change: ConfigObject) -> int:
+    return change.version
--- a/src/sardinetrack/catalogue/defaults.py
+++ b/src/sardinetrack/catalogue/defaults.py
@@ -1,4 +1,4 @@
-"""Limits that a workspace or pool has when its entry names none."""
+"""Default limits of workspaces and pools."""
 
 from __future__ import annotations
 
@@ -34,6 +34,6 @@
 )
 
 
-def limits_of(service_class: ServiceClass) -> WorkspaceLimits:
-    """Look up the defaults of a class."""
+def default_limits(service_class: ServiceClass) -> WorkspaceLimits:
+    """Return the default limits of a class."""
     return _BY_CLASS[service_class]
--- a/src/sardinetrack/catalogue/editor.py
+++ b/src/sardinetrack/catalogue/editor.py
@@ -1,4 +1,4 @@
-"""An operator's hand on the catalogue in the platform."""
+"""Edits the catalogue in the platform's store for an operator."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Final
 
 from sardinetrack.catalogue.api import CATALOGUE_PREFIX
-from sardinetrack.catalogue.coverage import covering, platform_update
-from sardinetrack.catalogue.parse import WrittenEntry, parse_entry
+from sardinetrack.catalogue.coverage import covering, update_from_listing
+from sardinetrack.catalogue.parse import WrittenEntry, parse_stored_entry
 from sardinetrack.catalogue.problems import InvalidEntryError
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.errors.problem import Problem
@@ -23,23 +23,23 @@
     UncertainError,
 )
 
-_NOTHING: Final = 0
-_ATTEMPTS: Final = 4
-_NO_REPLY: Final = 'every reply was lost'
+_NO_VERSION: Final = 0
+_MAX_ATTEMPTS: Final = 4
+_NO_RESPONSE: Final = 'the response was lost at every attempt'
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """What an edit came to."""
+    """Result of an edit."""
 
     key: str
     version: int
-    """Version that must be in force; 0 when nothing had to be done."""
+    """Version that has to become active; 0 when nothing had to be done."""
     changed: bool
 
 
 class LostRaceError(Exception):
-    """Somebody else changed the entry first; nothing was overwritten."""
+    """Another writer changed the object first; nothing was overwritten."""
 
     def __init__(
         self,
@@ -47,59 +47,61 @@
         expected_version: int,
         current: StoredObject | None,
     ) -> None:
-        """Remember both versions.
+        """Create the error.
 
-        :param expected_version: the one that the edit was based on.
-        :param current: what stands there now, ``None`` for nothing.
+        :param expected_version: the version that the edit was based on.
+        :param current: the object that is stored now; ``None`` if there is
+            none.
         """
         self.key = key
         self.expected_version = expected_version
         self.current = current
-        self.current_version = current.version if current else _NOTHING
+        self.current_version = current.version if current else _NO_VERSION
         super().__init__(
             f'{key}: the edit is based on version {expected_version}, '
-            + f'now version {self.current_version} stands there',
+            + f'but version {self.current_version} is current',
         )
 
 
 class CatalogueEditor:
-    """Reads and writes entries by conditional updates."""
+    """Reads catalogue entries and writes them by conditional updates."""
 
     def __init__(self, platform: Platform) -> None:
-        """Remember the platform."""
         self._platform = platform
 
     async def list(self) -> Listing:
-        """Read all entries."""
+        """Read all catalogue entries."""
         return await self._platform.list(CATALOGUE_PREFIX)
 
     async def show(self, key: str) -> StoredObject | None:
-        """Read one entry."""
+        """Read one catalogue entry."""
         return await self._platform.get(key)
 
     async def apply(
         self,
-        entry: WrittenEntry,
+        catalogue_entry: WrittenEntry,
         *,
         expected_version: int | None = None,
     ) -> Edit:
-        """Create or replace an entry.
+        """Create or replace a catalogue entry.
 
         :param expected_version: the version that the operator edited, 0 for
-            none; by default the one that stands there now.
-        :return: the edit; unchanged when the same text stands there already.
-        :raises InvalidEntryError: the entry can't come into force.
-        :raises LostRaceError: another version stands there.
-        :raises PlatformError: the platform failed; after ``UncertainError``
-            the edit may have been made, after any other it was not.
+            none; by default the current one.
+        :return: the edit; unchanged when the same text is already stored.
+        :raises InvalidEntryError: the catalogue entry can't become active.
+        :raises LostRaceError: another version is stored.
+        :raises PlatformError: the platform failed; after ``UncertainError`` the
+            edit may have been made, after any other error it was not.
         """
         listing = await self.list()
-        _check(entry, listing)
-        current = _find(listing, entry.key)
-        base_version = _base(entry.key, current, expected_version)
-        if current is not None and current.value == entry.value:
-            return Edit(entry.key, current.version, changed=False)
-        return await self._write(entry, base_version)
+        _check_acceptable(catalogue_entry, listing)
+        current = _find(listing, catalogue_entry.key)
+        base_version = _check_expected_version(
+            catalogue_entry.key, current, expected_version
+        )
+        if current is not None and current.value == catalogue_entry.value:
+            return Edit(catalogue_entry.key, current.version, changed=False)
+        return await self._write(catalogue_entry, base_version)
 
     async def remove(
         self,
@@ -107,51 +109,53 @@
         *,
         expected_version: int | None = None,
     ) -> Edit:
-        """Delete an entry; raises as ``apply`` does."""
+        """Delete a catalogue entry; raises as ``apply`` does."""
         current = await self.show(key)
-        base_version = _base(key, current, expected_version)
+        base_version = _check_expected_version(key, current, expected_version)
         if current is None:
-            return Edit(key, _NOTHING, changed=False)
+            return Edit(key, _NO_VERSION, changed=False)
         version = await self._delete(key, base_version)
         return Edit(key, version, changed=True)
 
-    async def _write(self, entry: WrittenEntry, base_version: int) -> Edit:
-        stored = await self._try_write(entry, base_version)
+    async def _write(
+        self, catalogue_entry: WrittenEntry, base_version: int
+    ) -> Edit:
+        stored = await self._try_write(catalogue_entry, base_version)
         attempts = 1
-        with _uncertain_now():
-            while stored is None and attempts < _ATTEMPTS:
-                stored = await self._try_write(entry, base_version)
+        with _errors_as_uncertain():
+            while stored is None and attempts < _MAX_ATTEMPTS:
+                stored = await self._try_write(catalogue_entry, base_version)
                 attempts += 1
         if stored is None:
-            raise UncertainError(_NO_REPLY)
-        return Edit(entry.key, stored.version, changed=True)
+            raise UncertainError(_NO_RESPONSE)
+        return Edit(catalogue_entry.key, stored.version, changed=True)
 
     async def _try_write(
         self,
-        entry: WrittenEntry,
+        catalogue_entry: WrittenEntry,
         base_version: int,
     ) -> StoredObject | None:
         try:
             return await self._platform.put(
-                entry.key,
-                entry.value,
+                catalogue_entry.key,
+                catalogue_entry.value,
                 expected_version=base_version,
             )
         except UncertainError:
-            current = _find(await self._read_back(), entry.key)
+            current = _find(await self._read_back(), catalogue_entry.key)
         except ConflictError as error:
             current = error.current
-        return _settled(entry, base_version, current)
+        return _written_object(catalogue_entry, base_version, current)
 
     async def _delete(self, key: str, base_version: int) -> int:
         version = await self._try_delete(key, base_version)
         attempts = 1
-        with _uncertain_now():
-            while version is None and attempts < _ATTEMPTS:
+        with _errors_as_uncertain():
+            while version is None and attempts < _MAX_ATTEMPTS:
                 version = await self._try_delete(key, base_version)
                 attempts += 1
         if version is None:
-            raise UncertainError(_NO_REPLY)
+            raise UncertainError(_NO_RESPONSE)
         return version
 
     async def _try_delete(self, key: str, base_version: int) -> int | None:
@@ -170,32 +174,33 @@
         return None
 
     async def _read_back(self) -> Listing:
-        with _uncertain_now():
+        with _errors_as_uncertain():
             return await self.list()
 
 
 @contextmanager
-def _uncertain_now() -> Iterator[None]:
-    # The first write may still be on its way: that a later call was refused
-    # does not mean that nothing was or will be written.
+def _errors_as_uncertain() -> Iterator[None]:
+    # The first write may still arrive: a later call that was rejected does not
+    # mean that nothing was or will be written.
     try:
         yield
     except PlatformError as error:
         raise UncertainError(str(error)) from error
 
 
-def _settled(
-    entry: WrittenEntry,
+def _written_object(
+    catalogue_entry: WrittenEntry,
     base_version: int,
     current: StoredObject | None,
 ) -> StoredObject | None:
-    # A write whose reply was lost stands there, or nothing changed and it is
-    # safe to write again under the same condition, or another one came.
-    if current is not None and current.value == entry.value:
+    # Either the write whose response was lost was made, or nothing changed and
+    # it is safe to write again under the same condition, or another write came
+    # first.
+    if current is not None and current.value == catalogue_entry.value:
         return current
-    version = current.version if current else _NOTHING
+    version = current.version if current else _NO_VERSION
     if version != base_version:
-        raise LostRaceError(entry.key, base_version, current)
+        raise LostRaceError(catalogue_entry.key, base_version, current)
     return None
 
 
@@ -204,26 +209,31 @@
     return next(found, None)
 
 
-def _base(
+def _check_expected_version(
     key: str,
     current: StoredObject | None,
     expected_version: int | None,
 ) -> int:
-    version = current.version if current else _NOTHING
+    version = current.version if current else _NO_VERSION
     if expected_version not in {None, version}:
-        raise LostRaceError(key, expected_version or _NOTHING, current)
+        raise LostRaceError(key, expected_version or _NO_VERSION, current)
     return version
 
 
-def _check(entry: WrittenEntry, listing: Listing) -> None:
-    """Refuse an entry that would be rejected, whole or in part."""
-    parse_entry(entry.key, entry.value)
+def _check_acceptable(catalogue_entry: WrittenEntry, listing: Listing) -> None:
+    """Raise for a catalogue entry that would be rejected, even in part."""
+    parse_stored_entry(catalogue_entry.key, catalogue_entry.value)
     view = CatalogueView()
-    view.apply(platform_update(0, listing))
+    view.apply(update_from_listing(0, listing))
     version = listing.revision + 1
-    row = ConfigObject(entry.key, version, entry.value.decode(), deleted=False)
-    view.apply(covering(listing.revision, version, (row,)))
+    change = ConfigObject(
+        catalogue_entry.key,
+        version,
+        catalogue_entry.value.decode(),
+        deleted=False,
+    )
+    view.apply(covering(listing.revision, version, (change,)))
     for rejected in view.rejected():
-        if rejected.key == entry.key:
+        if rejected.key == catalogue_entry.key:
             problems = [Problem('', reason) for reason in rejected.reasons]
-            raise InvalidEntryError(entry.key, problems)
+            raise InvalidEntryError(catalogue_entry.key, problems)
--- a/src/sardinetrack/catalogue/feed.py
+++ b/src/sardinetrack/catalogue/feed.py
@@ -1,4 +1,4 @@
-"""Follow the catalogue in the platform: list once, then watch."""
+"""Follows the catalogue in the platform: lists it once, then watches it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from anyio.streams.memory import MemoryObjectSendStream
 
 from sardinetrack.catalogue.api import CATALOGUE_PREFIX
-from sardinetrack.catalogue.coverage import platform_update
+from sardinetrack.catalogue.coverage import update_from_listing
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.messages.api import ConfigUpdate
 from sardinetrack.store.api import (
@@ -22,21 +22,21 @@
 )
 from sardinetrack.store.backoff import Backoff
 
-WATCH_SECONDS: Final = 2.0
-"""How long one watch waits.
+MAX_WATCH_SECONDS: Final = 2.0
+"""Maximum wait of one watch.
 
-A watch whose connection was cut without a word is noticed when it should
-have been answered, so this is part of the time until a change is in force.
+A watch whose connection was interrupted without notice is detected when its
+response is due, so this is part of the time until a change is active.
 """
 
-_REPEAT_SECONDS: Final = 0.1
+_REPEAT_DELAY_SECONDS: Final = 0.1
 
 _LOG: Final = PartLogger(Part.CATALOGUE)
 
 
 @dataclass
 class FeedCalls:
-    """Calls that a feed made on the platform."""
+    """Numbers of calls that a feed made on the platform."""
 
     lists: int = 0
     watches: int = 0
@@ -44,11 +44,11 @@
 
 
 class CatalogueFeed:
-    """A task that reads the catalogue and hands on what changes.
+    """A task that reads the catalogue and sends its changes as updates.
 
-    It writes nothing. On errors it goes on from the revision that it has. It
+    It writes nothing. After an error it continues from its latest revision. It
     lists again when the platform no longer knows that revision, and after a
-    watch whose answer did not come.
+    watch that got no response.
     """
 
     def __init__(
@@ -56,52 +56,52 @@
         platform: Platform,
         updates: MemoryObjectSendStream[ConfigUpdate],
         *,
-        watch_seconds: float = WATCH_SECONDS,
-        chance: random.Random | None = None,
+        watch_seconds: float = MAX_WATCH_SECONDS,
+        rng: random.Random | None = None,
     ) -> None:
-        """Build a feed.
+        """Create a feed.
 
-        :param platform: where the catalogue is.
-        :param updates: where the updates go; the feed closes it.
-        :param watch_seconds: longest wait of one watch.
-        :param chance: source of the jitter after errors.
+        :param platform: the platform whose store contains the catalogue.
+        :param updates: stream for the updates; the feed closes it.
+        :param watch_seconds: maximum wait of one watch.
+        :param rng: random number generator for the jitter after errors.
         """
         self.calls = FeedCalls()
         self._platform = platform
         self._updates = updates
         self._watch_seconds = watch_seconds
-        self._backoff = Backoff(chance or random.Random())
+        self._backoff = Backoff(rng or random.Random())
         self._revision: int | None = None
-        self._watch_broke = False
+        self._watch_failed = False
 
     async def run(self) -> None:
         """Follow the catalogue until cancelled."""
         with self._updates:
             while True:
-                await self._step()
+                await self._update_once()
 
-    async def _step(self) -> None:
+    async def _update_once(self) -> None:
         try:
             update = await self._read()
         except PlatformError as error:
             if isinstance(error, WatchLostError):
                 self._revision = None
-            # Where watches break whenever there is news, a list still tells
-            # it. An outage refuses calls, and costs no list.
-            self._watch_broke = isinstance(error, NoAnswerError)
-            await self._pause(error)
+            # If watches fail whenever there is a change, a list still returns
+            # it. In an outage calls are rejected, which causes no list.
+            self._watch_failed = isinstance(error, NoAnswerError)
+            await self._back_off(error)
         else:
             await self._updates.send(update)
 
     async def _read(self) -> ConfigUpdate:
-        after_revision = None if self._watch_broke else self._revision
+        after_revision = None if self._watch_failed else self._revision
         if after_revision is None:
             listing = await self._list()
         else:
             listing = await self._watch(after_revision)
         self._revision = listing.revision
-        self._watch_broke = False
-        return platform_update(after_revision or 0, listing)
+        self._watch_failed = False
+        return update_from_listing(after_revision or 0, listing)
 
     async def _list(self) -> Listing:
         self.calls.lists += 1
@@ -115,19 +115,20 @@
             wait_seconds=self._watch_seconds,
         )
         if listing.objects and listing.revision <= after_revision:
-            # Old news again: asking on at once would ask without end.
-            await anyio.sleep(_REPEAT_SECONDS)
-        # Not after a list: a platform that answers each list but loses each
-        # watch would be listed without a pause.
+            # Only known changes were returned: without a delay the watches
+            # would form an endless loop.
+            await anyio.sleep(_REPEAT_DELAY_SECONDS)
+        # No reset after a list: a platform that responds to every list but not
+        # to watches would be listed without a delay.
         self._backoff.reset()
         return listing
 
-    async def _pause(self, error: PlatformError) -> None:
+    async def _back_off(self, error: PlatformError) -> None:
         self.calls.failures += 1
-        wait_seconds = self._backoff.wait_seconds(error)
+        delay_seconds = self._backoff.wait_seconds(error)
         _LOG.warning(
-            'no news from the platform',
+            'reading the catalogue from the platform failed; retrying',
             error=str(error),
-            retry_seconds=wait_seconds,
+            retry_seconds=delay_seconds,
         )
-        await anyio.sleep(wait_seconds)
+        await anyio.sleep(delay_seconds)
--- a/src/sardinetrack/catalogue/model.py
+++ b/src/sardinetrack/catalogue/model.py
@@ -27,7 +27,7 @@
     MAX_RUN_SECONDS,
     PROMPT_TOKEN_COST,
     SLOTS_PER_SERVER,
-    limits_of,
+    default_limits,
 )
 
 _MAX_OWNER_LENGTH: Final = 200
@@ -46,7 +46,7 @@
 Count = Annotated[int, Field(ge=1, le=_MAX_COUNT)]
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(
         extra='forbid',
         frozen=True,
@@ -55,8 +55,8 @@
     )
 
 
-class WorkspaceLimitsModel(_Strict):
-    """Limits of a workspace; what is missing comes from its class."""
+class WorkspaceLimitsModel(_StrictModel):
+    """Limits of a workspace; missing ones come from its class."""
 
     weight: Annotated[float, Field(gt=0, le=_MAX_WEIGHT)] | None = None
     concurrency: Count | None = None
@@ -66,8 +66,8 @@
     waiting: Count | None = None
 
 
-class WorkspaceModel(_Strict):
-    """A workspace as its operator wrote it."""
+class WorkspaceModel(_StrictModel):
+    """A workspace as written by its operator."""
 
     kind: Literal['workspace']
     name: Name
@@ -79,10 +79,10 @@
     limits: WorkspaceLimitsModel = WorkspaceLimitsModel()
     token_hashes: tuple[TokenHash, ...] = ()
 
-    def to_entry(self) -> Workspace:
-        """Build the workspace that comes into force."""
+    def to_catalogue_entry(self) -> Workspace:
+        """Build the workspace that becomes active."""
         given = self.limits.model_dump(exclude_none=True)
-        defaults = limits_of(self.service_class)
+        defaults = default_limits(self.service_class)
         return Workspace(
             name=self.name,
             owner=self.owner,
@@ -100,14 +100,14 @@
         )
 
 
-class RepeatableModel(_Strict):
-    """A call that may be repeated."""
+class RepeatableModel(_StrictModel):
+    """A call that can be repeated."""
 
     method: Annotated[str, Field(pattern='^[A-Z]{1,20}$')]
     path_prefix: Annotated[str, Field(pattern='^/', max_length=1000)]
 
 
-class PoolLimitsModel(_Strict):
+class PoolLimitsModel(_StrictModel):
     """Limits of a pool."""
 
     slots_per_server: Count = SLOTS_PER_SERVER
@@ -119,8 +119,8 @@
     )
 
 
-class PoolModel(_Strict):
-    """A pool as its operator wrote it."""
+class PoolModel(_StrictModel):
+    """A pool as written by its operator."""
 
     kind: Literal['pool']
     name: Name
@@ -144,7 +144,7 @@
         models: tuple[str, ...],
         info: ValidationInfo,
     ) -> tuple[str, ...]:
-        """Refuse a model pool without models and a service with some."""
+        """Reject a model pool without models and a service pool with models."""
         pool_class = info.data.get('pool_class')
         if pool_class is PoolClass.MODEL and not models:
             raise ValueError('a pool of class model names at least one')
@@ -152,8 +152,8 @@
             raise ValueError('a pool of class service names none')
         return models
 
-    def to_entry(self) -> Pool:
-        """Build the pool that comes into force."""
+    def to_catalogue_entry(self) -> Pool:
+        """Build the pool that becomes active."""
         return Pool(
             name=self.name,
             owner=self.owner,
@@ -171,12 +171,12 @@
         )
 
 
-AnyEntryModel = Annotated[
+CatalogueEntryModel = Annotated[
     WorkspaceModel | PoolModel,
     Field(discriminator='kind'),
 ]
 
 
 def key_of(kind: EntryKind, name: str) -> str:
-    """Tell where an entry stands in the platform."""
+    """Return the key of a catalogue entry in the platform's store."""
     return f'{CATALOGUE_PREFIX}{kind.value}/{name}'
--- a/src/sardinetrack/catalogue/parse.py
+++ b/src/sardinetrack/catalogue/parse.py
@@ -1,4 +1,4 @@
-"""Read catalogue entries: plain JSON inside, with comments from operators."""
+"""Parses catalogue entries: plain JSON in the store, else with comments."""
 
 from __future__ import annotations
 
@@ -10,63 +10,65 @@
 from pydantic import TypeAdapter, ValidationError
 
 from sardinetrack.catalogue.api import EntryKind, Pool, Workspace
-from sardinetrack.catalogue.model import AnyEntryModel, key_of
+from sardinetrack.catalogue.model import CatalogueEntryModel, key_of
 from sardinetrack.catalogue.problems import (
     InvalidEntryError,
-    problems_of,
+    problems_from,
 )
 from sardinetrack.errors.problem import Problem
 from sardinetrack.store.api import MAX_VALUE_BYTES
 
-_ADAPTER: Final[TypeAdapter[AnyEntryModel]] = TypeAdapter(AnyEntryModel)
-_FILE: Final = 'file'
+_ADAPTER: Final[TypeAdapter[CatalogueEntryModel]] = TypeAdapter(
+    CatalogueEntryModel
+)
+_OPERATOR_FILE: Final = 'file'
 
 
 @dataclass(frozen=True, slots=True)
 class WrittenEntry:
-    """An operator's entry, ready to be written."""
+    """An operator's catalogue entry, validated and encoded for the store."""
 
     key: str
     value: bytes
     """Plain JSON."""
 
 
-def parse_entry(key: str, value: bytes) -> Workspace | Pool:
-    """Validate an entry of the platform.
+def parse_stored_entry(key: str, value: bytes) -> Workspace | Pool:
+    """Validate a catalogue entry from the platform's store.
 
     :param key: ``catalogue/<kind>/<name>``.
     :param value: plain JSON.
-    :return: the entry that it describes.
-    :raises InvalidEntryError: with all problems at once.
+    :return: the workspace or pool that it describes.
+    :raises InvalidEntryError: with all problems.
     """
-    model = _validated(key, value)
+    model = _validate(key, value)
     expected = key_of(EntryKind(model.kind), model.name)
     if key != expected:
         problem = Problem('name', f'this entry belongs at {expected}')
         raise InvalidEntryError(key, [problem])
-    return model.to_entry()
+    return model.to_catalogue_entry()
 
 
 def read_entry(text: str) -> WrittenEntry:
     """Validate an operator's file, which is JSON with comments.
 
-    :raises InvalidEntryError: with all problems at once.
+    :raises InvalidEntryError: with all problems.
     """
     try:
         content = pyjson5.decode(text)
     except pyjson5.Json5Exception as error:
         problem = Problem('', f'not JSON with comments: {error.args[0]}')
-        raise InvalidEntryError(_FILE, [problem]) from error
+        raise InvalidEntryError(_OPERATOR_FILE, [problem]) from error
     value = json.dumps(content, sort_keys=True).encode()
     if len(value) > MAX_VALUE_BYTES:
         problem = Problem('', f'larger than {MAX_VALUE_BYTES} bytes')
-        raise InvalidEntryError(_FILE, [problem])
-    model = _validated(_FILE, value)
+        raise InvalidEntryError(_OPERATOR_FILE, [problem])
+    model = _validate(_OPERATOR_FILE, value)
     return WrittenEntry(key_of(EntryKind(model.kind), model.name), value)
 
 
-def _validated(key: str, value: bytes) -> AnyEntryModel:
+def _validate(key: str, value: bytes) -> CatalogueEntryModel:
     try:
         return _ADAPTER.validate_json(value)
     except ValidationError as error:
-        raise InvalidEntryError(key, problems_of(error)) from error
+        raise InvalidEntryError(key, problems_from(error)) from error
--- a/src/sardinetrack/catalogue/problems.py
+++ b/src/sardinetrack/catalogue/problems.py
@@ -1,4 +1,4 @@
-"""Everything that is wrong with a catalogue entry, in one error."""
+"""All problems of a catalogue entry, in one error."""
 
 from __future__ import annotations
 
@@ -10,10 +10,14 @@
 
 
 class InvalidEntryError(Exception):
-    """An entry can't be put in force."""
+    """A catalogue entry can't become active."""
 
     def __init__(self, key: str, problems: Iterable[Problem]) -> None:
-        """Remember every problem."""
+        """Create the error.
+
+        :param key: the key of the catalogue entry, or where it comes from.
+        :param problems: every problem found.
+        """
         self.key = key
         self.problems = tuple(problems)
         reasons = '; '.join(str(problem) for problem in self.problems)
@@ -25,10 +29,11 @@
         return tuple(str(problem) for problem in self.problems)
 
 
-def problems_of(error: ValidationError) -> list[Problem]:
-    """Translate what the validation of an entry found."""
+def problems_from(error: ValidationError) -> list[Problem]:
+    """Convert the errors of a validation to problems."""
     found = error.errors(include_url=False, include_input=False)
-    # The first part of a place is the kind that the validation took it for.
+    # The first element of a location is the kind that the validation chose.
     return [
-        Problem(path_of(row['loc'][1:]), reason_of(row['msg'])) for row in found
+        Problem(path_of(detail['loc'][1:]), reason_of(detail['msg']))
+        for detail in found
     ]
--- a/src/sardinetrack/catalogue/rollout.py
+++ b/src/sardinetrack/catalogue/rollout.py
@@ -1,4 +1,4 @@
-"""Wait until an edit is in force at every instance."""
+"""Wait until an edit is active at every instance."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from sardinetrack.store.api import PlatformError
 
 Discover = Callable[[], Awaitable[Sequence[str]]]
-"""Tells the addresses of the instances to ask."""
+"""Returns the addresses of the instances to query."""
 
-_POLL_SECONDS: Final = 0.2
+_POLL_INTERVAL_SECONDS: Final = 0.2
 
 
 class ConfigStatus(Struct, frozen=True):
-    """What an instance says about its configuration."""
+    """The state of an instance's configuration."""
 
     instance: str
     revision: int
@@ -26,27 +26,27 @@
 
 
 Fetch = Callable[[str], Awaitable[ConfigStatus | None]]
-"""Asks one address; ``None`` when it does not answer."""
+"""Queries one address; ``None`` if it does not respond."""
 
 
 class Rollout(Struct, frozen=True):
-    """How far an edit has come."""
+    """Progress of an edit."""
 
     in_force: tuple[str, ...]
-    """Addresses of the instances that have it."""
+    """Addresses of the instances where it is active."""
     behind: tuple[str, ...]
-    """Addresses that lack it or do not answer."""
+    """Addresses that lack it or do not respond."""
     rejected: dict[str, tuple[str, ...]]
-    """By instance: why it refuses the entry."""
+    """By instance: why it rejects the catalogue entry."""
 
     @property
     def complete(self) -> bool:
-        """Tell whether every instance has the edit in force."""
+        """Whether the edit is active at every instance."""
         return self.settled and not self.rejected
 
     @property
     def settled(self) -> bool:
-        """Tell whether every instance took the edit in or refused it."""
+        """Whether every instance has activated or rejected the edit."""
         return bool(self.in_force or self.rejected) and not self.behind
 
 
@@ -58,58 +58,59 @@
     version: int,
     timeout_seconds: float,
 ) -> Rollout:
-    """Ask all instances until each knows a version, or time is up.
-
-    :param discover: the instances; asked anew each time, as they come and go.
-    :param fetch: the question to one instance.
-    :param key: the entry that was edited.
-    :param version: its version; a revision not below it includes it.
-    :param timeout_seconds: when to give up.
+    """Query all instances until each has a version, or the time is up.
+
+    :param discover: lists the instances; called again each time, since
+        instances are added and removed.
+    :param fetch: queries one instance.
+    :param key: the catalogue entry that was edited.
+    :param version: its version; a revision that is not lower includes it.
+    :param timeout_seconds: maximum wait.
     :return: the state at the end.
     """
     rollout = Rollout((), (), {})
     with anyio.move_on_after(timeout_seconds):
         while True:
-            answers = await _ask_all(discover, fetch)
-            rollout = _rollout(answers, key, version)
+            statuses = await _fetch_all(discover, fetch)
+            rollout = _rollout(statuses, key, version)
             if rollout.settled:
                 return rollout
-            await anyio.sleep(_POLL_SECONDS)
+            await anyio.sleep(_POLL_INTERVAL_SECONDS)
     return rollout
 
 
-async def _ask_all(
+async def _fetch_all(
     discover: Discover,
     fetch: Fetch,
 ) -> dict[str, ConfigStatus | None]:
-    answers: dict[str, ConfigStatus | None] = {}
+    statuses: dict[str, ConfigStatus | None] = {}
     try:
         addresses = await discover()
     except PlatformError:
-        return answers
+        return statuses
     async with anyio.create_task_group() as tasks:
         for address in addresses:
-            tasks.start_soon(_ask, fetch, address, answers)
-    return answers
+            tasks.start_soon(_fetch_one, fetch, address, statuses)
+    return statuses
 
 
-async def _ask(
+async def _fetch_one(
     fetch: Fetch,
     address: str,
-    answers: dict[str, ConfigStatus | None],
+    statuses: dict[str, ConfigStatus | None],
 ) -> None:
-    answers[address] = await fetch(address)
+    statuses[address] = await fetch(address)
 
 
 def _rollout(
-    answers: Mapping[str, ConfigStatus | None],
+    statuses: Mapping[str, ConfigStatus | None],
     key: str,
     version: int,
 ) -> Rollout:
     in_force = []
     behind = []
     rejected = {}
-    for address, status in sorted(answers.items()):
+    for address, status in sorted(statuses.items()):
         if status is None or status.revision < version:
             behind.append(address)
             continue
--- a/src/sardinetrack/catalogue/view.py
+++ b/src/sardinetrack/catalogue/view.py
@@ -1,11 +1,11 @@
-"""The configuration as one node knows it; no I/O.
-
-Changes come from lists, watches and neighbours, late, twice and in any order.
-The view keeps, for each key, the newest change and the newest good one, and
-the revision up to which it knows everything. A node that knows everything up
-to a revision and holds no key also knows that the key is gone: that is how a
-stale neighbour is kept from bringing a deleted entry back, without a record
-of each deletion kept for ever.
+"""The configuration as one instance knows it; no I/O.
+
+Changes come from lists, watches and peer instances; they may be late, repeated
+and in any order. The view keeps, for each key, the newest change and the newest
+valid one, and the revision up to which it is complete. If it is complete up to
+a revision and has no record of a key, the key was deleted. This prevents a
+stale peer from restoring a deleted catalogue entry, without keeping a record of
+every deletion indefinitely.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from operator import xor
 from typing import Final
 
+from sardinetrack.catalogue.active_entries import ActiveEntries, resolve_claims
 from sardinetrack.catalogue.api import Pool, PoolClass, Workspace
 from sardinetrack.catalogue.coverage import (
-    changes_in,
-    covered_after,
+    complete_after,
     covering,
+    sorted_changes,
 )
-from sardinetrack.catalogue.in_force import InForce, settle
-from sardinetrack.catalogue.record import KeyRecord, absence, read_change
+from sardinetrack.catalogue.record import KeyRecord, absent_at, validate_change
 from sardinetrack.messages.api import ConfigDigest, ConfigObject, ConfigUpdate
 
-_NOTHING_KNOWN: Final = 0
-_KEPT_DELETIONS: Final = 1024
+_INITIAL_REVISION: Final = 0
+_MAX_KEPT_DELETIONS: Final = 1024
 
 
 @dataclass(frozen=True, slots=True)
-class RejectedEntry:
-    """An entry, or a claim of one, that is not in force."""
+class RejectedCatalogueEntry:
+    """A catalogue entry, or a claim of one, that is not active."""
 
     key: str
     version: int
@@ -39,144 +39,154 @@
 
 
 class CatalogueView:
-    """Workspaces and pools in force at one node; never goes back."""
+    """Active workspaces and pools at one instance; never reverts to older."""
 
-    def __init__(self, *, kept_deletions: int = _KEPT_DELETIONS) -> None:
-        """Start empty.
+    def __init__(self, *, kept_deletions: int = _MAX_KEPT_DELETIONS) -> None:
+        """Create an empty view.
 
-        :param kept_deletions: deletions kept to tell others by themselves;
-            a peer that is further behind gets everything.
+        :param kept_deletions: number of deletions kept so that they can be sent
+            one by one; a peer that is further behind gets everything.
         """
-        self.revision = _NOTHING_KNOWN
+        self.revision = _INITIAL_REVISION
         self._kept_deletions = kept_deletions
         self._records: dict[str, KeyRecord] = {}
-        # Every deletion after this revision is still held as a record.
-        self._horizon = _NOTHING_KNOWN
-        self._in_force = InForce()
+        # Every deletion after this revision still has a record.
+        self._deletions_kept_after = _INITIAL_REVISION
+        self._active = ActiveEntries()
         self._digest = _digest_of(self._records)
 
     def apply(self, update: ConfigUpdate) -> bool:
-        """Take in changes from any source.
+        """Apply changes from any source.
 
-        :return: whether anything in force changed.
+        :return: whether any active catalogue entry changed.
         """
-        merged = [self._merge(origin) for origin in changes_in(update)]
-        dropped = self._cover(update)
+        merged = [
+            self._merge(config_object)
+            for config_object in sorted_changes(update)
+        ]
+        dropped = self._apply_completeness(update)
         if not any(merged) and not dropped:
             return False
-        self._forget_deletions()
-        before = self._in_force
-        self._in_force = settle(self._records.values())
+        self._discard_old_deletions()
+        before = self._active
+        self._active = resolve_claims(self._records.values())
         self._digest = _digest_of(self._records)
-        return self._in_force != before
+        return self._active != before
 
     def workspaces(self) -> tuple[Workspace, ...]:
-        """All workspaces in force."""
-        return tuple(self._in_force.workspaces.values())
+        """All active workspaces."""
+        return tuple(self._active.workspaces.values())
 
     def pools(self) -> tuple[Pool, ...]:
-        """All pools in force."""
-        return tuple(self._in_force.pools.values())
+        """All active pools."""
+        return tuple(self._active.pools.values())
 
     def workspace_by_token_hash(self, token_hash: str) -> Workspace | None:
         """Find the workspace that a caller's token belongs to.
 
         :param token_hash: hex SHA-256 digest of the token.
         """
-        return self._in_force.by_token_hash.get(token_hash)
+        return self._active.by_token_hash.get(token_hash)
 
     def pool_by_model(self, model: str) -> Pool | None:
         """Find the pool that serves a model."""
-        return self._in_force.by_model.get(model)
+        return self._active.by_model.get(model)
 
     def pool_by_service(self, name: str) -> Pool | None:
         """Find the pool of a plain service."""
-        pool = self._in_force.pools.get(name)
+        pool = self._active.pools.get(name)
         if pool is None or pool.pool_class is not PoolClass.SERVICE:
             return None
         return pool
 
-    def rejected(self) -> tuple[RejectedEntry, ...]:
-        """Tell what is not in force and why."""
-        rows = []
+    def rejected(self) -> tuple[RejectedCatalogueEntry, ...]:
+        """List what is not active, with the reasons."""
+        rejected_entries = []
         for key, record in self._records.items():
-            denied = self._in_force.denied.get(key, ())
-            reasons = record.latest.reasons + denied
+            lost_claims = self._active.lost_claims.get(key, ())
+            reasons = record.latest.reasons + lost_claims
             if reasons:
                 version = record.latest.version
-                rows.append(RejectedEntry(key, version, reasons))
-        return tuple(rows)
+                rejected_entries.append(
+                    RejectedCatalogueEntry(key, version, reasons)
+                )
+        return tuple(rejected_entries)
 
     def digest(self) -> ConfigDigest:
-        """Describe the configuration in brief."""
+        """Summarize the configuration."""
         return ConfigDigest(self.revision, self._digest)
 
     def update_for(self, peer: ConfigDigest) -> ConfigUpdate | None:
-        """Collect what a peer lacks.
+        """Collect the changes that a peer lacks.
 
-        :return: ``None`` when it lacks nothing or is ahead.
+        :return: ``None`` if it lacks nothing or is ahead.
         """
         if peer.revision > self.revision or peer == self.digest():
             return None
-        if self._horizon <= peer.revision < self.revision:
-            return self._since(peer.revision)
-        return self._since(_NOTHING_KNOWN)
+        if self._deletions_kept_after <= peer.revision < self.revision:
+            return self._update_since(peer.revision)
+        return self._update_since(_INITIAL_REVISION)
 
-    def _merge(self, origin: ConfigObject) -> bool:
-        record = self._records.get(origin.key)
+    def _merge(self, config_object: ConfigObject) -> bool:
+        record = self._records.get(config_object.key)
         if record is None:
-            # Nothing stood there at our revision: an older change is stale,
-            # a node that lags or has just come back would undo a deletion.
-            if origin.version <= self.revision:
+            # The key did not exist at this view's revision, so an older change
+            # is stale; applied from an instance that lags or has just
+            # reconnected, it would undo a deletion.
+            if config_object.version <= self.revision:
                 return False
-            record = KeyRecord(absence(origin.key, self.revision))
-            self._records[origin.key] = record
-        if record.knows(origin.version):
+            record = KeyRecord(absent_at(config_object.key, self.revision))
+            self._records[config_object.key] = record
+        if record.includes(config_object.version):
             return False
-        return record.merge(read_change(origin))
+        return record.merge(validate_change(config_object))
 
-    def _cover(self, update: ConfigUpdate) -> bool:
-        after_revision = covered_after(update)
+    def _apply_completeness(self, update: ConfigUpdate) -> bool:
+        after_revision = complete_after(update)
         if after_revision is None or update.revision <= self.revision:
             return False
         dropped = False
-        if after_revision == _NOTHING_KNOWN:
+        if after_revision == _INITIAL_REVISION:
             dropped = self._drop_absent(update)
-            self._horizon = update.revision
+            self._deletions_kept_after = update.revision
         if after_revision <= self.revision:
             self.revision = update.revision
         return dropped
 
     def _drop_absent(self, update: ConfigUpdate) -> bool:
-        present = {origin.key for origin in update.objects}
+        present = {config_object.key for config_object in update.objects}
         changed = False
         for key in self._records.keys() - present:
             record = self._records[key]
-            # A newer change may be known already; the entry that stood there
-            # before it is gone all the same.
-            changed |= record.merge(absence(key, update.revision))
+            # A newer change may be known already; the catalogue entry before
+            # it is deleted nevertheless.
+            changed |= record.merge(absent_at(key, update.revision))
             if record.latest.version <= update.revision:
                 self._records.pop(key)
         return changed
 
-    def _forget_deletions(self) -> None:
-        known = sorted(
+    def _discard_old_deletions(self) -> None:
+        deletions = sorted(
             (record.latest.version, key)
             for key, record in self._records.items()
-            if not record.live and record.latest.version <= self.revision
+            if not record.is_stored and record.latest.version <= self.revision
         )
-        for version, key in known[: max(0, len(known) - self._kept_deletions)]:
+        for version, key in deletions[
+            : max(0, len(deletions) - self._kept_deletions)
+        ]:
             self._records.pop(key)
-            self._horizon = max(self._horizon, version)
+            self._deletions_kept_after = max(
+                self._deletions_kept_after, version
+            )
 
-    def _since(self, revision: int) -> ConfigUpdate:
-        rows = [
-            origin
+    def _update_since(self, revision: int) -> ConfigUpdate:
+        changes = [
+            config_object
             for record in self._records.values()
             if record.latest.version > revision
-            for origin in record.origins()
+            for config_object in record.config_objects()
         ]
-        return covering(revision, self.revision, rows)
+        return covering(revision, self.revision, changes)
 
 
 def _digest_of(records: dict[str, KeyRecord]) -> str:
--- a/tests/catalogue/editor.feature
+++ b/tests/catalogue/editor.feature
@@ -1,9 +1,9 @@
-Feature: An operator's hand on the catalogue
+Feature: Editing the catalogue
 
   Background:
     Given a platform with workspace "pilot" of "harbour"
 
-  Scenario: Entries are written from JSON with comments, shown, and removed
+  Scenario: Catalogue entries are written from JSON with comments, shown, and removed
     When an operator applies
       """
       {
@@ -12,74 +12,75 @@
         class: "interactive", limits: {concurrency: 3},
       }
       """
-    Then the edit is made and "catalogue/workspace/pilot-2" holds plain JSON
+    Then the edit is made and "catalogue/workspace/pilot-2" contains plain JSON
     When the operator applies the same again
     Then nothing had to be changed
     When the operator removes "catalogue/workspace/pilot-2"
-    Then "catalogue/workspace/pilot-2" is gone
+    Then "catalogue/workspace/pilot-2" is deleted
 
-  Scenario: Two operators race
-    Both have read the same version. The first one's edit stands; the second
-    must not overwrite it unseen, and reads both versions in the error.
-    Given an operator has seen the version of "pilot"
+  Scenario: Two concurrent edits
+    Both operators have read the same version. The edit of the first is kept;
+    that of the second must not overwrite it, and fails with an error that names
+    both versions.
+    Given an operator has read the version of "pilot"
     When another operator applies workspace "pilot" of "second"
-    And the operator applies workspace "pilot" of "first" over the version seen
-    Then the race is lost with both versions named
+    And the operator applies workspace "pilot" of "first" with the version that was read
+    Then the edit conflicts and the error names both versions
     And workspace "pilot" in the platform belongs to "second"
-    When the operator removes "pilot" over the version seen
-    Then the race is lost with both versions named
+    When the operator removes "pilot" with the version that was read
+    Then the edit conflicts and the error names both versions
 
-  Scenario: The reply of a write is lost
-    The write stands, its reply does not come. The editor reads back and finds
-    its own text, so that the operator hears "done" once and for one version.
-    Given the replies of the next 1 writes are lost
+  Scenario: The response to a write is lost
+    The write takes effect, but its response does not arrive. The editor reads
+    the object and finds its own text, so it reports success for one version.
+    Given the responses to the next 1 writes are lost
     When the operator applies workspace "pilot" of "third"
     Then the edit is made once
-    Given the replies of the next 1 writes are lost
+    Given the responses to the next 1 writes are lost
     When the operator removes "catalogue/workspace/pilot"
-    Then "catalogue/workspace/pilot" is gone
+    Then "catalogue/workspace/pilot" is deleted
 
-  Scenario: The reply is lost and another operator is faster than the read
-    What was written stood for a moment and was replaced. To say "done" would
-    be wrong: something else is in force now.
-    Given the replies of the next 1 writes are lost
-    And another operator writes over the next edit of "pilot"
+  Scenario: The response is lost and another operator writes before the read
+    The written text was replaced before it was read. A reported success would
+    be wrong, since something else is active now.
+    Given the responses to the next 1 writes are lost
+    And another operator overwrites the next edit of "pilot"
     When the operator applies workspace "pilot" of "third" and it fails
-    Then the race is lost with both versions named
+    Then the edit conflicts and the error names both versions
 
   Scenario: Another operator writes between the read and the deletion
-    The deletion was decided on a text that no longer stands there; it must
-    not take the new one with it.
-    Given another operator writes over "pilot" before the next deletion
+    The deletion was decided on a text that has been replaced; it must not
+    delete the new one.
+    Given another operator overwrites "pilot" before the next deletion
     When the operator removes workspace "pilot" and it fails
-    Then the race is lost with both versions named
+    Then the edit conflicts and the error names both versions
     And workspace "pilot" in the platform belongs to "faster"
 
-  Scenario: A write that never arrives is written again under its condition
-    Given the next 1 writes are lost on their way
+  Scenario: A write that never arrives is repeated under the same condition
+    Given the next 1 writes are lost before they arrive
     When the operator applies workspace "pilot" of "third"
     Then the edit is made once
 
-  Scenario: The platform goes down after a write and can't be read back
-    Given the platform goes down after the next write, its reply lost
+  Scenario: The platform fails after a write and can't be read
+    Given the platform fails after the next write, whose response is lost
     When the operator applies workspace "pilot" of "third" and it fails
-    Then the operator hears that the outcome is uncertain
+    Then the outcome is reported as uncertain
 
-  Scenario: A write is lost and the next one is refused
-    The first write hangs somewhere and may still arrive; the second is refused
-    for an outage. "Refused" alone would let the operator believe that nothing
-    can come of it.
-    Given the next 1 writes are lost and the ones after refused
+  Scenario: A write is lost and the next one is rejected
+    The first write may still arrive; the second is rejected because of an
+    outage. An error that reports only the rejection would wrongly imply that
+    nothing can be written any more.
+    Given the next 1 writes are lost and later ones rejected
     When the operator applies workspace "pilot" of "third" and it fails
-    Then the operator hears that the outcome is uncertain
+    Then the outcome is reported as uncertain
 
-  Scenario Outline: A bad entry is never written
-    When the operator applies <entry> and it fails
-    Then the operator reads <place> and <reason>
-    And the platform was not written to
+  Scenario Outline: An invalid catalogue entry is never written
+    When the operator applies <text> and it fails
+    Then the error names <place> and <reason>
+    And nothing was written to the platform
 
     Examples:
-      | entry                                                                | place                | reason                 |
+      | text                                                                 | place                | reason                 |
       | {kind: "workspace", name: "A b", owner: "", limits: {weight: 0}}     | name                 | owner                  |
       | {kind: "workspace", name: "a", owner: "x", limits: {weight: 0}}      | limits.weight        | greater than 0         |
       | {kind: "workspace", name: "a", owner: "x", limits: {weight: NaN}}    | limits.weight        | finite                 |
@@ -91,14 +92,14 @@
       | {kind:                                                               | JSON with comments   | near                   |
       | 5                                                                    | object               | Input                  |
 
-  Scenario: An edit is in force when every instance says so
-    Instance e2 lags behind, e3 does not answer at first, e4 joins while the
-    operator waits. Only when all of them know the version is it in force.
-    Given instances that come to know version 7 one after the other
+  Scenario: An edit is complete when it is active at every instance
+    Instance e2 lags behind, e3 does not respond at first, and e4 joins while the
+    operator waits. The edit is complete when all of them have the version.
+    Given instances that activate version 7 one after another
     When the operator waits for version 7
-    Then all 4 instances have it in force
+    Then it is active at all 4 instances
     When the operator waits for version 8 for a short time
-    Then no instance has it in force and 4 are behind
-    Given an instance refuses "k" with "limits.weight: too small"
+    Then it is active at no instance and 4 are behind
+    Given an instance rejects "k" with "limits.weight: too small"
     When the operator waits for version 7
-    Then the refusal of 1 instance is told
+    Then the rejection by 1 instance is reported
--- a/tests/catalogue/model.feature
+++ b/tests/catalogue/model.feature
@@ -1,7 +1,7 @@
-Feature: Catalogue entries as the rest of the system reads them
+Feature: Catalogue entries as the rest of the system uses them
 
   Scenario: A workspace with all limits
-    When this entry is read
+    When this catalogue entry is parsed
       """
       {"kind": "workspace", "name": "pilot-1", "owner": "harbour office",
        "class": "interactive",
@@ -12,8 +12,8 @@
     Then its limits are weight 1, concurrency 8, rate 20 and waiting 64
     And it belongs to "harbour office" with 1 token
 
-  Scenario Outline: A class gives the limits that an entry leaves out
-    When a workspace of class "<class>" with only concurrency 3 is read
+  Scenario Outline: A class provides the limits that a catalogue entry omits
+    When a workspace of class "<class>" with only concurrency 3 is parsed
     Then its limits are weight <weight>, concurrency 3, rate 50 and waiting <waiting>
 
     Examples:
@@ -23,7 +23,7 @@
       | batch       | 0.5    | 512     |
 
   Scenario: A pool
-    When this entry is read
+    When this catalogue entry is parsed
       """
       {"kind": "pool", "name": "ice-llm", "owner": "charting",
        "class": "model", "models": ["ice-llm"],
@@ -34,9 +34,9 @@
       """
     Then it is a pool of 8 slots for "ice-llm" that may repeat GET "/titles/"
 
-  Scenario: An instance is asked over HTTP what it has in force
-    Given an instance that answers peers with the secret "s3"
-    When a listed instance and one that is not there are asked with "s3"
-    Then the first answers revision 7 and the other nothing
-    When a listed instance and one that is not there are asked with "wrong"
-    Then neither answers
+  Scenario: The active configuration of an instance is queried over HTTP
+    Given an instance that responds to peers with the secret "s3"
+    When a listed instance and one that is not running are queried with "s3"
+    Then the first returns revision 7 and the other nothing
+    When a listed instance and one that is not running are queried with "wrong"
+    Then neither returns a status
--- a/tests/catalogue/steps/editor_steps.py
+++ b/tests/catalogue/steps/editor_steps.py
@@ -1,4 +1,4 @@
-"""Steps on an operator's hand on the catalogue."""
+"""Steps for editing the catalogue."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import anyio
 from behave import given, step, then, when
-from histories import row
+from histories import config_object
 
 from sardinetrack.catalogue.editor import CatalogueEditor, LostRaceError
 from sardinetrack.catalogue.parse import read_entry
@@ -26,50 +26,49 @@
 
 
 class _LossyPlatform(MemoryPlatform):
-    """A platform that does one odd thing after, or instead of, a write."""
+    """A platform that injects a fault after, or in place of, a write."""
 
     def __init__(self):
-        """Start without oddities."""
         super().__init__()
         self.lose_writes = 0
-        self.refuses_writes = False
+        self.rejects_writes = False
         self.after_write = None
         self.before_delete = None
 
     async def delete(self, key, *, expected_version):
-        """Do what was asked, then delete."""
+        """Call the callback, then delete."""
         if self.before_delete is not None:
             await self.before_delete()
         return await super().delete(key, expected_version=expected_version)
 
     async def put(self, key, value, *, expected_version):
-        """Write, or lose the write, or do what was asked after it."""
+        """Write, lose or reject the write, or call the callback after it."""
         if self.lose_writes:
             self.lose_writes -= 1
-            raise UncertainError('lost on its way')
-        if self.refuses_writes:
+            raise UncertainError('lost before it arrived')
+        if self.rejects_writes:
             raise UnavailableError('outage')
         write = partial(super().put, key, value)
         if self.after_write is None:
             return await write(expected_version=expected_version)
-        after = self.after_write
+        callback = self.after_write
         self.after_write = None
         try:
             return await write(expected_version=expected_version)
         finally:
-            await after()
+            await callback()
 
 
 def _text(owner):
-    entry = json.loads(row(_PILOT, 1).value)
-    return json.dumps(entry | {'owner': owner})
+    catalogue_entry = json.loads(config_object(_PILOT, 1).value)
+    return json.dumps(catalogue_entry | {'owner': owner})
 
 
 def _apply(context, text, **options):
     context.error = None
     try:
-        entry = read_entry(text)
-        edit = partial(context.editor.apply, entry, **options)
+        catalogue_entry = read_entry(text)
+        edit = partial(context.editor.apply, catalogue_entry, **options)
         context.edit = anyio.run(edit)
     except _ERRORS as error:
         context.error = error
@@ -92,7 +91,7 @@
     context.platform = _LossyPlatform()
     context.editor = CatalogueEditor(context.platform)
     _apply(context, _text('harbour'))
-    _apply(context, row(_POOL, 1, models=['m']).value)
+    _apply(context, config_object(_POOL, 1, models=['m']).value)
     context.before = context.platform.store.revision
 
 
@@ -102,7 +101,7 @@
     _apply(context, context.text)
 
 
-@then('the edit is made and "{key}" holds plain JSON')
+@then('the edit is made and "{key}" contains plain JSON')
 def holds_json(context, key):
     assert context.error is None, context.error
     assert context.edit.changed
@@ -112,7 +111,7 @@
 
 
 @when('the operator applies the same again')
-def again(context):
+def apply_again(context):
     _apply(context, context.applied_text)
 
 
@@ -126,15 +125,15 @@
     _remove(context, key)
 
 
-@then('"{key}" is gone')
-def gone(context, key):
+@then('"{key}" is deleted')
+def is_deleted(context, key):
     assert context.error is None, context.error
     assert _stored(context, key) is None
 
 
-@given('an operator has seen the version of "pilot"')
-def seen(context):
-    context.seen_version = _stored(context, _PILOT).version
+@given('an operator has read the version of "pilot"')
+def read_current_version(context):
+    context.read_version = _stored(context, _PILOT).version
 
 
 @when('another operator applies workspace "pilot" of "{owner}"')
@@ -145,26 +144,29 @@
 
 @when('the operator applies workspace "pilot" of "{owner}" and it fails')
 def apply_fails(context, owner):
-    context.seen_version = _stored(context, _PILOT).version
+    context.read_version = _stored(context, _PILOT).version
     _apply(context, _text(owner))
     assert context.error
 
 
-@when('the operator applies workspace "pilot" of "first" over the version seen')
+@when(
+    'the operator applies workspace "pilot" of "first"'
+    ' with the version that was read'
+)
 def apply_over(context):
-    _apply(context, _text('first'), expected_version=context.seen_version)
+    _apply(context, _text('first'), expected_version=context.read_version)
 
 
-@when('the operator removes "pilot" over the version seen')
+@when('the operator removes "pilot" with the version that was read')
 def remove_over(context):
-    _remove(context, _PILOT, expected_version=context.seen_version)
+    _remove(context, _PILOT, expected_version=context.read_version)
 
 
-@then('the race is lost with both versions named')
-def lost(context):
+@then('the edit conflicts and the error names both versions')
+def conflicts(context):
     assert isinstance(context.error, LostRaceError), repr(context.error)
     now = _stored(context, _PILOT).version
-    assert f'version {context.seen_version}' in str(context.error)
+    assert f'version {context.read_version}' in str(context.error)
     assert f'version {now}' in str(context.error)
     assert context.error.current.version == now
 
@@ -174,29 +176,29 @@
     assert json.loads(_stored(context, _PILOT).value)['owner'] == owner
 
 
-@given('the replies of the next {count:d} writes are lost')
+@given('the responses to the next {count:d} writes are lost')
 def lose_replies(context, count):
     context.before = context.platform.store.revision
     context.platform.disturb(Disturbance(lose_replies=count))
 
 
-@given('the next {count:d} writes are lost on their way')
+@given('the next {count:d} writes are lost before they arrive')
 def lose_writes(context, count):
     context.platform.lose_writes = count
 
 
-@given('the next {count:d} writes are lost and the ones after refused')
+@given('the next {count:d} writes are lost and later ones rejected')
 def lose_then_refuse(context, count):
     context.platform.lose_writes = count
-    context.platform.refuses_writes = True
+    context.platform.rejects_writes = True
 
 
-@given('another operator writes over the next edit of "pilot"')
+@given('another operator overwrites the next edit of "pilot"')
 def overwrite(context):
     context.platform.after_write = _overwriting(context)
 
 
-@given('another operator writes over "pilot" before the next deletion')
+@given('another operator overwrites "pilot" before the next deletion')
 def overwrite_before(context):
     context.platform.before_delete = _overwriting(context)
 
@@ -209,13 +211,13 @@
 
 @when('the operator removes workspace "pilot" and it fails')
 def remove_fails(context):
-    context.seen_version = _stored(context, _PILOT).version
+    context.read_version = _stored(context, _PILOT).version
     _remove(context, _PILOT)
     assert context.error
 
 
-@given('the platform goes down after the next write, its reply lost')
-def goes_down(context):
+@given('the platform fails after the next write, whose response is lost')
+def fail_after_write(context):
     context.platform.disturb(Disturbance(lose_replies=1))
     context.platform.after_write = partial(_take_down, context.platform)
 
@@ -225,8 +227,8 @@
     platform.disturb(Disturbance(outage=True))
 
 
-@then('the operator hears that the outcome is uncertain')
-def uncertain(context):
+@then('the outcome is reported as uncertain')
+def is_uncertain(context):
     assert isinstance(context.error, UncertainError), repr(context.error)
 
 
@@ -247,36 +249,36 @@
     _apply(context, '5')
 
 
-@then('the operator reads {place} and {reason}')
-def reads(context, place, reason):
+@then('the error names {place} and {reason}')
+def error_names(context, place, reason):
     assert isinstance(context.error, InvalidEntryError), repr(context.error)
     assert place in str(context.error), context.error
     assert reason in str(context.error), context.error
 
 
-@step('the platform was not written to')
+@step('nothing was written to the platform')
 def not_written(context):
     assert context.platform.store.revision == context.before
 
 
-@given('instances that come to know version 7 one after the other')
+@given('instances that activate version 7 one after another')
 def instances(context):
-    context.asked = 0
+    context.rounds = 0
     context.reasons = ()
 
 
 async def _discover(context):
-    context.asked += 1
-    joined = ['e4'] if context.asked > 1 else []
+    context.rounds += 1
+    joined = ['e4'] if context.rounds > 1 else []
     return ['e1', 'e2', 'e3', *joined]
 
 
 async def _fetch(context, address):
-    if address == 'e3' and context.asked < 2:
+    if address == 'e3' and context.rounds < 2:
         return None
-    late = address == 'e2' and context.asked < 3
+    lags = address == 'e2' and context.rounds < 3
     rejected = {'k': context.reasons} if address == 'e1' else {}
-    return ConfigStatus(address, 6 if late else 7, 'digest', rejected)
+    return ConfigStatus(address, 6 if lags else 7, 'digest', rejected)
 
 
 def _wait(context, version, seconds):
@@ -301,25 +303,25 @@
     _wait(context, version, 0.1)
 
 
-@then('all {count:d} instances have it in force')
+@then('it is active at all {count:d} instances')
 def all_in_force(context, count):
     assert context.rollout.complete, context.rollout
     assert len(context.rollout.in_force) == count, context.rollout
 
 
-@then('no instance has it in force and {count:d} are behind')
+@then('it is active at no instance and {count:d} are behind')
 def all_behind(context, count):
     assert not context.rollout.in_force, context.rollout
     assert len(context.rollout.behind) == count, context.rollout
 
 
-@given('an instance refuses "k" with "{reason}"')
-def refuses(context, reason):
+@given('an instance rejects "k" with "{reason}"')
+def reject(context, reason):
     context.reasons = (reason,)
 
 
-@then('the refusal of {count:d} instance is told')
-def refusal_told(context, count):
+@then('the rejection by {count:d} instance is reported')
+def rejection_reported(context, count):
     assert not context.rollout.complete, context.rollout
     assert context.rollout.rejected == {'e1': context.reasons}
     assert len(context.rollout.rejected) == count
--- a/tests/catalogue/steps/feed_steps.py
+++ b/tests/catalogue/steps/feed_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the feed of the catalogue from the platform."""
+"""Steps for the feed of the catalogue from the platform."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import anyio
 from anyio.from_thread import start_blocking_portal
 from behave import given, step, then, when
-from histories import row
+from histories import config_object
 
 from sardinetrack.catalogue.feed import CatalogueFeed
 from sardinetrack.catalogue.view import CatalogueView
@@ -24,56 +24,56 @@
 from sardinetrack.store.memory import MemoryStore
 
 _PILOT = 'catalogue/workspace/pilot'
-_STEP_SECONDS = 0.02
-_STEPS = 500
+_POLL_INTERVAL_SECONDS = 0.02
+_MAX_POLLS = 500
 _FIRST_SECONDS = 0.1
-_TOLD_SECONDS = 1.5
+_REQUESTED_SECONDS = 1.5
 
 
-class _OddPlatform(MemoryPlatform):
-    """A platform whose watches may repeat or break."""
+class _FaultyWatchPlatform(MemoryPlatform):
+    """A platform whose watches may repeat or fail."""
 
     def __init__(self):
-        """Start without a fault; remember few changes."""
+        """Keep few changes and start without a fault."""
         super().__init__(MemoryStore(history_events=20))
         self.fault = ''
 
     async def watch(self, prefix, *, after_revision, wait_seconds):
-        """Watch, and spoil what it brings."""
-        bound_seconds = 0 if 'at once' in self.fault else wait_seconds
-        seen = await super().watch(
+        """Watch, and apply the fault to the result."""
+        bound_seconds = 0 if 'without delay' in self.fault else wait_seconds
+        listing = await super().watch(
             prefix, after_revision=after_revision, wait_seconds=bound_seconds
         )
-        if self.fault == 'break' and seen.objects:
+        if self.fault == 'break' and listing.objects:
             self.fault = ''
-            raise UnavailableError('cut off')
-        if self.fault == 'always break' and seen.objects:
-            raise NoAnswerError('cut off')
-        if self.fault == 'repeat old news at once':
+            raise UnavailableError('connection closed')
+        if self.fault == 'always break' and listing.objects:
+            raise NoAnswerError('connection closed')
+        if self.fault == 'repeat known changes without delay':
             return Listing(after_revision, self.store.list(prefix).objects)
         if self.fault == 'repeat':
-            every = self.store.changes(10**9, prefix, 0).objects
-            return Listing(seen.revision, (*seen.objects, *every))
-        return seen
+            all_changes = self.store.changes(10**9, prefix, 0).objects
+            return Listing(listing.revision, (*listing.objects, *all_changes))
+        return listing
 
 
-@given('a platform with workspace "pilot" at a node that follows it')
+@given('a platform with workspace "pilot" and an instance that follows it')
 def follow(context):
     stack = ExitStack()
     context.add_cleanup(stack.close)
     context.portal = stack.enter_context(start_blocking_portal())
-    context.platform = _OddPlatform()
+    context.platform = _FaultyWatchPlatform()
     context.view = CatalogueView()
     context.owners = []
     _write(context, _PILOT, 'first')
     send, receive = anyio.create_memory_object_stream(0)
     context.feed = CatalogueFeed(
-        context.platform, send, watch_seconds=0.1, chance=random.Random(1)
+        context.platform, send, watch_seconds=0.1, rng=random.Random(1)
     )
     for task in (context.feed.run, partial(_consume, context, receive)):
         future = context.portal.start_task_soon(task)
         stack.callback(future.cancel)
-    in_force(context, 'first', 'pilot')
+    becomes_active(context, 'first', 'pilot')
 
 
 async def _consume(context, receive):
@@ -88,31 +88,31 @@
 
 
 def _write(context, key, owner):
-    value = row(key, 1, owner=owner).value.encode()
+    value = config_object(key, 1, owner=owner).value.encode()
     write = partial(context.platform.put, key, value, expected_version=None)
     context.portal.call(write)
 
 
 def _until(context, condition):
-    for _ in range(_STEPS):
+    for _ in range(_MAX_POLLS):
         if condition():
             return
-        context.portal.call(anyio.sleep, _STEP_SECONDS)
+        context.portal.call(anyio.sleep, _POLL_INTERVAL_SECONDS)
     raise AssertionError(_owners(context))
 
 
 @when('workspace "pilot" is given to "{owner}"')
-def give(context, owner):
+def change_owner(context, owner):
     _write(context, _PILOT, owner)
 
 
-@then('"{owner}" comes into force for "{name}"')
-def in_force(context, owner, name):
+@then('workspace "{name}" becomes active with owner "{owner}"')
+def becomes_active(context, owner, name):
     _until(context, lambda: _owners(context).get(name) == owner)
 
 
-@then('"{owner}" stays in force for "{name}"')
-def stays(context, owner, name):
+@then('workspace "{name}" stays active with owner "{owner}"')
+def stays_active(context, owner, name):
     assert _owners(context) == {name: owner}
     assert context.owners == [owner]
 
@@ -123,20 +123,26 @@
     assert context.feed.calls.lists == count, context.feed.calls
 
 
-@when('the platform goes down and {count:d} calls have failed')
-def down(context, count):
+@when('the platform becomes unavailable and {count:d} calls have failed')
+def make_unavailable(context, count):
     context.portal.call(context.platform.disturb, Disturbance(outage=True))
     _until(context, lambda: context.feed.calls.failures >= count)
 
 
-@when('the platform is back and workspace "pilot" is given to "{owner}"')
-def back(context, owner):
+@when(
+    'the platform is available again'
+    ' and workspace "pilot" is given to "{owner}"'
+)
+def make_available(context, owner):
     context.portal.call(context.platform.disturb, Disturbance())
     _write(context, _PILOT, owner)
 
 
-@when('workspace "pilot" is deleted and {count:d} others are written meanwhile')
-def meanwhile(context, count):
+@when(
+    'during that time workspace "pilot" is deleted'
+    ' and {count:d} others are written'
+)
+def rewrite_during_outage(context, count):
     context.portal.call(_rewrite, context, count)
 
 
@@ -145,18 +151,18 @@
     store.delete(0, _PILOT, store.get(_PILOT).version)
     for number in range(count):
         key = f'catalogue/workspace/w{number}'
-        store.put(0, key, row(key, 1).value.encode(), None)
+        store.put(0, key, config_object(key, 1).value.encode(), None)
     context.platform.disturb(Disturbance())
 
 
-@then('{count:d} workspaces come into force and "pilot" is gone')
-def come(context, count):
+@then('{count:d} workspaces become active and "pilot" is removed')
+def become_active(context, count):
     _until(context, lambda: len(_owners(context)) == count)
     assert 'pilot' not in _owners(context)
 
 
 @when('the watches {fault}')
-def spoil(context, fault):
+def set_fault(context, fault):
     if fault == 'lag':
         lagging = Disturbance(watch_lag_seconds=0.3)
         context.portal.call(context.platform.disturb, lagging)
@@ -164,7 +170,7 @@
         context.platform.fault = fault
 
 
-@step('no owner came into force twice')
+@step('no owner became active twice')
 def not_twice(context):
     assert len(set(context.owners)) == len(context.owners), context.owners
 
@@ -176,26 +182,28 @@
     assert context.feed.calls.watches - before < count
 
 
-@when('a call fails {count:d} times in a row with {seeds:d} seeds')
+@when('a call fails {count:d} consecutive times with {seeds:d} seeds')
 def fail_often(context, count, seeds):
-    context.pauses = []
+    context.delays = []
     for seed in range(seeds):
         backoff = Backoff(random.Random(seed))
         error = UnavailableError('down')
-        context.pauses.append(
+        context.delays.append(
             [backoff.wait_seconds(error) for _ in range(count)]
         )
 
 
-@then('no pause is longer than 1 second and the first is at most 0.1 seconds')
+@then('no delay is longer than 1 second and the first is at most 0.1 seconds')
 def bounded(context):
-    assert max(max(row) for row in context.pauses) <= 1
-    assert max(row[0] for row in context.pauses) <= _FIRST_SECONDS
+    assert max(max(series) for series in context.delays) <= 1
+    assert max(series[0] for series in context.delays) <= _FIRST_SECONDS
 
 
-@then('a throttled call waits at least as long as told but at most 2 seconds')
+@then(
+    'a throttled call waits at least the requested delay but at most 2 seconds'
+)
 def throttled(context):
     backoff = Backoff(random.Random(3))
-    short = backoff.wait_seconds(ThrottledError(_TOLD_SECONDS))
-    assert short >= _TOLD_SECONDS, short
+    delay_seconds = backoff.wait_seconds(ThrottledError(_REQUESTED_SECONDS))
+    assert delay_seconds >= _REQUESTED_SECONDS, delay_seconds
     assert backoff.wait_seconds(ThrottledError(60)) <= 2
--- a/tests/catalogue/steps/histories.py
+++ b/tests/catalogue/steps/histories.py
@@ -1,4 +1,4 @@
-"""Random histories of catalogue keys, and a naive view of them."""
+"""Random histories of catalogue keys, and a reference view."""
 
 from __future__ import annotations
 
@@ -17,72 +17,74 @@
     return sha256(token.encode()).hexdigest()
 
 
-def row(key, version, **fields):
-    """Build a good entry, or a bad one by wrong fields."""
+def config_object(key, version, **fields):
+    """Build a valid catalogue entry, or an invalid one by wrong fields."""
     kind, name = key.split('/')[1:]
-    entry = {'kind': kind, 'name': name, 'owner': f'owner {version}'}
+    content = {'kind': kind, 'name': name, 'owner': f'owner {version}'}
     if kind == 'workspace':
-        entry |= {'class': 'interactive', 'token_hashes': [token_hash(name)]}
+        content |= {'class': 'interactive', 'token_hashes': [token_hash(name)]}
     else:
-        entry |= {'class': 'model', 'models': [name]}
-    return ConfigObject(key, version, json.dumps(entry | fields), deleted=False)
+        content |= {'class': 'model', 'models': [name]}
+    return ConfigObject(
+        key, version, json.dumps(content | fields), deleted=False
+    )
 
 
 def deletion(key, version):
     return ConfigObject(key, version, '', deleted=True)
 
 
-def random_history(chance, length):
-    """Make changes with versions 1 to ``length``; deletions only of live."""
+def random_history(rng, length):
+    """Make changes with versions 1 to ``length``; delete only live keys."""
     live = set()
     history = []
     for version in range(1, length + 1):
-        key = chance.choice(KEYS)
-        turn = chance.randrange(10)
-        if turn < 3 and key in live:
+        key = rng.choice(KEYS)
+        draw = rng.randrange(10)
+        if draw < 3 and key in live:
             live.discard(key)
             history.append(deletion(key, version))
             continue
         live.add(key)
-        history.append(_random_row(chance, key, version, bad=turn >= 8))
+        history.append(_random_object(rng, key, version, invalid=draw >= 8))
     return history
 
 
-def _random_row(chance, key, version, *, bad):
-    if bad:
-        return row(key, version, limits={'weight': 'heavy'})
-    claims = chance.sample(_TOKENS, 2)
+def _random_object(rng, key, version, *, invalid):
+    if invalid:
+        return config_object(key, version, limits={'weight': 'heavy'})
+    claims = rng.sample(_TOKENS, 2)
     if '/workspace/' in key:
-        return row(
+        return config_object(
             key, version, token_hashes=[token_hash(one) for one in claims]
         )
-    return row(key, version, models=claims)
+    return config_object(key, version, models=claims)
 
 
-def naive(changes):
+def reference(changes):
     """Apply everything in the order of versions.
 
-    :return: by key: version in force and the claims that it holds.
+    :return: by key: active version and the claims that it owns.
     """
-    good = {}
+    valid = {}
     for change in sorted(changes, key=lambda one: one.version):
         if change.deleted:
-            good.pop(change.key, None)
+            valid.pop(change.key, None)
         elif 'heavy' not in change.value:
-            good[change.key] = change
+            valid[change.key] = change
     owned = set()
-    in_force = {}
-    for change in sorted(good.values(), key=lambda one: one.version):
-        entry = json.loads(change.value)
-        claims = set(entry.get('token_hashes') or entry['models']) - owned
+    active = {}
+    for change in sorted(valid.values(), key=lambda one: one.version):
+        content = json.loads(change.value)
+        claims = set(content.get('token_hashes') or content['models']) - owned
         owned |= claims
-        in_force[change.key] = (change.version, frozenset(claims))
-    return in_force
+        active[change.key] = (change.version, frozenset(claims))
+    return active
 
 
-def seen_in(view):
-    """Read a view in the form that ``naive`` gives."""
-    spaces = {
+def active_in(view):
+    """Convert a view to the form that ``reference`` returns."""
+    by_workspace = {
         f'catalogue/workspace/{one.name}': (one.owner, one.token_hashes)
         for one in view.workspaces()
     }
@@ -92,5 +94,5 @@
     }
     return {
         key: (int(owner.removeprefix('owner ')), claims)
-        for key, (owner, claims) in (spaces | pools).items()
+        for key, (owner, claims) in (by_workspace | pools).items()
     }
--- a/tests/catalogue/steps/model_steps.py
+++ b/tests/catalogue/steps/model_steps.py
@@ -1,4 +1,4 @@
-"""Steps on single catalogue entries and on asking instances."""
+"""Steps for single catalogue entries and for querying instances."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     StatusClient,
     listed_addresses,
 )
-from sardinetrack.catalogue.parse import parse_entry, read_entry
+from sardinetrack.catalogue.parse import parse_stored_entry, read_entry
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.http.client import HttpClient
 from sardinetrack.http.server import bind, serving
@@ -22,17 +22,24 @@
 _SECRET_HEADER = 'test-peer-secret'
 
 
-@when('this entry is read')
+@when('this catalogue entry is parsed')
 def read_text(context):
     written = read_entry(context.text)
-    context.entry = parse_entry(written.key, written.value)
+    context.catalogue_entry = parse_stored_entry(written.key, written.value)
 
 
-@when('a workspace of class "{name}" with only concurrency 3 is read')
+@when('a workspace of class "{name}" with only concurrency 3 is parsed')
 def read_class(context, name):
-    entry = {'kind': 'workspace', 'name': 'w', 'owner': 'o', 'class': name}
-    value = json.dumps(entry | {'limits': {'concurrency': 3}}).encode()
-    context.entry = parse_entry('catalogue/workspace/w', value)
+    catalogue_entry = {
+        'kind': 'workspace',
+        'name': 'w',
+        'owner': 'o',
+        'class': name,
+    }
+    value = json.dumps(
+        catalogue_entry | {'limits': {'concurrency': 3}}
+    ).encode()
+    context.catalogue_entry = parse_stored_entry('catalogue/workspace/w', value)
 
 
 @then(
@@ -40,15 +47,15 @@
     ' rate {rate:g} and waiting {waiting:d}'
 )
 def limits_are(context, weight, concurrency, rate, waiting):
-    limits = context.entry.limits
+    limits = context.catalogue_entry.limits
     assert (limits.weight, limits.concurrency) == (weight, concurrency)
     assert (limits.rate_per_second, limits.waiting) == (rate, waiting)
 
 
 @then('it belongs to "{owner}" with {count:d} token')
 def belongs_to(context, owner, count):
-    assert context.entry.owner == owner
-    assert len(context.entry.token_hashes) == count
+    assert context.catalogue_entry.owner == owner
+    assert len(context.catalogue_entry.token_hashes) == count
 
 
 @then(
@@ -56,7 +63,7 @@
     ' {method} "{path}"'
 )
 def is_pool(context, slots, model, method, path):
-    pool = context.entry
+    pool = context.catalogue_entry
     assert (pool.slots_per_server, pool.models) == (slots, (model,))
     assert pool.max_run_seconds == 600
     assert pool.checks_fencing == {'engine-1'}
@@ -65,36 +72,37 @@
 
 
 class _Instance:
-    """An instance that tells its configuration to peers only."""
+    """An instance that returns its configuration only to peers."""
 
     def __init__(self, secret):
-        """Remember the secret."""
         self.secret = secret
 
     async def __call__(self, scope, receive, send):
-        """Answer one call."""
+        """Respond to one call."""
         exchange = Exchange(scope, receive, send)
         known = exchange.header(_SECRET_HEADER) == self.secret
         if known and exchange.path == STATUS_PATH:
-            refused = {'key': 'k', 'version': 5, 'reasons': ['reason']}
+            rejection = {'key': 'k', 'version': 5, 'reasons': ['reason']}
             page = {'instance': 'e1', 'revision': 7, 'digest': 'digest'}
-            page = {**page, 'rejected': [refused]}
+            page = {**page, 'rejected': [rejection]}
             await exchange.answer_json(200, page)
         else:
             await exchange.answer(403)
 
 
-@given('an instance that answers peers with the secret "{secret}"')
+@given('an instance that responds to peers with the secret "{secret}"')
 def instance(context, secret):
     context.instance = _Instance(secret)
 
 
-@when('a listed instance and one that is not there are asked with "{secret}"')
-def ask(context, secret):
-    context.answers = anyio.run(_ask, context.instance, secret)
+@when(
+    'a listed instance and one that is not running are queried with "{secret}"'
+)
+def query(context, secret):
+    context.statuses = anyio.run(_query, context.instance, secret)
 
 
-async def _ask(application, secret):
+async def _query(application, secret):
     async with (
         HttpClient() as http,
         serving(application, '127.0.0.1', 0) as server,
@@ -118,13 +126,13 @@
     return ListedInstance(name, 'entry', address, 'galata', state=state)
 
 
-@then('the first answers revision {revision:d} and the other nothing')
-def answered(context, revision):
-    first, other = context.answers
+@then('the first returns revision {revision:d} and the other nothing')
+def first_returns_status(context, revision):
+    first, other = context.statuses
     assert (first.revision, first.rejected) == (revision, {'k': ('reason',)})
     assert other is None
 
 
-@then('neither answers')
-def unanswered(context):
-    assert context.answers == [None, None]
+@then('neither returns a status')
+def none_returns_status(context):
+    assert context.statuses == [None, None]
--- a/tests/catalogue/steps/view_steps.py
+++ b/tests/catalogue/steps/view_steps.py
@@ -1,27 +1,34 @@
-"""Steps on the configuration that one node knows."""
+"""Steps for the configuration that one instance knows."""
 
 from __future__ import annotations
 
 import random
 
 from behave import given, step, then, when
-from histories import deletion, naive, random_history, row, seen_in, token_hash
+from histories import (
+    active_in,
+    config_object,
+    deletion,
+    random_history,
+    reference,
+    token_hash,
+)
 from worlds import World
 
-from sardinetrack.catalogue.coverage import changes_in, covering
+from sardinetrack.catalogue.coverage import covering, sorted_changes
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.messages.api import ConfigUpdate
 
-_PARTS = 7
-_LENGTH = 40
+_MAX_BATCH = 7
+_MAX_HISTORY = 40
 
 
 def _workspace(name, version, **fields):
-    return row(f'catalogue/workspace/{name}', version, **fields)
+    return config_object(f'catalogue/workspace/{name}', version, **fields)
 
 
 def _pool(name, version, **fields):
-    return row(f'catalogue/pool/{name}', version, **fields)
+    return config_object(f'catalogue/pool/{name}', version, **fields)
 
 
 def _list(context, *rows):
@@ -60,48 +67,50 @@
     _list(context, _workspace(name, version))
 
 
-@step('a watch brings workspace "{name}" of "{owner}" at {version:d}')
+@step('a watch returns workspace "{name}" of "{owner}" at {version:d}')
 def watch_owned(context, name, owner, version):
     _watch(context, _workspace(name, version, owner=owner))
 
 
-@step('a watch brings the deletion of workspace "{name}" at {version:d}')
+@step('a watch returns the deletion of workspace "{name}" at {version:d}')
 def watch_deletion(context, name, version):
     _watch(context, deletion(f'catalogue/workspace/{name}', version))
 
 
-@step('a watch brings a bad workspace "{name}" at {version:d}')
-def watch_bad(context, name, version):
+@step('a watch returns an invalid workspace "{name}" at {version:d}')
+def watch_invalid(context, name, version):
     _watch(context, _workspace(name, version, owner='', limits={'weight': -1}))
 
 
 @when(
-    'a watch brings workspace "{name}" at {version:d}'
+    'a watch returns workspace "{name}" at {version:d}'
     ' with the token of "{other}"'
 )
-def watch_thief(context, name, version, other):
+def watch_token_claim(context, name, version, other):
     _watch(context, _workspace(name, version, token_hashes=[token_hash(other)]))
 
 
-@when('a watch brings pool "{name}" at {version:d} with the model of "{other}"')
-def watch_copy(context, name, version, other):
+@when(
+    'a watch returns pool "{name}" at {version:d} with the model of "{other}"'
+)
+def watch_model_claim(context, name, version, other):
     _watch(context, _pool(name, version, models=[other]))
 
 
-@when('a neighbour passes on workspace "{name}" of "{owner}" at {version:d}')
-def neighbour(context, name, owner, version):
+@when('a peer sends workspace "{name}" of "{owner}" at {version:d}')
+def peer_sends(context, name, owner, version):
     rows = (_workspace(name, version, owner=owner),)
     context.changed = context.view.apply(ConfigUpdate(version, rows))
 
 
-@when('a neighbour passes on what changed between {after:d} and {revision:d}')
-def neighbour_part(context, after, revision):
+@when('a peer sends the changes between {after:d} and {revision:d}')
+def peer_sends_changes(context, after, revision):
     one = _workspace('late', revision)
     context.view.apply(covering(after, revision, [one]))
 
 
-@then('the view knows everything up to {revision:d} only')
-def knows(context, revision):
+@then('the view is complete only up to {revision:d}')
+def is_complete(context, revision):
     assert context.view.revision == revision, context.view.revision
 
 
@@ -126,8 +135,8 @@
     assert context.view.pool_by_service(other) is None
 
 
-@then('nothing in force changed')
-def unchanged(context):
+@then('no active catalogue entry changed')
+def active_unchanged(context):
     assert context.changed is False
 
 
@@ -137,21 +146,23 @@
     assert owners[name] == owner, owners
 
 
-@then('no workspace is in force')
-def none_in_force(context):
+@then('no workspace is active')
+def none_active(context):
     assert not context.view.workspaces()
 
 
-@then('only workspace "{name}" is in force')
-def only_in_force(context, name):
+@then('only workspace "{name}" is active')
+def only_active(context, name):
     assert [one.name for one in context.view.workspaces()] == [name]
 
 
 @then('"{key}" is rejected at {version:d} for "{one}" and "{other}"')
 def rejected(context, key, version, one, other):
-    rows = {row.key: row for row in context.view.rejected()}
-    text = ' '.join(rows[key].reasons)
-    assert rows[key].version == version, rows
+    rejections = {
+        rejection.key: rejection for rejection in context.view.rejected()
+    }
+    text = ' '.join(rejections[key].reasons)
+    assert rejections[key].version == version, rejections
     assert one in text, text
     assert other in text, text
 
@@ -161,7 +172,9 @@
     assert not context.view.rejected()
 
 
-@given('a peer that listed {count:d} entries at revision {revision:d}')
+@given(
+    'a peer that listed {count:d} catalogue entries at revision {revision:d}'
+)
 def peer(context, count, revision):
     rows = [_workspace(f'w{one}', one) for one in range(1, count + 1)]
     context.peer = CatalogueView(kept_deletions=20)
@@ -171,28 +184,32 @@
 
 @given('{edits:d} edits and deletions that the peer missed')
 def edits(context, edits):
-    behind = context.view
+    lagging = context.view
     context.view = context.peer
-    context.peer = behind
+    context.peer = lagging
     first = context.view.revision + 1
     for version in range(first, first + edits):
         number = version - first + 1
         key = f'catalogue/workspace/w{number}'
-        gone = version % 2
-        one = deletion(key, version) if gone else row(key, version)
+        is_deletion = version % 2
+        one = (
+            deletion(key, version)
+            if is_deletion
+            else config_object(key, version)
+        )
         _watch(context, one)
 
 
-@when('both views tell each other what they lack')
-def tell(context):
+@when('both views send each other what they lack')
+def exchange(context):
     update = context.view.update_for(context.peer.digest())
-    context.update_rows = len(changes_in(update))
+    context.update_changes = len(sorted_changes(update))
     assert context.peer.update_for(context.view.digest()) is None
     context.peer.apply(update)
 
 
-@when('the peer and an empty view tell each other what they lack')
-def tell_empty(context):
+@when('the peer and an empty view send each other what they lack')
+def exchange_with_empty(context):
     context.view = CatalogueView()
     context.view.apply(context.peer.update_for(context.view.digest()))
 
@@ -200,78 +217,79 @@
 @then('both views are equal')
 def equal(context):
     assert context.view.digest() == context.peer.digest()
-    assert seen_in(context.view) == seen_in(context.peer)
+    assert active_in(context.view) == active_in(context.peer)
     assert context.view.update_for(context.peer.digest()) is None
 
 
-@then('the update held {rows} changes')
-def update_held(context, rows):
+@then('the update contains {rows} changes')
+def update_contains(context, rows):
     live = len(context.view.workspaces())
     if rows == 'all':
-        assert context.update_rows >= live, context.update_rows
+        assert context.update_changes >= live, context.update_changes
     else:
-        assert context.update_rows == int(rows), context.update_rows
+        assert context.update_changes == int(rows), context.update_changes
 
 
 @given(
-    '{count:d} random histories of 12 keys with good, bad and deleted entries'
+    '{count:d} random histories of 12 keys'
+    ' with valid, invalid and deleted objects'
 )
 def histories(context, count):
     context.histories = []
     for seed in range(count):
-        chance = random.Random(seed)
-        history = random_history(chance, chance.randint(5, _LENGTH))
-        context.histories.append((chance, history))
+        rng = random.Random(seed)
+        history = random_history(rng, rng.randint(5, _MAX_HISTORY))
+        context.histories.append((rng, history))
 
 
-@when('each is delivered shuffled, twice and in parts to three nodes')
+@when('each is delivered shuffled, twice and in batches to three instances')
 def deliver(context):
-    context.nodes = []
-    for chance, history in context.histories:
-        nodes = [CatalogueView() for _ in range(3)]
-        for node in nodes:
-            _deliver(chance, history, node)
-        context.nodes.append((nodes, history))
+    context.instances = []
+    for rng, history in context.histories:
+        instances = [CatalogueView() for _ in range(3)]
+        for instance in instances:
+            _deliver(rng, history, instance)
+        context.instances.append((instances, history))
 
 
-def _deliver(chance, history, node):
+def _deliver(rng, history, instance):
     rows = history * 2
-    chance.shuffle(rows)
+    rng.shuffle(rows)
     delivered = []
     while rows:
-        size = chance.randint(1, _PARTS)
-        part, rows = rows[:size], rows[size:]
-        delivered += part
-        before = seen_in(node)
-        changed = node.apply(ConfigUpdate(0, tuple(part)))
-        assert seen_in(node) == naive(delivered), delivered
-        assert changed == (seen_in(node) != before)
+        size = rng.randint(1, _MAX_BATCH)
+        batch, rows = rows[:size], rows[size:]
+        delivered += batch
+        before = active_in(instance)
+        changed = instance.apply(ConfigUpdate(0, tuple(batch)))
+        assert active_in(instance) == reference(delivered), delivered
+        assert changed == (active_in(instance) != before)
 
 
-@then('each node holds what a naive view in version order holds')
-def holds(context):
-    for nodes, history in context.nodes:
-        for node in nodes:
-            assert seen_in(node) == naive(history), history
+@then('each instance has the same content as a reference in version order')
+def matches_reference(context):
+    for instances, history in context.instances:
+        for instance in instances:
+            assert active_in(instance) == reference(history), history
 
 
-@then('the digests of the nodes are equal')
+@then('the digests of the instances are equal')
 def digests(context):
-    for nodes, _ in context.nodes:
-        assert len({node.digest().digest for node in nodes}) == 1
+    for instances, _ in context.instances:
+        assert len({instance.digest().digest for instance in instances}) == 1
 
 
-@when('nodes list, watch and gossip at random moments')
+@when('instances list, watch and gossip at random moments')
 def gossip(context):
     context.worlds = []
-    for chance, history in context.histories:
-        world = World(chance, history)
+    for rng, history in context.histories:
+        world = World(rng, history)
         for _ in range(60):
             world.step()
         context.worlds.append(world)
 
 
-@then('after a last round of gossip all nodes are equal to the platform')
+@then('after a last round of gossip all instances are equal to the platform')
 def converged(context):
     for world in context.worlds:
         world.finish()
--- a/tests/catalogue/steps/worlds.py
+++ b/tests/catalogue/steps/worlds.py
@@ -1,93 +1,97 @@
-"""Nodes that follow one platform by lists, watches and gossip."""
+"""Instances that follow one platform by lists, watches and gossip."""
 
 from __future__ import annotations
 
-from histories import naive, seen_in
+from histories import active_in, reference
 
-from sardinetrack.catalogue.coverage import changes_in, covering
+from sardinetrack.catalogue.coverage import covering, sorted_changes
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.messages.api import ConfigDigest, ConfigUpdate
 
 
 class World:
-    """A platform whose history unfolds and nodes that follow it."""
+    """A platform with a growing history, and instances that follow it."""
 
-    def __init__(self, chance, history):
-        self._chance = chance
+    def __init__(self, rng, history):
+        self._rng = rng
         self._history = history
         self._now = 0
-        self._nodes = [CatalogueView(kept_deletions=2) for _ in range(4)]
+        self._instances = [CatalogueView(kept_deletions=2) for _ in range(4)]
 
     def step(self):
-        """Let time pass, then let one node learn something."""
-        self._now += self._chance.randint(0, 2)
+        """Advance the history, then update one instance."""
+        self._now += self._rng.randint(0, 2)
         self._now = min(self._now, len(self._history))
-        node, other = self._chance.sample(self._nodes, 2)
-        before = seen_in(node)
-        turns = (self._list, self._watch, self._hear, self._relay)
-        self._chance.choice(turns)(node, other)
-        self._check(node, before)
+        instance, other = self._rng.sample(self._instances, 2)
+        before = active_in(instance)
+        actions = (self._list, self._watch, self._receive, self._relay)
+        self._rng.choice(actions)(instance, other)
+        self._check(instance, before)
 
     def finish(self):
-        """Let one node list and all gossip; compare with the platform."""
+        """Let one instance list and all gossip; compare with the platform."""
         self._now = len(self._history)
-        first = self._nodes[0]
+        first = self._instances[0]
         self._list(first, first)
         for _ in range(2):
-            for node in self._nodes[1:]:
-                self._hear(node, first)
-                self._hear(first, node)
-        for node in self._nodes:
-            assert node.digest() == first.digest()
-            assert seen_in(node) == seen_in(first)
-            self._check(node, {})
-
-    def _list(self, node, _):
+            for instance in self._instances[1:]:
+                self._receive(instance, first)
+                self._receive(first, instance)
+        for instance in self._instances:
+            assert instance.digest() == first.digest()
+            assert active_in(instance) == active_in(first)
+            self._check(instance, {})
+
+    def _list(self, instance, _):
         latest = self._latest(0, self._now)
         live = [one for one in latest.values() if not one.deleted]
-        node.apply(covering(0, self._now, live))
+        instance.apply(covering(0, self._now, live))
 
-    def _watch(self, node, _):
-        after = self._chance.randint(0, self._now)
+    def _watch(self, instance, _):
+        after = self._rng.randint(0, self._now)
         changes = self._latest(after, self._now).values()
-        node.apply(covering(after, self._now, changes))
+        instance.apply(covering(after, self._now, changes))
 
-    def _hear(self, node, other):
-        update = other.update_for(node.digest())
+    def _receive(self, instance, other):
+        update = other.update_for(instance.digest())
         if update:
-            node.apply(update)
+            instance.apply(update)
 
-    def _relay(self, node, other):
+    def _relay(self, instance, other):
         update = other.update_for(ConfigDigest(0, ''))
-        rows = changes_in(update) if update else []
-        some = self._chance.sample(rows, len(rows) // 2)
-        node.apply(ConfigUpdate(update.revision if update else 0, tuple(some)))
+        rows = sorted_changes(update) if update else []
+        some = self._rng.sample(rows, len(rows) // 2)
+        instance.apply(
+            ConfigUpdate(update.revision if update else 0, tuple(some))
+        )
 
     def _latest(self, after, until):
         return {one.key: one for one in self._history[after:until]}
 
-    def _check(self, node, before):
-        in_force = seen_in(node)
+    def _check(self, instance, before):
+        active = active_in(instance)
         for key, (version, _) in before.items():
-            self._not_back(key, version, in_force.get(key, (0,))[0])
-        known = self._latest(0, node.revision)
-        truth = naive(self._history[: node.revision])
+            self._check_not_reverted(key, version, active.get(key, (0,))[0])
+        known = self._latest(0, instance.revision)
+        expected = reference(self._history[: instance.revision])
         for key, one in known.items():
             if 'heavy' not in one.value:
-                wanted = truth.get(key, (0,))[0]
-                found = in_force.get(key, (0,))[0]
-                allowed = {wanted} | self._later(key, node.revision)
+                expected_version = expected.get(key, (0,))[0]
+                found = active.get(key, (0,))[0]
+                allowed = {expected_version} | self._later_versions(
+                    key, instance.revision
+                )
                 assert found in allowed, (key, found, allowed)
 
-    def _not_back(self, key, version, found):
-        gone = [
+    def _check_not_reverted(self, key, version, found):
+        deletions = [
             one.version
             for one in self._history[: self._now]
             if one.key == key and one.deleted
         ]
-        assert found >= version or max(gone, default=0) > version, key
+        assert found >= version or max(deletions, default=0) > version, key
 
-    def _later(self, key, revision):
-        """Versions that may be in force by changes after the revision."""
+    def _later_versions(self, key, revision):
+        """Versions that may be active through changes after the revision."""
         rows = [one for one in self._history[revision:] if one.key == key]
         return {0 if one.deleted else one.version for one in rows}
