--- a/src/sardinetrack/config/__init__.py
+++ b/src/sardinetrack/config/__init__.py
@@ -1,3 +1,3 @@
-"""Settings of a process: a JSON file with comments, checked as a whole."""
+"""Settings of a process: a JSON file with comments, validated as a whole."""
 
 from __future__ import annotations
--- a/src/sardinetrack/config/address.py
+++ b/src/sardinetrack/config/address.py
@@ -1,4 +1,4 @@
-"""Field types for addresses: IP numbers and plain HTTP URLs only."""
+"""Field types for addresses: only IP addresses and plain HTTP URLs."""
 
 from __future__ import annotations
 
@@ -13,18 +13,20 @@
     try:
         return str(ip_address(text))
     except ValueError as error:
-        raise ValueError('an IP number is needed, no host name') from error
+        raise ValueError(
+            'an IP address is required, not a host name'
+        ) from error
 
 
 def _check_url(text: str) -> str:
     parts = urlsplit(text)
     if parts.scheme != 'http':
-        raise ValueError('a URL that starts with http:// is needed')
+        raise ValueError('a URL that starts with http:// is required')
     if parts.username is not None or parts.query or parts.fragment:
-        raise ValueError('a URL without user, query and fragment is needed')
+        raise ValueError('a URL without user, query and fragment is required')
     _check_ip(parts.hostname or '')
     if parts.port == 0:
-        raise ValueError('port 0 cannot be called')
+        raise ValueError('port 0 is not allowed')
     return text.rstrip('/')
 
 
--- a/src/sardinetrack/config/errors.py
+++ b/src/sardinetrack/config/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file."""
+"""Errors of settings files."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class SettingsError(Exception):
-    """The settings can't be used; every mistake is listed."""
+    """The settings are invalid; every problem is listed."""
 
     def __init__(self, source: str, problems: tuple[Problem, ...]) -> None:
-        """Remember the mistakes.
+        """Create the error.
 
         :param source: the file's path.
-        :param problems: every mistake found.
+        :param problems: every problem found.
         """
         lines = [f'{source}: {problem}' for problem in problems]
         super().__init__('\n'.join(lines))
--- a/src/sardinetrack/config/loader.py
+++ b/src/sardinetrack/config/loader.py
@@ -1,4 +1,4 @@
-"""Load settings files and report every mistake at once."""
+"""Loads settings files and reports all their problems together."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     {
         'extra_forbidden': 'there is no such setting',
         'missing': 'field required',
-        'model_type': 'a JSON object is needed',
+        'model_type': 'a JSON object is required',
     },
 )
 
@@ -36,19 +36,19 @@
     """Load a settings file.
 
     :param path: a file of JSON with comments.
-    :param model: what it must describe.
-    :return: valid settings, whose secrets can be resolved.
-    :raises SettingsError: with every mistake.
+    :param model: the model that the file must match.
+    :return: valid settings whose secrets can be resolved.
+    :raises SettingsError: with every problem.
     """
-    return _validate(path, _read(path), model)
+    return _validate(path, _parse_file(path), model)
 
 
 def load_any(path: str) -> EntrySettings | SideSettings | OperatorSettings:
-    """Load settings of the role that the file itself names.
+    """Load settings of the role that is named in the file.
 
-    :raises SettingsError: with every mistake.
+    :raises SettingsError: with every problem.
     """
-    content = _read(path)
+    content = _parse_file(path)
     match content:
         case {'role': 'entry'}:
             return _validate(path, content, EntrySettings)
@@ -60,7 +60,7 @@
     raise SettingsError(path, (problem,))
 
 
-def _read(path: str) -> Any:
+def _parse_file(path: str) -> Any:
     try:
         return parse_text(Path(path).read_text(encoding='utf-8'))
     except OSError as error:
@@ -85,12 +85,12 @@
         )
     except ValidationError as error:
         details = error.errors(include_url=False, include_input=False)
-        problems = tuple(_problem(detail) for detail in details)
-        # The cause would show the mistaken input, which may be a secret.
+        problems = tuple(_to_problem(detail) for detail in details)
+        # The cause would show the invalid input, which may be a secret.
         raise SettingsError(path, problems) from None
 
 
-def _problem(detail: ErrorDetails) -> Problem:
-    place = path_of(detail['loc'])
+def _to_problem(detail: ErrorDetails) -> Problem:
+    location = path_of(detail['loc'])
     reason = _REASONS.get(detail['type'], reason_of(detail['msg']))
-    return Problem(place or _WHOLE_FILE, reason[:1].lower() + reason[1:])
+    return Problem(location or _WHOLE_FILE, reason[:1].lower() + reason[1:])
--- a/src/sardinetrack/config/model.py
+++ b/src/sardinetrack/config/model.py
@@ -9,45 +9,45 @@
 from sardinetrack.config.address import HttpUrl, IpNumber
 from sardinetrack.config.secret import Secret
 
-_LAST_PORT: Final = 65_535
-_LONGEST_SECONDS: Final = 3_600
-_LONGEST_BALANCER_SECONDS: Final = 60
-_MOST_SHARDS: Final = 4096
-_LONGEST_KEEP_SECONDS: Final = 2_592_000
-
-Port = Annotated[int, Field(ge=0, le=_LAST_PORT)]
-Seconds = Annotated[float, Field(gt=0, le=_LONGEST_SECONDS)]
+_MAX_PORT: Final = 65_535
+_MAX_SECONDS: Final = 3_600
+_MAX_BALANCER_SECONDS: Final = 60
+_MAX_SHARDS: Final = 4096
+_MAX_KEEP_SECONDS: Final = 2_592_000
+
+Port = Annotated[int, Field(ge=0, le=_MAX_PORT)]
+Seconds = Annotated[float, Field(gt=0, le=_MAX_SECONDS)]
 Name = Annotated[str, Field(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
-class Listen(_Strict):
-    """An address to listen at."""
+class Listen(_StrictModel):
+    """An address to listen on."""
 
     ip: IpNumber = '127.0.0.1'
     port: Port = 0
 
 
-class PlatformSettings(_Strict):
-    """Where the platform is and how long to wait for it."""
+class PlatformSettings(_StrictModel):
+    """Address of the platform, and timeouts of the calls on it."""
 
     url: HttpUrl
     token: Secret
     call_timeout_seconds: Seconds = 2.0
     watch_seconds: Seconds = 2.0
-    """Longest wait of one watch.
+    """Maximum wait of one watch.
 
-    One whose connection was cut without a word is noticed when it should have
-    been answered, which is part of the time until a change is in force.
+    A watch whose connection was interrupted without notice is detected when its
+    response is due, which is part of the time until a change is active.
     """
     list_seconds: Seconds = 1.0
 
 
-class Bounds(_Strict):
-    """Bounds on what one caller may make an entry hold."""
+class Bounds(_StrictModel):
+    """Limits on the resources that one caller may occupy at an entry."""
 
     max_body_bytes: Annotated[int, Field(gt=0)] = 4_000_000
     body_seconds: Seconds = 15.0
@@ -57,19 +57,17 @@
     wait_seconds: Seconds = 60.0
 
 
-class OnceSettings(_Strict):
-    """How the claims of idempotency keys are kept in the platform."""
+class IdempotencySettings(_StrictModel):
+    """How the claims of idempotency keys are stored in the platform."""
 
-    shards: Annotated[int, Field(ge=1, le=_MOST_SHARDS)] = 4
-    """Taken by the first entry ever; all others follow it."""
-    keep_seconds: Annotated[float, Field(gt=0, le=_LONGEST_KEEP_SECONDS)] = (
-        86_400
-    )
-    """How long a record outlives the longest run of its request."""
+    shards: Annotated[int, Field(ge=1, le=_MAX_SHARDS)] = 4
+    """Set by the first entry that ever starts; all later ones use its value."""
+    keep_seconds: Annotated[float, Field(gt=0, le=_MAX_KEEP_SECONDS)] = 86_400
+    """How long a record is kept beyond the longest run of its request."""
 
 
-class CommonSettings(_Strict):
-    """What entry and side settings share."""
+class CommonSettings(_StrictModel):
+    """Settings common to entries and sides."""
 
     instance: Name
     failure_domain: Name
@@ -87,12 +85,12 @@
     role: Literal['entry'] = 'entry'
     callers: Listen = Listen()
     bounds: Bounds = Bounds()
-    once: OnceSettings = OnceSettings()
+    once: IdempotencySettings = IdempotencySettings()
     balancer_seconds: Annotated[
         float,
-        Field(ge=0, le=_LONGEST_BALANCER_SECONDS),
+        Field(ge=0, le=_MAX_BALANCER_SECONDS),
     ] = 2.0
-    """How long the balancer may send callers to an instance not ready."""
+    """How long the load balancer may send callers to an instance not ready."""
 
 
 class SideSettings(CommonSettings):
@@ -105,10 +103,10 @@
     lease_seconds: Seconds = 10.0
 
 
-class OperatorSettings(_Strict):
+class OperatorSettings(_StrictModel):
     """Settings of ``sardinetrack catalogue``."""
 
     role: Literal['operator'] = 'operator'
     platform: PlatformSettings
     peer_secret: Secret
-    """Instances are asked at their peer endpoints what is in force."""
+    """For querying at the peer endpoints of instances what is active."""
--- a/src/sardinetrack/config/secret.py
+++ b/src/sardinetrack/config/secret.py
@@ -1,4 +1,4 @@
-"""Secrets that settings name by value, file or environment variable."""
+"""Secrets that settings give by value, file or environment variable."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SecretSources:
-    """Where secrets are looked up while settings are validated."""
+    """Where secrets are looked up during the validation of settings."""
 
     environment: Mapping[str, str]
 
@@ -35,9 +35,9 @@
 
     @model_validator(mode='after')
     def _check(self, info: ValidationInfo) -> Self:
-        given = (self.value, self.file, self.environment)
-        if sum(source is not None for source in given) != 1:
-            raise ValueError('give one of value, file and environment')
+        sources = (self.value, self.file, self.environment)
+        if sum(source is not None for source in sources) != 1:
+            raise ValueError('give exactly one of value, file and environment')
         if isinstance(info.context, SecretSources):
             resolve_secret(self, info.context.environment)
         return self
@@ -47,9 +47,9 @@
     secret: Secret,
     environment: Mapping[str, str] = os.environ,
 ) -> str:
-    """Fetch a secret's text.
+    """Return a secret's text.
 
-    :param secret: what the settings say.
+    :param secret: the secret as given in the settings.
     :param environment: the process's environment variables.
     :return: the text without surrounding white space.
     :raises ValueError: the file or the variable is missing or empty.
@@ -59,7 +59,7 @@
     if secret.environment is not None:
         return _read_variable(secret.environment, environment)
     text = secret.value.get_secret_value() if secret.value else ''
-    return _not_empty(text, 'the secret is empty')
+    return _require_text(text, 'the secret is empty')
 
 
 def _read_file(path: str) -> str:
@@ -71,17 +71,17 @@
     except UnicodeDecodeError as error:
         reason = f"the secret's file {path} is not UTF-8 text"
         raise ValueError(reason) from error
-    return _not_empty(text, f"the secret's file {path} is empty")
+    return _require_text(text, f"the secret's file {path} is empty")
 
 
 def _read_variable(name: str, environment: Mapping[str, str]) -> str:
     if name not in environment:
         raise ValueError(f'the environment variable {name} is not set')
     reason = f'the environment variable {name} is empty'
-    return _not_empty(environment[name], reason)
+    return _require_text(environment[name], reason)
 
 
-def _not_empty(text: str, reason: str) -> str:
+def _require_text(text: str, reason: str) -> str:
     stripped = text.strip()
     if not stripped:
         raise ValueError(reason)
--- a/tests/config/loader.feature
+++ b/tests/config/loader.feature
@@ -1,4 +1,4 @@
-Feature: Settings files are checked as a whole
+Feature: Settings files are validated as a whole
 
   Scenario: Comments and trailing commas are accepted
     Given a settings file
@@ -16,15 +16,15 @@
       }
       """
     When it is loaded as entry settings
-    Then there is no mistake
+    Then there is no problem
     And the instance is "entry-1"
     And the platform is at "http://127.0.0.1:9000"
     And the drain takes at most 30 seconds
 
-  Scenario: Every mistake is listed at once with place and reason
-    The operator sees the whole list after one try. Mistakes of different
-    kinds (types, names, addresses, secrets) are found in the same pass,
-    because a list that ends at the first one costs a restart for each.
+  Scenario: All problems are listed together with place and reason
+    The operator sees the complete list after one attempt. Problems of different
+    kinds (types, names, addresses, secrets) are found in the same pass, because
+    a list that ends at the first one would cost a restart for each.
 
     Given the environment variable "PEER_WORD" is not set
     And a settings file
@@ -46,35 +46,35 @@
       }
       """
     When it is loaded as side settings
-    Then the mistakes are
+    Then the problems are
       | place                         | reason                            |
       | instance                      | string should match pattern       |
       | failure_domain                | field required                    |
-      | operator.ip                   | an IP number is needed            |
+      | operator.ip                   | an IP address is required         |
       | operator.port                 | less than or equal to 65535       |
-      | platform.url                  | an IP number is needed            |
+      | platform.url                  | an IP address is required         |
       | platform.token                | file /nowhere/token can't be read |
       | platform.call_timeout_seconds | greater than 0                    |
       | peer_secret                   | variable PEER_WORD is not set     |
       | backend_url                   | starts with http://               |
       | surprise                      | there is no such setting          |
 
-  Scenario Outline: A broken file is told by line and column
+  Scenario Outline: A syntax error is reported with line and column
     Given a settings file that holds <text>
     When it is loaded as entry settings
-    Then the only mistake is at "<place>" because "<reason>"
+    Then the only problem is at "<place>" because "<reason>"
 
     Examples:
-      | text                  | place            | reason                   |
-      | {"role":              | line 1, column 1 | unclosed object          |
-      | {"a": 1,\n  "b": }    | line 2, column 8 | expected a value         |
-      | null                  | settings         | a JSON object is needed  |
-      | []                    | settings         | a JSON object is needed  |
-      | {} {}                 | line 1, column 4 | extra data               |
+      | text                  | place            | reason                    |
+      | {"role":              | line 1, column 1 | unclosed object           |
+      | {"a": 1,\n  "b": }    | line 2, column 8 | expected a value          |
+      | null                  | settings         | a JSON object is required |
+      | []                    | settings         | a JSON object is required |
+      | {} {}                 | line 1, column 4 | extra data                |
 
-  Scenario: A missing file is a mistake like any other
+  Scenario: A missing file is reported like any other problem
     When the file "/nowhere/settings.json" is loaded as entry settings
-    Then the only mistake is at "settings" because "No such file"
+    Then the only problem is at "settings" because "No such file"
 
   Scenario Outline: A secret comes from exactly one source
     Given the environment variable "PEER_WORD" is "from-environment"
@@ -88,22 +88,22 @@
       | {"environment": "PEER_WORD"} | from-environment |
       | {"file": "SECRET_FILE"}      | from-file        |
 
-  Scenario Outline: A secret without exactly one usable source is a mistake
+  Scenario Outline: A secret without exactly one usable source is a problem
     Given a secret file that holds " "
     When the secret <secret> is loaded
-    Then the only mistake is at "peer_secret" because "<reason>"
+    Then the only problem is at "peer_secret" because "<reason>"
 
     Examples:
-      | secret                               | reason            |
-      | {}                                   | give one of value |
-      | {"value": "one", "file": "/nowhere"} | give one of value |
-      | {"value": ""}                        | secret is empty   |
-      | {"file": "SECRET_FILE"}              | is empty          |
+      | secret                               | reason                    |
+      | {}                                   | give exactly one of value |
+      | {"value": "one", "file": "/nowhere"} | give exactly one of value |
+      | {"value": ""}                        | secret is empty           |
+      | {"file": "SECRET_FILE"}              | is empty                  |
 
-  Scenario: No mistake repeats the secret that stands beside it
+  Scenario: No problem repeats a secret next to it
     Given a settings file that holds {"peer_secret": {"value": "peer-word", "fil": 1}}
     When it is loaded as entry settings
-    Then no mistake mentions "peer-word"
+    Then no problem mentions "peer-word"
 
-  Scenario: Whatever the file holds, the answer is settings or mistakes
-    Then any text gives settings or a list of mistakes
+  Scenario: Any file content results in settings or problems
+    Then any text results in settings or a list of problems
--- a/tests/config/steps/loader_steps.py
+++ b/tests/config/steps/loader_steps.py
@@ -1,4 +1,4 @@
-"""Steps on loading settings."""
+"""Steps for loading settings."""
 
 from __future__ import annotations
 
@@ -100,8 +100,8 @@
     _load(context, path, 'entry')
 
 
-@then('there is no mistake')
-def step_no_mistake(context: Context) -> None:
+@then('there is no problem')
+def step_no_problem(context: Context) -> None:
     assert not context.problems, context.problems
 
 
@@ -120,17 +120,17 @@
     assert context.settings.drain_seconds == seconds
 
 
-@then('the mistakes are')
-def step_mistakes(context: Context) -> None:
+@then('the problems are')
+def step_problems(context: Context) -> None:
     found = {problem.place: problem.reason for problem in context.problems}
-    wanted = {row['place']: row['reason'] for row in context.table}
-    assert found.keys() == wanted.keys(), found
-    for place, reason in wanted.items():
+    expected = {row['place']: row['reason'] for row in context.table}
+    assert found.keys() == expected.keys(), found
+    for place, reason in expected.items():
         assert reason in found[place], found[place]
 
 
-@then('the only mistake is at "{place}" because "{reason}"')
-def step_only_mistake(context: Context, place: str, reason: str) -> None:
+@then('the only problem is at "{place}" because "{reason}"')
+def step_only_problem(context: Context, place: str, reason: str) -> None:
     assert len(context.problems) == 1, context.problems
     problem = context.problems[0]
     assert problem.place == place, problem
@@ -143,14 +143,14 @@
     assert resolve_secret(context.settings.peer_secret) == text
 
 
-@then('no mistake mentions "{word}"')
+@then('no problem mentions "{word}"')
 def step_no_mention(context: Context, word: str) -> None:
     assert context.problems
     for problem in context.problems:
         assert word not in str(problem)
 
 
-@then('any text gives settings or a list of mistakes')
+@then('any text results in settings or a list of problems')
 def step_any_text(context: Context) -> None:
     _check_tree(context)
     _check_bytes(context)
@@ -159,16 +159,16 @@
 @settings(max_examples=200, derandomize=True, database=None)
 @for_all(tree=_TREES)
 def _check_tree(context: Context, tree: object) -> None:
-    _assert_mistakes(context, json.dumps(tree).encode())
+    _assert_problems(context, json.dumps(tree).encode())
 
 
 @settings(max_examples=200, derandomize=True, database=None)
 @for_all(content=strategies.binary())
 def _check_bytes(context: Context, content: bytes) -> None:
-    _assert_mistakes(context, content)
+    _assert_problems(context, content)
 
 
-def _assert_mistakes(context: Context, content: bytes) -> None:
+def _assert_problems(context: Context, content: bytes) -> None:
     path = _directory(context) / 'settings.json'
     path.write_bytes(content)
     _load(context, path, 'entry')
