--- a/benchmarks/once/__main__.py
+++ b/benchmarks/once/__main__.py
@@ -12,7 +12,11 @@
 from itertools import product
 
 import anyio
-from tests.support.shaky_platform import Odds, Road, ShakyPlatform
+from tests.support.faulty_platform import (
+    FaultRates,
+    FaultyPlatform,
+    SharedStore,
+)
 from tests.support.virtual_time import run_virtually
 
 from sardinetrack.entry.claims import (
@@ -43,7 +47,7 @@
 
     rate: int
     entries: int
-    road: Road = field(default_factory=Road)
+    road: SharedStore = field(default_factory=SharedStore)
     chance: random.Random = field(default_factory=lambda: random.Random(_SEED))
     waited_seconds: list[float] = field(default_factory=list)
     refused: int = 0
@@ -70,8 +74,8 @@
         return min(max(_CLAIMS, least), most)
 
     async def _entry(self, *, task_status: anyio.abc.TaskStatus) -> None:
-        odds = Odds(latency_seconds=_LATENCY_SECONDS)
-        platform = ShakyPlatform(self.road, odds, self.chance)
+        odds = FaultRates(latency_seconds=_LATENCY_SECONDS)
+        platform = FaultyPlatform(self.road, odds, self.chance)
         async with ShardedClaims(
             platform,
             ClaimSettings(shards=1),
--- a/tests/lease/lease_simulation.py
+++ b/tests/lease/lease_simulation.py
@@ -13,7 +13,7 @@
 from sardinetrack.lease.keeper import LeaseKeeper
 from sardinetrack.standin.fencing import Fence
 from sardinetrack.store.api import PlatformError
-from support.shaky_platform import Odds, Road, ShakyPlatform
+from support.faulty_platform import FaultRates, FaultyPlatform, SharedStore
 from support.virtual_time import run_virtually
 
 _LEASE_SECONDS = 10.0
@@ -35,21 +35,21 @@
         """Let both sides send commands for 200 seconds."""
         self.rng = random.Random(self.seed)
         self.fence = Fence(checks=self.checks)
-        road = Road()
+        road = SharedStore()
         async with anyio.create_task_group() as tasks:
             for name in ('a', 'b'):
-                odds = Odds(
+                odds = FaultRates(
                     refused=0.05,
                     lost_reply=0.2,
                     late_write=0.1,
                     latency_seconds=0.1,
                 )
-                platform = ShakyPlatform(road, odds, self.rng, tasks)
+                platform = FaultyPlatform(road, odds, self.rng, tasks)
                 tasks.start_soon(self._side, name, platform)
             await anyio.sleep(200)
             tasks.cancel_scope.cancel()
 
-    async def _side(self, name: str, platform: ShakyPlatform) -> None:
+    async def _side(self, name: str, platform: FaultyPlatform) -> None:
         lease = Lease(
             name,
             duration_seconds=_LEASE_SECONDS,
--- a/tests/once/claims_world.py
+++ b/tests/once/claims_world.py
@@ -19,7 +19,7 @@
 )
 from sardinetrack.once.claims import ClaimSettings, ShardedClaims
 from sardinetrack.once.shard import BatchDelays
-from support.shaky_platform import Odds, Road, ShakyPlatform
+from support.faulty_platform import FaultRates, FaultyPlatform, SharedStore
 from support.virtual_time import VirtualTimeLoop
 
 SETTLED_SECONDS = 60.0
@@ -31,13 +31,13 @@
 
     def __init__(self) -> None:
         self.runner = asyncio.Runner(loop_factory=VirtualTimeLoop)
-        self.shared_store = Road()
+        self.shared_store = SharedStore()
         self.rng = random.Random(1)
         self.shards = 1
         self.max_head_bytes = 65_536
         self.end_delay_seconds = 0.5
         self.entries: dict[str, ShardedClaims] = {}
-        self.platforms: dict[str, ShakyPlatform] = {}
+        self.platforms: dict[str, FaultyPlatform] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.claimed: dict[str, Claimed] = {}
         self.results: list[str] = []
@@ -133,9 +133,9 @@
             batch_delays=BatchDelays(end_delay_seconds=self.end_delay_seconds),
         )
         async with anyio.create_task_group() as background:
-            platform = ShakyPlatform(
+            platform = FaultyPlatform(
                 self.shared_store,
-                Odds(),
+                FaultRates(),
                 self.rng,
                 background,
             )
--- a/tests/once/random_run.py
+++ b/tests/once/random_run.py
@@ -22,7 +22,7 @@
     OutcomeLost,
 )
 from sardinetrack.once.claims import ClaimSettings, ShardedClaims
-from support.shaky_platform import Odds, Road, ShakyPlatform
+from support.faulty_platform import FaultRates, FaultyPlatform, SharedStore
 from support.virtual_time import run_virtually
 
 SKEW_SECONDS = 5.0
@@ -121,7 +121,7 @@
         self.reference = ReferenceModel(
             RETENTION_SECONDS[seed % len(RETENTION_SECONDS)]
         )
-        self.shared_store = Road()
+        self.shared_store = SharedStore()
         self._entries: list[EntryStub] = []
         self._callers = callers
         self._entry_count = entries
@@ -143,16 +143,16 @@
             tasks.cancel_scope.cancel()
         return self
 
-    def platform(self) -> ShakyPlatform:
+    def platform(self) -> FaultyPlatform:
         """Build one entry's access to the store."""
-        odds = Odds(
+        odds = FaultRates(
             refused=0.02,
             throttled=0.02,
             lost_reply=0.06,
             late_write=0.06,
             latency_seconds=0.05,
         )
-        return ShakyPlatform(self.shared_store, odds, self.rng, self._tasks)
+        return FaultyPlatform(self.shared_store, odds, self.rng, self._tasks)
 
     async def _inject_faults(self) -> None:
         while True:
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,3 +1,3 @@
-"""Shared pieces of the tests: processes, callers, and counting."""
+"""Helpers that the tests share: processes, callers, fakes and simulations."""
 
 from __future__ import annotations
--- a/tests/support/caller.py
+++ b/tests/support/caller.py
@@ -1,4 +1,4 @@
-"""A caller: plain HTTP calls and streams, from threads if need be."""
+"""A caller of the fleet: blocking HTTP calls and streams."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 @dataclass
 class Answer:
-    """What a caller received."""
+    """A response that a caller received."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """The body as JSON."""
+        """Decode the body as JSON."""
         return json.loads(self.body)
 
     @property
     def code(self) -> str:
-        """The stable code of an error answer."""
+        """The stable code of an error response."""
         return str(self.json()['error']['code'])
 
 
@@ -43,12 +43,12 @@
     headers: dict[str, str]
     events: list[str] = field(default_factory=list)
     broken: bool = False
-    rest: bytes = b''
-    """What is no event: the body of an error answer."""
+    remainder: bytes = b''
+    """Bytes after the last complete event, or the body of an error."""
 
     @property
-    def whole(self) -> bool:
-        """Whether the protocol's own terminal arrived."""
+    def complete(self) -> bool:
+        """Whether the protocol's final event arrived."""
         return bool(self.events) and self.events[-1] == '[DONE]'
 
     @property
@@ -62,27 +62,26 @@
 
     @property
     def text(self) -> str:
-        """The generated text so far."""
-        parts: list[str] = []
+        """The generated text received so far."""
+        chunks: list[str] = []
         for event in map(json.loads, self._json_events()):
             for choice in event.get('choices', []):
-                parts.append(choice['delta'].get('content') or '')
-        return ''.join(parts)
+                chunks.append(choice['delta'].get('content') or '')
+        return ''.join(chunks)
 
     def _json_events(self) -> list[str]:
         return [event for event in self.events if event != '[DONE]']
 
 
 class Caller:
-    """Calls with one bearer token."""
+    """Makes calls with one bearer token."""
 
     def __init__(self, token: str) -> None:
-        """Remember the token."""
         self._token = token
 
     @contextmanager
     def connections(self) -> Iterator[httpcore.ConnectionPool]:
-        """Give the connections for one call."""
+        """Return the connection pool for one call; it is closed afterwards."""
         with httpcore.ConnectionPool() as pool:
             yield pool
 
@@ -93,7 +92,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """Make one call on a connection of its own."""
+        """Make one call and read the response."""
         with self._response(method, url, body, headers) as response:
             content = response.read()
             return Answer(response.status, _headers(response), content)
@@ -104,7 +103,7 @@
         request: dict[str, Any],
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """Ask for a completion, not streamed."""
+        """Request a completion that is not streamed."""
         return self.call(
             'POST',
             f'{entry_url}/v1/chat/completions',
@@ -118,22 +117,24 @@
         request: dict[str, Any],
         headers: dict[str, str] | None = None,
     ) -> StreamedAnswer:
-        """Ask for a streamed completion and read it to its end."""
+        """Request a streamed completion and read it to its end."""
         url = f'{entry_url}/v1/chat/completions'
         body = json.dumps({**request, 'stream': True}).encode()
         with self._response('POST', url, body, headers) as response:
-            answer = StreamedAnswer(response.status, _headers(response))
+            received = StreamedAnswer(response.status, _headers(response))
             rest = b''
             try:
                 for chunk in response.iter_stream():
-                    rest = _take_events(rest + chunk, answer.events)
-                    answer.rest = rest
+                    rest = _split_events(rest + chunk, received.events)
+                    received.remainder = rest
             except (httpcore.NetworkError, httpcore.ProtocolError):
-                answer.broken = True
-            return answer
+                received.broken = True
+            return received
 
-    def leave(self, entry_url: str, request: dict[str, Any]) -> None:
-        """Begin to read a streamed completion and go away."""
+    def disconnect_midway(
+        self, entry_url: str, request: dict[str, Any]
+    ) -> None:
+        """Begin to read a streamed completion, then disconnect."""
         url = f'{entry_url}/v1/chat/completions'
         body = json.dumps({**request, 'stream': True}).encode()
         with self._response('POST', url, body, None) as response:
@@ -167,31 +168,30 @@
     }
 
 
-def _take_events(buffer: bytes, events: list[str]) -> bytes:
-    *whole, rest = buffer.split(b'\n\n')
+def _split_events(buffer: bytes, events: list[str]) -> bytes:
+    *complete, rest = buffer.split(b'\n\n')
     events.extend(
         block.removeprefix(b'data: ').decode()
-        for block in whole
+        for block in complete
         if block.startswith(b'data: ')
     )
     return rest
 
 
-class KeepingCaller(Caller):
-    """Reuses its connections from call to call; each thread has its own.
+class KeepAliveCaller(Caller):
+    """Reuses connections between calls; each thread has its own pool.
 
-    A pool that threads share closes connections under each other: measured,
-    6 of 300 callers then read from a closed file descriptor.
+    A pool that threads share closes connections that another thread uses: 6 of
+    300 callers then read from a closed file descriptor.
     """
 
     def __init__(self, token: str) -> None:
-        """Open no connection yet."""
         super().__init__(token)
         self._local = threading.local()
 
     @contextmanager
     def connections(self) -> Iterator[httpcore.ConnectionPool]:
-        """Give the connections that are kept."""
+        """Return the connection pool of this thread; it stays open."""
         if not hasattr(self._local, 'pool'):
             self._local.pool = httpcore.ConnectionPool()
         yield self._local.pool
--- a/tests/support/config_watch.py
+++ b/tests/support/config_watch.py
@@ -1,4 +1,4 @@
-"""Samples what configuration instances have in force."""
+"""Samples the configuration that is active at instances."""
 
 from __future__ import annotations
 
@@ -11,62 +11,64 @@
 
 from support.fleet import Fleet
 
-_PAUSE_SECONDS = 0.05
-_NOT_THERE = (KeyError, httpcore.NetworkError, httpcore.TimeoutException)
-_Shown = list[tuple[int, str]]
+_POLL_INTERVAL_SECONDS = 0.05
+_UNREACHABLE = (KeyError, httpcore.NetworkError, httpcore.TimeoutException)
+_Samples = list[tuple[int, str]]
 
 
 class ConfigWatch:
-    """A thread that notes every change of revision and digest."""
+    """A thread that records every change of revision and digest.
+
+    :param names: instances to sample.
+    """
 
     def __init__(self, fleet: Fleet, names: tuple[str, ...]) -> None:
-        """Remember whom to ask."""
         self._fleet = fleet
         self._names = names
-        self._seen: dict[str, _Shown] = {name: [] for name in names}
-        self._ended = threading.Event()
+        self._samples: dict[str, _Samples] = {name: [] for name in names}
+        self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def __enter__(self) -> ConfigWatch:
-        """Start to sample."""
+        """Start sampling."""
         self._thread.start()
         return self
 
     def __exit__(self, *_: Any) -> None:
-        """Stop."""
-        self._ended.set()
+        """Stop sampling."""
+        self._stopped.set()
         self._thread.join()
 
-    def restarted(self, name: str) -> None:
-        """Forget what an instance showed in an earlier life."""
-        self._seen[name] = []
+    def forget(self, name: str) -> None:
+        """Forget the samples of an instance that is started again."""
+        self._samples[name] = []
 
     def check(self) -> None:
-        """Fail when an instance has gone back."""
-        for name, shown in self._seen.items():
-            revisions = [revision for revision, _ in shown]
-            assert revisions == sorted(revisions), (name, shown)
-            digests = [digest for _, digest in shown]
-            assert len(digests) == len(set(digests)), (name, shown)
+        """Fail if an instance went back to an older configuration."""
+        for name, samples in self._samples.items():
+            revisions = [revision for revision, _ in samples]
+            assert revisions == sorted(revisions), (name, samples)
+            digests = [digest for _, digest in samples]
+            assert len(digests) == len(set(digests)), (name, samples)
 
     def _run(self) -> None:
-        while not self._ended.is_set():
+        while not self._stopped.is_set():
             for name in self._names:
-                with suppress(*_NOT_THERE):
+                with suppress(*_UNREACHABLE):
                     self._sample(name)
-            time.sleep(_PAUSE_SECONDS)
+            time.sleep(_POLL_INTERVAL_SECONDS)
 
     def _sample(self, name: str) -> None:
         revision, digest = in_force(self._fleet, name)
-        shown = self._seen[name]
-        if not shown or shown[-1][1] != digest:
-            shown.append((revision, digest))
-        elif revision < shown[-1][0]:
-            shown.append((revision, f'{digest} again'))
+        samples = self._samples[name]
+        if not samples or samples[-1][1] != digest:
+            samples.append((revision, digest))
+        elif revision < samples[-1][0]:
+            samples.append((revision, f'{digest} again'))
 
 
 def in_force(fleet: Fleet, name: str) -> tuple[int, str]:
-    """Ask an instance for its revision and digest."""
+    """Read the revision and digest that are active at an instance."""
     status = fleet.operator(name, '/status').json()
     digest = status.get('configuration', status)
     return (int(digest['revision']), str(digest['digest']))
--- a/tests/support/crowd.py
+++ b/tests/support/crowd.py
@@ -1,4 +1,4 @@
-"""Many callers at once; each knows which words are due to it."""
+"""Concurrent callers that check whether they received their own response."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from support.standard import SERVICE, completion, words
 
 NOT_RUN_HEADER: Final = 'sardinetrack-not-run'
-WHOLE: Final = 'whole'
+COMPLETE: Final = 'complete'
 WRONG: Final = 'wrong words'
-CUT: Final = 'cut'
+TRUNCATED: Final = 'truncated'
 REFUSED: Final = 'connection refused'
 BROKEN: Final = 'connection broken'
 
 
 @dataclass(frozen=True)
 class Told:
-    """What one caller was told about its request."""
+    """The result of one caller's request."""
 
     marker: str
-    verdict: str
-    """``WHOLE``, the code of an error, or another of this module's words."""
+    outcome: str
+    """``COMPLETE``, an error code, or another of this module's constants."""
     not_run: bool = False
     codes: tuple[str, ...] = ()
-    """Codes of the error events inside a stream, or how it broke."""
-    answer: Answer | StreamedAnswer | None = None
+    """Codes of the error events in a stream, or the error that broke it."""
+    response: Answer | StreamedAnswer | None = None
 
 
 def ask_plain(
     caller: Caller, entry_url: str, marker: str, tokens: int = 5
 ) -> Told:
-    """Ask for a completion that is not streamed."""
+    """Request a completion that is not streamed."""
     return _guarded(
         marker,
-        lambda: _told_plain(
+        lambda: _plain_result(
             marker, tokens, caller.chat(entry_url, completion(marker, tokens))
         ),
     )
@@ -50,10 +50,10 @@
 def ask_stream(
     caller: Caller, entry_url: str, marker: str, tokens: int = 5
 ) -> Told:
-    """Ask for a streamed completion."""
+    """Request a streamed completion."""
     return _guarded(
         marker,
-        lambda: _told_stream(
+        lambda: _stream_result(
             marker,
             tokens,
             caller.stream(entry_url, completion(marker, tokens)),
@@ -68,26 +68,27 @@
     query: str = '',
     method: str = 'POST',
 ) -> Told:
-    """Make a call of the service that must not run twice."""
+    """Call the service; with the default method it must not run twice."""
     url = f'{entry_url}/services/{SERVICE}/bills?{query}'
     headers = {'x-standin-key': marker}
     body = marker.encode() if method == 'POST' else None
     return _guarded(
         marker,
-        lambda: _told_service(marker, caller.call(method, url, body, headers)),
+        lambda: _service_result(
+            marker, caller.call(method, url, body, headers)
+        ),
     )
 
 
-class Crowd:
-    """Callers in threads of their own."""
+class CallerPool:
+    """Callers that run concurrently, each in a thread of the pool."""
 
-    def __init__(self, at_once: int = 64) -> None:
-        """Start with none."""
-        self._threads = ThreadPoolExecutor(at_once)
+    def __init__(self, max_concurrent: int = 64) -> None:
+        self._threads = ThreadPoolExecutor(max_concurrent)
         self._futures: list[Future[Told]] = []
 
     def __enter__(self) -> Self:
-        """Hand out the crowd."""
+        """Return the pool."""
         return self
 
     def __exit__(
@@ -96,70 +97,77 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Wait for all that still call."""
+        """Drop calls that have not started and wait for the running ones."""
         self._threads.shutdown(cancel_futures=True)
 
-    def send(self, ask: Callable[..., Told], *arguments: Any) -> Future[Told]:
-        """Let one more caller ask."""
-        future = self._threads.submit(ask, *arguments)
+    def send(
+        self,
+        send_request: Callable[..., Told],
+        *arguments: Any,
+    ) -> Future[Told]:
+        """Send one more request; ``results`` includes its result."""
+        future = self._threads.submit(send_request, *arguments)
         self._futures.append(future)
         return future
 
     def run(self, call: Callable[..., Any], *arguments: Any) -> Future[Any]:
-        """Let something happen beside the callers."""
+        """Make a call concurrently; ``results`` doesn't include its result."""
         return self._threads.submit(call, *arguments)
 
-    def told(self) -> list[Told]:
-        """Wait for all answers."""
+    def results(self) -> list[Told]:
+        """Wait for the results of all requests."""
         return [future.result() for future in self._futures]
 
 
-def show(rows: Iterable[Told]) -> str:
-    """Describe answers for a failed assertion."""
-    return '; '.join(f'{row.marker}: {row.verdict} {row.codes}' for row in rows)
+def show(results: Iterable[Told]) -> str:
+    """Describe results for a failed assertion."""
+    return '; '.join(
+        f'{result.marker}: {result.outcome} {result.codes}'
+        for result in results
+    )
 
 
-def _guarded(marker: str, ask: Callable[[], Told]) -> Told:
+def _guarded(marker: str, send_request: Callable[[], Told]) -> Told:
     try:
-        return ask()
+        return send_request()
     except httpcore.ConnectError:
         return Told(marker, REFUSED, not_run=True)
     except (httpcore.NetworkError, httpcore.ProtocolError) as error:
         return Told(marker, BROKEN, codes=(repr(error),))
 
 
-def _told_plain(marker: str, tokens: int, answer: Answer) -> Told:
-    if answer.status != 200:
-        return _told_error(marker, answer)
-    text = answer.json()['choices'][0]['message']['content']
-    due = text.split() == words(marker, tokens)
-    return Told(marker, WHOLE if due else WRONG, answer=answer)
+def _plain_result(marker: str, tokens: int, response: Answer) -> Told:
+    if response.status != 200:
+        return _error_result(marker, response)
+    text = response.json()['choices'][0]['message']['content']
+    is_own = text.split() == words(marker, tokens)
+    return Told(marker, COMPLETE if is_own else WRONG, response=response)
 
 
-def _told_stream(marker: str, tokens: int, answer: StreamedAnswer) -> Told:
-    if answer.status != 200:
-        plain = Answer(answer.status, answer.headers, answer.rest)
-        return _told_error(marker, plain)
-    codes = tuple(error['code'] for error in answer.errors)
-    got = answer.text.split()
-    due = words(marker, tokens)
-    if answer.whole and not answer.broken:
-        verdict = WHOLE if got == due and not codes else WRONG
+def _stream_result(marker: str, tokens: int, response: StreamedAnswer) -> Told:
+    if response.status != 200:
+        plain = Answer(response.status, response.headers, response.remainder)
+        return _error_result(marker, plain)
+    codes = tuple(error['code'] for error in response.errors)
+    received = response.text.split()
+    expected = words(marker, tokens)
+    if response.complete and not response.broken:
+        outcome = COMPLETE if received == expected and not codes else WRONG
     else:
-        verdict = CUT if due[: len(got)] == got else WRONG
-    return Told(marker, verdict, codes=codes, answer=answer)
+        outcome = TRUNCATED if expected[: len(received)] == received else WRONG
+    return Told(marker, outcome, codes=codes, response=response)
 
 
-def _told_service(marker: str, answer: Answer) -> Told:
-    if answer.status != 200:
-        return _told_error(marker, answer)
-    content = answer.json()
+def _service_result(marker: str, response: Answer) -> Told:
+    if response.status != 200:
+        return _error_result(marker, response)
+    content = response.json()
     body = marker.encode() if content['method'] == 'POST' else b''
-    due = sha256(body).hexdigest() == content['body_sha256']
-    due = due and content['key'] == marker
-    return Told(marker, WHOLE if due else WRONG, answer=answer)
+    is_own = sha256(body).hexdigest() == content['body_sha256']
+    is_own = is_own and content['key'] == marker
+    return Told(marker, COMPLETE if is_own else WRONG, response=response)
 
 
-def _told_error(marker: str, answer: Answer) -> Told:
-    not_run = answer.headers.get(NOT_RUN_HEADER) == 'true'
-    return Told(marker, answer.code, not_run, answer=answer)
+def _error_result(marker: str, response: Answer) -> Told:
+    not_run = response.headers.get(NOT_RUN_HEADER) == 'true'
+    return Told(marker, response.code, not_run, response=response)
--- a/tests/support/example_settings.py
+++ b/tests/support/example_settings.py
@@ -1,4 +1,4 @@
-"""Settings as the platform writes them."""
+"""A settings file as the platform writes it, and settings for tests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def node_settings(ip='127.0.0.1', **changed):
-    """Settings of an entry in this process, on loopback."""
+    """Return settings of an entry that runs in this process, on loopback."""
     return NodeSettings(
         **{
             'instance': 'entry-1',
--- a/tests/support/shaky_platform.py
+++ b/tests/support/faulty_platform.py
@@ -1,4 +1,4 @@
-"""One entry's way to a store in memory, with faults on it."""
+"""One instance's access to a store in memory, with injected faults."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 )
 from sardinetrack.store.memory import MemoryStore
 
-_LATEST_SECONDS = 4.0
+_MAX_LATE_SECONDS = 4.0
 
 
 @dataclass
-class Odds:
-    """How often each fault meets a call, and how slow calls are."""
+class FaultRates:
+    """The probability of each fault for a call, and the latency of calls."""
 
     refused: float = 0
     throttled: float = 0
@@ -38,35 +38,39 @@
 
 
 @dataclass
-class Road:
-    """The store, and what all ways to it share."""
+class SharedStore:
+    """The store and the state that all accesses to it share."""
 
     store: MemoryStore = field(default_factory=MemoryStore)
     outage: bool = False
     calls: Counter[str] = field(default_factory=Counter)
 
 
-class ShakyPlatform(Platform):
-    """Calls on a shared store that meet faults by seeded chance."""
+class FaultyPlatform(Platform):
+    """Calls on a shared store that fail at random, from a seeded generator.
+
+    :param rng: also draws the latencies.
+    :param background: runs late writes; needed if ``late_write`` is not 0.
+    """
 
     def __init__(
         self,
-        road: Road,
-        odds: Odds,
-        chance: random.Random,
+        shared_store: SharedStore,
+        rates: FaultRates,
+        rng: random.Random,
         background: TaskGroup | None = None,
     ) -> None:
-        self.road = road
-        self.odds = odds
+        self.shared_store = shared_store
+        self.rates = rates
         self.cut = False
-        self._chance = chance
+        self._rng = rng
         self._background = background
 
     async def get(self, key: str) -> StoredObject | None:
         """Read one object."""
         await self._enter('get')
-        found = self.road.store.get(key)
-        await self._travel()
+        found = self.shared_store.store.get(key)
+        await self._delay()
         return found
 
     async def put(
@@ -80,7 +84,9 @@
 
         def write() -> StoredObject:
             now = anyio.current_time()
-            return self.road.store.put(now, key, value, expected_version)
+            return self.shared_store.store.put(
+                now, key, value, expected_version
+            )
 
         return await self._write('put', write)
 
@@ -89,14 +95,14 @@
 
         def write() -> int:
             now = anyio.current_time()
-            return self.road.store.delete(now, key, expected_version)
+            return self.shared_store.store.delete(now, key, expected_version)
 
         return await self._write('delete', write)
 
     async def list(self, prefix: str) -> Listing:
         """Read all objects under a prefix."""
         await self._enter('list')
-        return self.road.store.list(prefix)
+        return self.shared_store.store.list(prefix)
 
     async def watch(
         self,
@@ -114,38 +120,42 @@
 
     async def _write(self, kind: str, write: Callable[[], Any]) -> Any:
         await self._enter(kind)
-        if self._happens(self.odds.late_write):
+        if self._happens(self.rates.late_write):
             assert self._background is not None
             self._background.start_soon(self._write_late, write)
-            await self._travel()
-            raise UncertainError('no answer in time')
+            await self._delay()
+            raise UncertainError('no response in time')
         done = write()
-        await self._travel()
-        if self._happens(self.odds.lost_reply):
-            raise UncertainError('reply lost')
+        await self._delay()
+        if self._happens(self.rates.lost_reply):
+            raise UncertainError('response lost')
         return done
 
     async def _write_late(self, write: Callable[[], Any]) -> None:
-        share = self._chance.random() ** 4
-        await anyio.sleep(share * _LATEST_SECONDS)
+        fraction = self._rng.random() ** 4
+        await anyio.sleep(fraction * _MAX_LATE_SECONDS)
         try:
             write()
         except Exception:
-            self.road.calls['late write in vain'] += 1
+            self.shared_store.calls['late write without effect'] += 1
         else:
-            self.road.calls['late write'] += 1
+            self.shared_store.calls['late write'] += 1
 
     async def _enter(self, kind: str) -> None:
-        await self._travel()
-        if self.cut or self.road.outage or self._happens(self.odds.refused):
+        await self._delay()
+        if (
+            self.cut
+            or self.shared_store.outage
+            or self._happens(self.rates.refused)
+        ):
             raise UnavailableError('outage')
-        if self._happens(self.odds.throttled):
-            raise ThrottledError(self._chance.uniform(0, 1))
-        self.road.calls[kind] += 1
+        if self._happens(self.rates.throttled):
+            raise ThrottledError(self._rng.uniform(0, 1))
+        self.shared_store.calls[kind] += 1
 
-    async def _travel(self) -> None:
-        most_seconds = self.odds.latency_seconds
-        await anyio.sleep(self._chance.uniform(most_seconds / 2, most_seconds))
+    async def _delay(self) -> None:
+        max_seconds = self.rates.latency_seconds
+        await anyio.sleep(self._rng.uniform(max_seconds / 2, max_seconds))
 
-    def _happens(self, odds: float) -> bool:
-        return odds > 0 and self._chance.random() < odds
+    def _happens(self, probability: float) -> bool:
+        return probability > 0 and self._rng.random() < probability
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -21,7 +21,7 @@
 PEER_SECRET: Final = 'peer-secret'
 _DOMAINS: Final = ('galata', 'asparuhovo', 'kamchia')
 _READY_SECONDS: Final = 30.0
-_PAUSE_SECONDS: Final = 0.05
+_POLL_INTERVAL_SECONDS: Final = 0.05
 
 
 def eventually(
@@ -30,10 +30,11 @@
     within_seconds: float = _READY_SECONDS,
     shows: Any = None,
 ) -> Any:
-    """Poll until a check gives something true.
+    """Poll until a check returns a true value.
 
-    :param shows: describes what the check looks at, for a failure.
-    :return: what it gave; fails after the time.
+    :param within_seconds: fails with an assertion error after this time.
+    :param shows: returns the state that the check reads, for a failure.
+    :return: the check's result.
     """
     deadline = time.monotonic() + within_seconds
     while True:
@@ -45,11 +46,11 @@
             raise AssertionError(
                 f'not within {within_seconds} s: {_where(check)}: {seen}'
             )
-        time.sleep(_PAUSE_SECONDS)
+        time.sleep(_POLL_INTERVAL_SECONDS)
 
 
 def _where(check: Any) -> str:
-    """Name the line of a check."""
+    """Return the file and line of a check."""
     code = getattr(check, '__code__', None)
     if code is None:
         return repr(check)
@@ -58,10 +59,9 @@
 
 
 class Fleet:
-    """Processes by name; everything ends with the context."""
+    """Processes by name; all are stopped at the end of the context."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._stack = ExitStack()
         self.folder = Path(self._stack.enter_context(TemporaryDirectory()))
         self.processes: dict[str, Process] = {}
@@ -69,7 +69,7 @@
         self.platform = Caller(PLATFORM_TOKEN)
 
     def __enter__(self) -> Self:
-        """Hand out the fleet."""
+        """Return the fleet."""
         return self
 
     def __exit__(
@@ -78,11 +78,11 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End all processes and remove their files."""
+        """Stop all processes and remove their files."""
         self._stack.close()
 
     def start(self, name: str, command: list[str], settings: Any) -> Process:
-        """Start a command with a settings file and wait until it serves."""
+        """Start a command with a settings file; wait for its ready line."""
         path = self.folder / f'{name}.json'
         path.write_text(json.dumps(settings))
         process = Process(name, [*command, str(path)], self.folder)
@@ -91,7 +91,7 @@
         return process
 
     def keep(self, resource: AbstractContextManager[Any]) -> Any:
-        """Open something that ends with the fleet."""
+        """Enter a context that ends with the fleet."""
         return self._stack.enter_context(resource)
 
     def start_platform(self) -> None:
@@ -127,18 +127,18 @@
         listed: Callable[[str], str] = str,
         **settings: Any,
     ) -> Process:
-        """Start a side and let the platform list it.
+        """Start a side and add it to the platform's instance list.
 
         :param instance: by default named after the backend server.
-        :param listed: turns its address into the one that is listed, as of
-            a relay before it.
+        :param listed: maps the side's address to the listed one, such as that
+            of a proxy in front of it.
         """
         name = instance or f'side-{backend_server}'
         process = self.start(
             name,
             ['side'],
             {
-                **self._common(name),
+                **self._common_settings(name),
                 'pool': pool,
                 'backend_server': backend_server,
                 'backend_url': backend_url,
@@ -155,11 +155,11 @@
         return process
 
     def start_entry(self, name: str, **settings: Any) -> Process:
-        """Start an entry and let the platform list it."""
+        """Start an entry and add it to the platform's instance list."""
         process = self.start(
             name,
             ['entry'],
-            {**self._common(name), 'balancer_seconds': 0, **settings},
+            {**self._common_settings(name), 'balancer_seconds': 0, **settings},
         )
         self.list_instance(
             name,
@@ -169,7 +169,7 @@
         return process
 
     def list_instance(self, name: str, **row: Any) -> None:
-        """Tell the platform's list of an instance, as its scheduler would."""
+        """Add an instance to the platform's list, as its scheduler would."""
         content = {
             'instance': name,
             'failure_domain': self._domain(name),
@@ -178,39 +178,39 @@
             'state': 'live',
             **row,
         }
-        answer = self.platform.call(
+        response = self.platform.call(
             'PUT',
             f'{self.platform_url}/instances/{name}',
             json.dumps(content).encode(),
         )
-        assert answer.status < 300, answer
+        assert response.status < 300, response
 
     def unlist_instance(self, name: str) -> None:
-        """Let the platform's list forget an instance."""
+        """Remove an instance from the platform's list."""
         self.platform.call('DELETE', f'{self.platform_url}/instances/{name}')
 
     def faults(self, **faults: Any) -> None:
-        """Replace the platform's faults; none clears them."""
-        answer = self.platform.call(
+        """Replace the platform's faults; no faults clear them."""
+        response = self.platform.call(
             'PUT',
             f'{self.platform_url}/faults',
             json.dumps(faults).encode(),
         )
-        assert answer.status < 300, answer
+        assert response.status < 300, response
 
     def put_catalogue(self, entry: dict[str, Any]) -> Answer:
-        """Write a catalogue entry straight into the platform."""
+        """Write a catalogue object directly into the platform's store."""
         key = f'catalogue/{entry["kind"]}/{entry["name"]}'
-        answer = self.platform.call(
+        response = self.platform.call(
             'PUT',
             f'{self.platform_url}/objects/{key}',
             json.dumps(entry).encode(),
         )
-        assert answer.status < 300, answer
-        return answer
+        assert response.status < 300, response
+        return response
 
     def workspace(self, name: str, token: str, **limits: Any) -> None:
-        """Describe a workspace with one token."""
+        """Write a workspace with one token into the catalogue."""
         self.put_catalogue(
             {
                 'kind': 'workspace',
@@ -223,7 +223,7 @@
         )
 
     def model_pool(self, name: str, model: str, **limits: Any) -> None:
-        """Describe a pool of model engines."""
+        """Write a pool of model engines into the catalogue."""
         self.put_catalogue(
             {
                 'kind': 'pool',
@@ -241,7 +241,7 @@
         repeatable: list[dict[str, str]],
         **limits: Any,
     ) -> None:
-        """Describe a pool of plain services."""
+        """Write a pool of plain services into the catalogue."""
         self.put_catalogue(
             {
                 'kind': 'pool',
@@ -254,7 +254,7 @@
         )
 
     def url(self, entry: str) -> str:
-        """The callers' URL of an entry."""
+        """Return the callers' URL of an entry."""
         return str(self.processes[entry].ready['callers_url'])
 
     def operator(self, name: str, page: str) -> Answer:
@@ -263,22 +263,22 @@
         return self.platform.call('GET', f'{url}{page}')
 
     def wait_ready(self, *names: str) -> None:
-        """Wait until processes say that they are ready."""
+        """Wait until processes report that they are ready."""
         for name in names:
             eventually(partial(self._is_ready, name))
 
     def wait_linked(self, entry: str, sides: int) -> None:
         """Wait until an entry uses so many sides."""
-        eventually(lambda: self._sides_of(entry) >= sides)
+        eventually(lambda: self._count_sides(entry) >= sides)
 
     def _is_ready(self, name: str) -> bool:
         return self.operator(name, '/readyz').status == 200
 
-    def _sides_of(self, entry: str) -> int:
+    def _count_sides(self, entry: str) -> int:
         pools = self.operator(entry, '/status').json()['pools']
         return sum(len(pool['sides']) for pool in pools)
 
-    def _common(self, name: str) -> dict[str, Any]:
+    def _common_settings(self, name: str) -> dict[str, Any]:
         return {
             'instance': name,
             'failure_domain': self._domain(name),
--- a/tests/support/late_entries.py
+++ b/tests/support/late_entries.py
@@ -1,4 +1,4 @@
-"""A fleet whose entries reach each other through slow wires."""
+"""A fleet whose entries reach each other through slow proxies."""
 
 from __future__ import annotations
 
@@ -13,36 +13,39 @@
 
 
 class LateEntriesFleet(Fleet):
-    """Lists each entry at the address of a wire that delays all bytes."""
+    """Lists each entry at the address of a proxy that delays all bytes."""
 
     def __init__(self, delay_seconds: float) -> None:
-        """Prepare.
+        """Build a fleet without processes.
 
-        :param delay_seconds: of each direction.
+        :param delay_seconds: delay of each direction.
         """
         super().__init__()
         self._delay_seconds = delay_seconds
-        self._opened: Wires = self.keep(Wires())
-        self.entry_wires: dict[str, Wire] = {}
+        self._open_proxies: Wires = self.keep(Wires())
+        self.entry_proxies: dict[str, Wire] = {}
 
     def list_instance(self, name: str, **row: Any) -> None:
-        """List an instance; an entry behind its wire."""
+        """List an instance; an entry is listed at its proxy."""
         if row['role'] == _ENTRY:
-            row['address'] = self._through(name, row['address'])
+            row['address'] = self._open_proxy(name, row['address'])
         super().list_instance(name, **row)
 
-    def _through(self, name: str, address: str) -> str:
-        wire = self._opened.to(address)
-        wire.delay(self._delay_seconds)
-        self.entry_wires[name] = wire
-        return wire.address
+    def _open_proxy(self, name: str, address: str) -> str:
+        proxy = self._open_proxies.to(address)
+        proxy.delay(self._delay_seconds)
+        self.entry_proxies[name] = proxy
+        return proxy.address
 
 
 class LateEntriesScene(Scene):
-    """A scene around such a fleet."""
+    """A scene with such a fleet."""
 
     def __init__(self, plan: Plan, delay_seconds: float) -> None:
-        """Prepare; ``start`` starts it."""
+        """Build a scene; ``start`` starts its processes.
+
+        :param delay_seconds: delay of each direction between entries.
+        """
         super().__init__(plan)
         self.fleet.__exit__(None, None, None)
         self.fleet = LateEntriesFleet(delay_seconds)
--- a/tests/support/object_store.py
+++ b/tests/support/object_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store: objects, revisions, watches, faults."""
+"""A fake of the platform's store: objects, revisions, watches, faults."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from contextlib import suppress
 from urllib.parse import parse_qs, urlsplit
 
-_ENDS = (
+_DISCONNECTED = (
     asyncio.IncompleteReadError,
     asyncio.CancelledError,
     ConnectionError,
 )
-_PAGE = 3
-"""Items of a page; small, so that tests meet more than one."""
+_PAGE_SIZE = 3
+"""Items of a page; few, so that tests read more than one page."""
 
 
 class ObjectStore:
-    """Speaks the published protocol on loopback; faults are set by tests."""
+    """Serves the published protocol on loopback; tests inject faults."""
 
     def __init__(self):
         self.port = 0
@@ -28,7 +28,7 @@
         self._objects = {}
         self._raw = {}
         self._events = []
-        self._oldest = 0
+        self._compacted_revision = 0
         self._changed = asyncio.Event()
         self._server = None
 
@@ -44,11 +44,11 @@
         self._server.close()
 
     def put_raw(self, kind, texts):
-        """Let texts of another writer lie among the objects of a kind."""
+        """Add texts of another writer to the listed objects of a kind."""
         self._raw[f'/v1/objects/{kind}'] = texts
 
     def put(self, kind, name, spec, revision=None):
-        """Write as the operator or a server does, past every fault."""
+        """Write as the operator or a server does, unaffected by faults."""
         self.revision += 1
         stored = {
             'metadata': {
@@ -62,28 +62,28 @@
             'status': None,
         }
         self._objects[kind, name] = stored
-        self._tell(kind, stored, removed=False)
+        self._publish(kind, stored, removed=False)
         return stored
 
     def remove(self, kind, name):
-        """Remove as a lapsed entry is removed."""
+        """Remove an object as an expired one is removed."""
         self.revision += 1
         stored = self._objects.pop((kind, name))
         stored['metadata']['revision'] = self.revision
-        self._tell(kind, stored, removed=True)
+        self._publish(kind, stored, removed=True)
 
     def drop(self, kind, name):
-        """Remove if it is there."""
+        """Remove an object if it exists."""
         if (kind, name) in self._objects:
             self.remove(kind, name)
 
     def compact(self):
-        """Forget the history."""
-        self._oldest = self.revision
+        """Drop the history of changes."""
+        self._compacted_revision = self.revision
         self._events.clear()
         self._wake()
 
-    def _tell(self, kind, stored, *, removed):
+    def _publish(self, kind, stored, *, removed):
         event = {'object': stored, 'removed': removed}
         self._events.append((self.revision, kind, event))
         self._wake()
@@ -93,7 +93,7 @@
         self._changed = asyncio.Event()
 
     async def _serve(self, reader, writer):
-        with suppress(*_ENDS):
+        with suppress(*_DISCONNECTED):
             while True:
                 head = (await reader.readuntil(b'\r\n\r\n')).decode()
                 method, target, _ = head.split(' ', 2)
@@ -102,10 +102,10 @@
                 )
                 body = await reader.readexactly(length)
                 self.calls.append((method, target))
-                status, answer = await self._answer(method, target, body)
-                if self.fault == 'silent' or self._loses(method):
+                status, content = await self._respond(method, target, body)
+                if self.fault == 'silent' or self._loses_response(method):
                     await asyncio.sleep(60)
-                payload = self._with_raw(target, json.dumps(answer).encode())
+                payload = self._with_raw(target, json.dumps(content).encode())
                 writer.write(
                     b'HTTP/1.1 %d Answer\r\nContent-Length: %d\r\n\r\n%b'
                     % (status, len(payload), payload),
@@ -114,14 +114,14 @@
         writer.close()
 
     def _with_raw(self, target, payload):
-        """Put the texts of another writer into the first page of a kind."""
+        """Add the texts of another writer to the first page of a kind."""
         raw = b''.join(b'%b, ' % text for text in self._raw.get(target, ()))
         return payload.replace(b'"items": [', b'"items": [%b' % raw, 1)
 
-    def _loses(self, method):
+    def _loses_response(self, method):
         return self.writes_lost and method != 'GET'
 
-    async def _answer(self, method, target, body):
+    async def _respond(self, method, target, body):
         if self.fault == 'busy':
             return 503, {}
         if self.fault == 'many':
@@ -158,23 +158,29 @@
             if one == kind and name > after
         ]
         return {
-            'items': found[:_PAGE],
-            'truncated': len(found) > _PAGE,
+            'items': found[:_PAGE_SIZE],
+            'truncated': len(found) > _PAGE_SIZE,
             'asOf': self.revision,
         }
 
     async def _watch(self, kind, query):
         since = int(query['watch'])
-        ends = asyncio.timeout(int(query['waitMs']) / 1000)
+        deadline = asyncio.timeout(int(query['waitMs']) / 1000)
         with suppress(TimeoutError):
-            async with ends:
-                while not self._since(kind, since) and since >= self._oldest:
+            async with deadline:
+                while (
+                    not self._events_since(kind, since)
+                    and since >= self._compacted_revision
+                ):
                     await self._changed.wait()
-        if since < self._oldest:
+        if since < self._compacted_revision:
             return 410, {}
-        return 200, {'events': self._since(kind, since), 'asOf': self.revision}
+        return 200, {
+            'events': self._events_since(kind, since),
+            'asOf': self.revision,
+        }
 
-    def _since(self, kind, since):
+    def _events_since(self, kind, since):
         return [
             event
             for revision, one, event in self._events
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -1,4 +1,4 @@
-"""One started process of the system, and its ready line."""
+"""A process of the system, and the ready line that it prints."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class ProcessFailedError(Exception):
-    """A process ended or kept silent before it was ready."""
+    """A process ended, or timed out, before it was ready."""
 
 
 class Process:
     """A ``sardinetrack`` command that prints one JSON line when ready."""
 
     def __init__(self, name: str, arguments: list[str], folder: Path) -> None:
-        """Start it.
+        """Start the process.
 
-        :param name: for the log file.
-        :param arguments: the words after ``sardinetrack``.
-        :param folder: where its log goes.
+        :param name: names the log file.
+        :param arguments: command-line arguments of ``sardinetrack``.
+        :param folder: receives the log file.
         """
         self.name = name
         self.log_path = folder / f'{name}.log'
@@ -43,7 +43,7 @@
         self.ready: dict[str, Any] = {}
 
     def __enter__(self) -> Self:
-        """Hand out the process."""
+        """Return the process."""
         return self
 
     def __exit__(
@@ -52,7 +52,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Kill what still runs."""
+        """Kill the process if it still runs."""
         self.kill()
         self._log.close()
 
@@ -67,9 +67,9 @@
         return self._popen.poll() is None
 
     def wait_ready(self) -> dict[str, Any]:
-        """Read the ready line.
+        """Wait for the ready line and read it.
 
-        :return: what it says.
+        :return: its content.
         """
         stdout = self._popen.stdout
         assert stdout is not None
@@ -85,31 +85,31 @@
         raise ProcessFailedError(f'{self.name}: {self.log_tail()}')
 
     def log_tail(self, characters: int = 3000) -> str:
-        """The end of its log."""
+        """Return the end of its log."""
         self._log.flush()
         return self.log_path.read_text(errors='replace')[-characters:]
 
     def freeze(self) -> None:
-        """Pause it, as a stalled machine would."""
+        """Suspend it, as on a stalled machine."""
         os.kill(self.pid, signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Resume it."""
         os.kill(self.pid, signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to drain and end."""
+        """Send SIGTERM: it drains and exits."""
         self._popen.terminate()
 
     def wait(self) -> int:
-        """Wait for its end.
+        """Wait until it exits.
 
         :return: the exit code.
         """
         return self._popen.wait(EXIT_SECONDS)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill it with SIGKILL."""
         if self.running:
             self._popen.kill()
             self._popen.send_signal(signal.SIGCONT)
--- a/tests/support/relay_link.py
+++ b/tests/support/relay_link.py
@@ -1,4 +1,4 @@
-"""A relay before the platform, driven from a test's own thread."""
+"""A TCP proxy in front of the platform, controlled from a test's thread."""
 
 from __future__ import annotations
 
@@ -13,17 +13,20 @@
 
 
 class RelayLink:
-    """One process's way to the platform, which can be cut or frozen."""
+    """A network path to a target that can be cut, frozen or slowed."""
 
     def __init__(self, target_url: str) -> None:
-        """Remember the target."""
+        """Build a proxy that is not open yet.
+
+        :param target_url: where it forwards connections to.
+        """
         self._target = urlsplit(target_url)
         self._stack = ExitStack()
 
     def __enter__(self) -> Self:
-        """Start relaying."""
+        """Open the proxy."""
         self._portal = self._stack.enter_context(start_blocking_portal())
-        self._relay = self._stack.enter_context(
+        self._proxy = self._stack.enter_context(
             self._portal.wrap_async_context_manager(
                 relaying(str(self._target.hostname), self._target.port or 0),
             ),
@@ -36,38 +39,38 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Stop relaying."""
+        """Close the proxy."""
         self._stack.close()
 
     @property
     def url(self) -> str:
-        """The URL to use in place of the target's."""
-        return f'http://127.0.0.1:{self._relay.port}'
+        """The URL of the proxy, to use in place of the target's."""
+        return f'http://127.0.0.1:{self._proxy.port}'
 
     def cut(self) -> None:
-        """Close all connections and refuse others."""
-        self._portal.call(self._relay.cut)
+        """Close all connections and refuse new ones."""
+        self._portal.call(self._proxy.cut)
 
     def restore(self) -> None:
-        """Take connections again."""
-        self._portal.call(self._relay.restore)
+        """Accept connections again."""
+        self._portal.call(self._proxy.restore)
 
-    def lose_answers(self) -> None:
-        """Lose what comes from the target; connections stay open."""
-        self._portal.call(self._relay.drop, Direction.TO_CALLER)
+    def drop_responses(self) -> None:
+        """Drop bytes from the target; connections stay open."""
+        self._portal.call(self._proxy.drop, Direction.TO_CALLER)
 
-    def lose_nothing(self) -> None:
-        """Lose nothing from now on; what was lost stays lost."""
-        self._portal.call(self._relay.stop_dropping)
+    def forward_responses(self) -> None:
+        """Drop no more bytes; those dropped before stay lost."""
+        self._portal.call(self._proxy.stop_dropping)
 
     def delay(self, seconds: float) -> None:
-        """Let bytes take so long, each way."""
-        self._relay.delay_seconds = seconds
+        """Delay all bytes by so many seconds in each direction."""
+        self._proxy.delay_seconds = seconds
 
     def freeze(self) -> None:
-        """Hold all bytes; connections stay open and silent."""
-        self._portal.call(self._relay.freeze)
+        """Withhold all bytes; connections stay open."""
+        self._portal.call(self._proxy.freeze)
 
     def thaw(self) -> None:
-        """Let the held bytes go on."""
-        self._portal.call(self._relay.thaw)
+        """Forward the withheld bytes and go on."""
+        self._portal.call(self._proxy.thaw)
--- a/tests/support/relay_servers.py
+++ b/tests/support/relay_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers that follow a script, one act for each request."""
+"""Scripted backend servers: one act for each request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 STAMP = 'X-Sardinetrack-Server-Stamp: s1'
 EVENTS = 6
-_ENDS = (
+_DISCONNECTED = (
     asyncio.IncompleteReadError,
     asyncio.CancelledError,
     ConnectionError,
@@ -16,7 +16,10 @@
 
 
 class ScriptedServer:
-    """Takes one act for each request; answers well when there is none."""
+    """Performs one act for each request; responds normally if none is left.
+
+    An act is the name of a method without its underscore.
+    """
 
     def __init__(self, instance):
         self.instance = instance
@@ -45,7 +48,7 @@
 
     async def _serve(self, reader, writer):
         self.writers.add(writer)
-        with suppress(*_ENDS):
+        with suppress(*_DISCONNECTED):
             while True:
                 head = await reader.readuntil(b'\r\n\r\n')
                 fields = _fields(head)
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -1,4 +1,4 @@
-"""An entry of the relay in this process, before scripted servers."""
+"""An entry of the relay in this process, in front of scripted servers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 _IP = '127.0.0.1'
 
 
-class _Shape(NamedTuple):
+class _RouteSpec(NamedTuple):
     name: str
     kind: RouteKind
     resumable: bool = False
@@ -40,32 +40,32 @@
         return f'/{self.name}/'
 
 
-_SHAPES = (
-    _Shape('stream', RouteKind.STREAMING, resumable=True, servers=2),
-    _Shape('once-stream', RouteKind.STREAMING),
-    _Shape('fetch', RouteKind.IDEMPOTENT, servers=2),
-    _Shape('report', RouteKind.NON_IDEMPOTENT),
+_ROUTES = (
+    _RouteSpec('stream', RouteKind.STREAMING, resumable=True, servers=2),
+    _RouteSpec('once-stream', RouteKind.STREAMING),
+    _RouteSpec('fetch', RouteKind.IDEMPOTENT, servers=2),
+    _RouteSpec('report', RouteKind.NON_IDEMPOTENT),
 )
 
 
 def configuration(version=1, timeout_seconds=3.0, keys=(KEY,)):
     routes = tuple(
         Route(
-            name=shape.name,
+            name=spec.name,
             host='h.example',
-            path_prefix=shape.path,
-            kind=shape.kind,
-            pools=(WeightedPool(_pool_of(shape.kind), 1),),
-            max_servers=shape.servers,
+            path_prefix=spec.path,
+            kind=spec.kind,
+            pools=(WeightedPool(_pool_of(spec.kind), 1),),
+            max_servers=spec.servers,
             timeout_seconds=timeout_seconds,
             first_answer_seconds=1,
             event_gap_seconds=0.2,
             priority=1,
-            anonymous=shape.kind is not RouteKind.STREAMING,
-            resumable=shape.resumable,
-            by_prompt=shape.kind is RouteKind.STREAMING,
+            anonymous=spec.kind is not RouteKind.STREAMING,
+            resumable=spec.resumable,
+            by_prompt=spec.kind is RouteKind.STREAMING,
         )
-        for shape in _SHAPES
+        for spec in _ROUTES
     )
     return Configuration(
         version=version,
@@ -84,15 +84,15 @@
 
 
 class Reply:
-    """What a caller received."""
+    """A response that a caller received."""
 
     def __init__(self, raw):
-        halves = raw.partition(b'\r\n\r\n')
-        self.body = halves[2]
-        self.lines = halves[0].decode().lower().split('\r\n')
+        parts = raw.partition(b'\r\n\r\n')
+        self.body = parts[2]
+        self.lines = parts[0].decode().lower().split('\r\n')
         self.raw = raw
-        words = self.lines[0].split(' ')
-        self.status = int(words[1]) if len(words) > 1 else 0
+        status_line = self.lines[0].split(' ')
+        self.status = int(status_line[1]) if len(status_line) > 1 else 0
         self.retry_after = next(
             (
                 float(line.split(': ')[1])
@@ -113,7 +113,7 @@
 
 
 class RelayWorld:
-    """Owns a loop, an entry and its servers."""
+    """An entry and its servers, on an event loop of their own."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -195,10 +195,10 @@
 
     def request(self, name, headers=(), body=b'', closes=True, target=''):
         self._number += 1
-        shape = next(one for one in _SHAPES if one.name == name)
-        method = 'GET' if shape.kind is RouteKind.IDEMPOTENT else 'POST'
+        spec = next(one for one in _ROUTES if one.name == name)
+        method = 'GET' if spec.kind is RouteKind.IDEMPOTENT else 'POST'
         lines = [
-            f'{method} {shape.path}{target or self._number} HTTP/1.1',
+            f'{method} {spec.path}{target or self._number} HTTP/1.1',
             'Host: h.example',
             f'X-Sardinetrack-Request-Id: r{self._number}',
             f'Content-Length: {len(body)}',
@@ -206,7 +206,7 @@
         ]
         if closes:
             lines.append('Connection: close')
-        if shape.kind is RouteKind.STREAMING:
+        if spec.kind is RouteKind.STREAMING:
             lines.extend(
                 (
                     'X-Sardinetrack-Token-Count: 100,20',
--- a/tests/support/scene.py
+++ b/tests/support/scene.py
@@ -1,4 +1,4 @@
-"""A fleet in which things fail, with all that the tests need around it."""
+"""A fleet for failure tests, with proxies, stand-ins and callers."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from functools import partial
 from typing import Any, Final
 
-from support.caller import Caller, KeepingCaller
-from support.crowd import Crowd
+from support.caller import Caller, KeepAliveCaller
+from support.crowd import CallerPool
 from support.fleet import Fleet, eventually
 from support.stand_ins import StandIns
 from support.standard import (
@@ -22,7 +22,7 @@
 from support.wires import Wire, Wires
 
 SMALL_TOKEN: Final = 'skiff-token'
-_PLENTY: Final = 10_000
+_HIGH_LIMIT: Final = 10_000
 
 
 @dataclass(frozen=True)
@@ -32,42 +32,42 @@
     engines: int = 0
     services: int = 0
     slots: int = 4
-    """Of each backend server."""
-    wired: bool = False
-    """A relay stands before each side."""
-    backend_wired: bool = False
-    """A relay stands before each backend server."""
+    """Slots of each backend server."""
+    sides_proxied: bool = False
+    """Whether entries reach each side through a TCP proxy."""
+    backends_proxied: bool = False
+    """Whether each side reaches its backend server through a TCP proxy."""
     max_run_seconds: float = 60.0
     engine: dict[str, Any] = field(default_factory=dict)
     entry: dict[str, Any] = field(default_factory=dict)
 
     @property
     def servers(self) -> list[tuple[str, str]]:
-        """Pool and name of each backend server."""
+        """The pool and name of each backend server."""
         engines = [(MODEL, f'engine-{one}') for one in range(self.engines)]
         services = [(SERVICE, f'chart-{one}') for one in range(self.services)]
         return engines + services
 
 
 class Scene:
-    """A running fleet with wires, stand-ins and callers."""
+    """A running fleet with proxies, stand-ins and callers."""
 
     def __init__(self, plan: Plan) -> None:
-        """Prepare; ``start`` starts it."""
+        """Build a scene; ``start`` starts its processes."""
         self.plan = plan
         self.fleet = Fleet()
-        self.wires: dict[str, Wire] = {}
+        self.proxies: dict[str, Wire] = {}
         self.stand_ins = StandIns(self.fleet)
         self.caller = Caller(TOKEN)
-        self.small = Caller(SMALL_TOKEN)
-        self.keeping = KeepingCaller(TOKEN)
-        self.crowd: Crowd
-        self._opened: Wires
+        self.small_caller = Caller(SMALL_TOKEN)
+        self.keep_alive_caller = KeepAliveCaller(TOKEN)
+        self.caller_pool: CallerPool
+        self._open_proxies: Wires
 
     def start(self) -> None:
         """Start all processes and wait until they are linked."""
-        self._opened = self.fleet.keep(Wires())
-        self.crowd = self.fleet.keep(Crowd())
+        self._open_proxies = self.fleet.keep(Wires())
+        self.caller_pool = self.fleet.keep(CallerPool())
         urls = side_by_side(
             self.fleet.start_platform,
             *(partial(self._start_server, *row) for row in self.plan.servers),
@@ -83,7 +83,7 @@
         )
         self.fleet.wait_ready(*daemons(self.fleet))
         for entry in ENTRIES:
-            self.wait_used(entry, len(self.plan.servers))
+            self.wait_in_use(entry, len(self.plan.servers))
         self.wait_linked()
 
     def start_side(
@@ -93,36 +93,36 @@
         url: str,
         **settings: Any,
     ) -> None:
-        """Start a side, behind a wire if the plan says so."""
-        if self.plan.backend_wired:
-            url = self._through(server)(url.removeprefix('http://'))
+        """Start a side, with the proxies that the plan asks for."""
+        if self.plan.backends_proxied:
+            url = self._proxy_opener(server)(url.removeprefix('http://'))
             url = f'http://{url}'
         listed: Callable[[str], str] = str
-        if self.plan.wired:
-            listed = self._through(f'side-{server}')
+        if self.plan.sides_proxied:
+            listed = self._proxy_opener(f'side-{server}')
         self.fleet.start_side(pool, server, url, listed=listed, **settings)
 
     def restart_side(self, pool: str, server: str, **settings: Any) -> None:
-        """Start a side anew behind the wires of the one before."""
+        """Start a side again behind the proxies of the former process."""
         name = f'side-{server}'
         backend = self.fleet.processes[server].ready['url']
-        if self.plan.backend_wired:
-            backend = f'http://{self.wires[server].address}'
+        if self.plan.backends_proxied:
+            backend = f'http://{self.proxies[server].address}'
         listed = str
-        if self.plan.wired:
-            listed = partial(_constant, self.wires[name].address)
+        if self.plan.sides_proxied:
+            listed = partial(_constant, self.proxies[name].address)
         self.fleet.start_side(pool, server, backend, listed=listed, **settings)
 
-    def wait_used(self, entry: str, sides: int) -> None:
-        """Wait until an entry knows of free slots at so many sides."""
-        eventually(lambda: len(self.used(entry)) == sides)
+    def wait_in_use(self, entry: str, sides: int) -> None:
+        """Wait until an entry uses so many sides that offer slots."""
+        eventually(lambda: len(self.used_servers(entry)) == sides)
 
     def wait_linked(self) -> None:
         """Wait until the entries are linked with each other."""
         eventually(self._entries_linked)
 
-    def used(self, entry: str) -> list[str]:
-        """Name the backend servers that get work of an entry."""
+    def used_servers(self, entry: str) -> list[str]:
+        """Return the backend servers that an entry sends requests to."""
         pools = self.fleet.operator(entry, '/status').json()['pools']
         return [
             side['backend_server']
@@ -132,7 +132,7 @@
         ]
 
     def entry_urls(self) -> list[str]:
-        """Where callers reach the entries that live."""
+        """Return the callers' URLs of the entries that run."""
         return [
             self.fleet.url(name)
             for name in ENTRIES
@@ -140,12 +140,12 @@
         ]
 
     def load(self, server: str) -> dict[str, Any]:
-        """Read what a side tells of its slots."""
-        answer = self.fleet.operator(f'side-{server}', '/status')
-        return dict(answer.json()['load'])
+        """Read the load that a side reports on its status page."""
+        response = self.fleet.operator(f'side-{server}', '/status')
+        return dict(response.json()['load'])
 
-    def living(self) -> list[str]:
-        """Name the backend servers that run and whose sides run."""
+    def running_servers(self) -> list[str]:
+        """Return the backend servers that run and whose sides run."""
         processes = self.fleet.processes
         return [
             server
@@ -160,12 +160,12 @@
             for entry in ENTRIES
         )
 
-    def _through(self, name: str) -> Callable[[str], str]:
-        def open_wire(address: str) -> str:
-            self.wires[name] = self._opened.to(address)
-            return self.wires[name].address
+    def _proxy_opener(self, name: str) -> Callable[[str], str]:
+        def open_proxy(address: str) -> str:
+            self.proxies[name] = self._open_proxies.to(address)
+            return self.proxies[name].address
 
-        return open_wire
+        return open_proxy
 
     def _start_server(self, pool: str, name: str) -> str:
         if pool == SERVICE:
@@ -173,9 +173,9 @@
         return self.fleet.start_engine(name, model=MODEL, **self.plan.engine)
 
     def _fill_catalogue(self) -> None:
-        plenty = {'concurrency': _PLENTY, 'waiting': _PLENTY}
+        high_limits = {'concurrency': _HIGH_LIMIT, 'waiting': _HIGH_LIMIT}
         self.fleet.workspace(
-            'pilot', TOKEN, **plenty, rate_per_second=float(_PLENTY)
+            'pilot', TOKEN, **high_limits, rate_per_second=float(_HIGH_LIMIT)
         )
         self.fleet.workspace('skiff', SMALL_TOKEN)
         limits = {
--- a/tests/support/slots.py
+++ b/tests/support/slots.py
@@ -1,4 +1,4 @@
-"""Whether all slots are there: idle when nothing runs, full under a flood."""
+"""Checks that no slot is lost: all free when idle, all in use under a flood."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from support.caller import Caller
 from support.crowd import (
-    WHOLE,
-    Crowd,
+    COMPLETE,
+    CallerPool,
     Told,
     ask_plain,
     post_service,
@@ -19,7 +19,7 @@
 from support.fleet import eventually
 from support.scene import Scene
 
-Ask = Callable[[Caller, str, str], Told]
+SendRequest = Callable[[Caller, str, str], Told]
 
 _ROUNDS: Final = 4
 _FLOOD_TOKENS: Final = 60
@@ -27,20 +27,20 @@
 
 
 def check_slots(scene: Scene, *servers: str) -> None:
-    """Check the slots of some backend servers, or of all that live.
+    """Check the slots of some backend servers, or of all that run.
 
-    Nothing runs: all slots are free, and no entry counts a running request.
-    Then a flood fills every slot at once, while a request of a workspace
-    that asks for little is served before the flood is over.
+    While nothing runs, all slots are free, and no entry counts a running
+    request. Then a flood occupies all slots at the same time, and a request of
+    a workspace that sends little is served before the flood is over.
     """
-    names = list(servers or scene.living())
+    names = list(servers or scene.running_servers())
     check_idle(scene, names)
     engines = [name for name in names if name.startswith('engine')]
     services = [name for name in names if name.startswith('chart')]
     if engines:
-        _check_flood(scene, engines, _ask_engine)
+        _check_flood(scene, engines, _send_completion)
     if services:
-        _check_flood(scene, services, _ask_service)
+        _check_flood(scene, services, _send_service_call)
 
 
 def check_idle(scene: Scene, names: list[str]) -> None:
@@ -52,32 +52,37 @@
     eventually(lambda: _entries_idle(scene), shows=lambda: _pools(scene))
 
 
-def _check_flood(scene: Scene, names: list[str], ask: Ask) -> None:
+def _check_flood(
+    scene: Scene,
+    names: list[str],
+    send_request: SendRequest,
+) -> None:
     urls = cycle(scene.entry_urls())
-    with Crowd() as crowd:
+    with CallerPool() as callers:
         flood = _Flood(
-            lambda number: crowd.send(
-                ask, scene.caller, next(urls), f'flood-{number}'
+            lambda number: callers.send(
+                send_request, scene.caller, next(urls), f'flood-{number}'
             ),
             _ROUNDS * scene.plan.slots * len(names),
         )
         eventually(
             lambda: (
-                flood.goes_on() and all(_full(scene, name) for name in names)
+                flood.refill() and all(_full(scene, name) for name in names)
             ),
             shows=lambda: {name: scene.load(name) for name in names},
         )
-        small = ask(scene.small, next(urls), 'small')
-        assert small.verdict == WHOLE, small
-        assert flood.is_under_way, 'the flood was served first'
-        _all_whole(flood.told())
+        small = send_request(scene.small_caller, next(urls), 'small')
+        assert small.outcome == COMPLETE, small
+        assert flood.in_progress, 'the flood was served first'
+        _check_all_complete(flood.results())
 
 
 class _Flood:
-    """Requests of which so many are always under way.
+    """Keeps a number of requests in progress.
 
-    A flood of a set length can be over before all slots were seen full at
-    once: on a crowded machine a side is not scheduled for seconds.
+    A flood of a fixed number of requests can end before all slots were seen
+    in use at the same time: on a busy machine a side may not be scheduled for
+    seconds.
     """
 
     def __init__(self, send: Callable[[int], Future[Told]], size: int) -> None:
@@ -85,29 +90,29 @@
         self._size = size
         self._futures = [send(number) for number in range(size)]
 
-    def goes_on(self) -> bool:
-        """Replace those that were answered."""
-        answered = sum(future.done() for future in self._futures)
-        missing = self._size - (len(self._futures) - answered)
+    def refill(self) -> bool:
+        """Send a new request for each that has ended; always true."""
+        ended = sum(future.done() for future in self._futures)
+        missing = self._size - (len(self._futures) - ended)
         for _ in range(missing):
             self._futures.append(self._send(len(self._futures)))
         return True
 
     @property
-    def is_under_way(self) -> bool:
-        """Whether some are not answered yet."""
+    def in_progress(self) -> bool:
+        """Whether some requests have not ended."""
         return not all(future.done() for future in self._futures)
 
-    def told(self) -> list[Told]:
-        """Wait for all answers."""
+    def results(self) -> list[Told]:
+        """Wait for all results."""
         return [future.result() for future in self._futures]
 
 
-def _ask_engine(caller: Caller, url: str, marker: str) -> Told:
+def _send_completion(caller: Caller, url: str, marker: str) -> Told:
     return ask_plain(caller, url, marker, _FLOOD_TOKENS)
 
 
-def _ask_service(caller: Caller, url: str, marker: str) -> Told:
+def _send_service_call(caller: Caller, url: str, marker: str) -> Told:
     return post_service(caller, url, marker, _FLOOD_QUERY)
 
 
@@ -135,6 +140,6 @@
     }
 
 
-def _all_whole(rows: list[Told]) -> None:
-    failed = [row for row in rows if row.verdict != WHOLE]
+def _check_all_complete(results: list[Told]) -> None:
+    failed = [result for result in results if result.outcome != COMPLETE]
     assert not failed, show(failed)
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -1,4 +1,4 @@
-"""What a stand-in ran, and what it does wrong."""
+"""Execution counts and injected faults of stand-ins."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from support.caller import Answer, Caller
 from support.fleet import Fleet, eventually
 
-Rows = dict[str, dict[str, int]]
+ExecutionCounts = dict[str, dict[str, int]]
 
 _CALLER = Caller('nobody')
 
@@ -20,18 +20,19 @@
     """The engines and services of a fleet."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Read the fleet's processes."""
         self._fleet = fleet
-        self._last: dict[str, Rows] = {}
+        self._last_counts: dict[str, ExecutionCounts] = {}
 
-    def executions(self, name: str) -> Rows:
-        """Read a stand-in's counts; of a dead one, the last that were read."""
+    def executions(self, name: str) -> ExecutionCounts:
+        """Read a stand-in's counts; if it has stopped, those read last."""
         if self._fleet.processes[name].running:
-            self._last[name] = eventually(lambda: self._read(name)).json()
-        return self._last.get(name, {})
+            self._last_counts[name] = eventually(
+                lambda: self._read(name)
+            ).json()
+        return self._last_counts.get(name, {})
 
     def started(self, marker: str, *names: str) -> int:
-        """Count the executions of a marker at some stand-ins, or at all."""
+        """Count executions of a marker at some stand-ins, or at all."""
         return sum(
             self.executions(name).get(marker, {}).get('started', 0)
             for name in names or self.names()
@@ -41,8 +42,8 @@
         """Count the executions of each marker at all stand-ins."""
         counts: Counter[str] = Counter()
         for name in self.names():
-            for marker, row in self.executions(name).items():
-                counts[marker] += row['started']
+            for marker, counted in self.executions(name).items():
+                counts[marker] += counted['started']
         return counts
 
     def total(self, name: str) -> int:
@@ -51,14 +52,14 @@
         return sum(row['started'] for row in rows)
 
     def fault(self, *names: str, **faults: Any) -> None:
-        """Replace the faults of some stand-ins; none clears them."""
+        """Replace the faults of some stand-ins; no faults clear them."""
         body = json.dumps(faults).encode()
         for name in names:
-            answer = _CALLER.call('PUT', f'{self._url(name)}/faults', body)
-            assert answer.status == 204, answer
+            response = _CALLER.call('PUT', f'{self._url(name)}/faults', body)
+            assert response.status == 204, response
 
     def names(self) -> list[str]:
-        """Name all engines and services."""
+        """Return the names of all engines and services."""
         return [
             name
             for name, process in self._fleet.processes.items()
@@ -69,7 +70,7 @@
         try:
             return _CALLER.call('GET', f'{self._url(name)}/executions')
         except (httpcore.NetworkError, httpcore.ProtocolError):
-            return None  # It comes back from a crash in a moment.
+            return None  # It restarts after a crash; the read is tried again.
 
     def _url(self, name: str) -> str:
         return f'{self._fleet.processes[name].ready["url"]}/standin'
--- a/tests/support/standard.py
+++ b/tests/support/standard.py
@@ -1,4 +1,4 @@
-"""The fleet that most failure tests use, started side by side."""
+"""The fleet that most system tests use; its processes start concurrently."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 SERVICE: Final = 'chart-api'
 TOKEN: Final = 'pilot-token'
 ENTRIES: Final = ('entry-a', 'entry-b')
-_AT_ONCE: Final = 6
+_MAX_CONCURRENT: Final = 6
 
 
 def side_by_side(*calls: Callable[[], Any]) -> list[Any]:
-    """Make calls at once and wait for all.
+    """Make calls concurrently and wait for all.
 
-    :return: what they gave, in order.
+    :return: their results, in order.
     """
-    with ThreadPoolExecutor(_AT_ONCE) as threads:
+    with ThreadPoolExecutor(_MAX_CONCURRENT) as threads:
         futures = [threads.submit(call) for call in calls]
         return [future.result() for future in futures]
 
@@ -36,10 +36,12 @@
     """Start a platform, engines, services, their sides and two entries."""
     names = [f'engine-{number}' for number in range(engines)]
     service_names = [f'chart-{number}' for number in range(services)]
-    engine = partial(fleet.start_engine, model=MODEL, **engine_settings)
+    start_named_engine = partial(
+        fleet.start_engine, model=MODEL, **engine_settings
+    )
     urls = side_by_side(
         fleet.start_platform,
-        *(partial(engine, name) for name in names),
+        *(partial(start_named_engine, name) for name in names),
         *(partial(fleet.start_service, name) for name in service_names),
     )[1:]
     fleet.workspace('pilot', TOKEN)
@@ -61,7 +63,7 @@
 
 
 def daemons(fleet: Fleet) -> list[str]:
-    """Name the system's own processes."""
+    """Return the names of the entries and sides."""
     return [
         name
         for name, process in fleet.processes.items()
@@ -70,7 +72,7 @@
 
 
 def completion(marker: str, tokens: int = 5, text: str = '') -> dict[str, Any]:
-    """Build a request whose answer is known beforehand."""
+    """Build a request whose response is known beforehand."""
     content = f'draft a bulletin {text} id={marker} tokens={tokens}'
     return {
         'model': MODEL,
@@ -79,5 +81,5 @@
 
 
 def words(marker: str, tokens: int = 5) -> list[str]:
-    """Say which words the answer to ``completion`` has."""
+    """Return the words of the response to ``completion``."""
     return [f'w{number}-{marker}' for number in range(tokens)]
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -1,7 +1,7 @@
-"""Entries and sides that share a view of a store, on virtual time.
+"""Entries and sides that share views of a store, on virtual time.
 
-Sources, watchers, feeds and views are the product's own; wires are queues
-with a delay, and the store is a table with waiting watches.
+Sources, watchers, feeds and views are the real ones. Links only delay their
+messages, and the store is a dictionary with watches that wait for changes.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 CONFIG = 'config/'
 SERVERS = 'servers/'
-_ANSWER_SECONDS = 0.004
-_WIRE_SECONDS = 0.0014
-_WAITS = ((CONFIG, WATCH_SECONDS), (SERVERS, SLOW_WATCH_SECONDS))
-_OWN_WAITS = ((CONFIG, CONFIRM_SECONDS), (SERVERS, CALM_SECONDS))
+_RESPONSE_SECONDS = 0.004
+_LINK_DELAY_SECONDS = 0.0014
+_SIDE_WATCH_SECONDS = ((CONFIG, WATCH_SECONDS), (SERVERS, SLOW_WATCH_SECONDS))
+_DIRECT_WATCH_SECONDS = ((CONFIG, CONFIRM_SECONDS), (SERVERS, CALM_SECONDS))
 
 
-class Table:
-    """The store itself."""
+class SimulatedStore:
+    """The store: its objects, its revision and the calls that it counts."""
 
     def __init__(self):
         self.revision = 1
@@ -60,8 +60,8 @@
             self.changed.notify_all()
 
 
-class StoreEnd:
-    """One instance's way to the store."""
+class StoreClient:
+    """One instance's access to the store."""
 
     def __init__(self, table, name):
         self.refused = False
@@ -70,11 +70,11 @@
         self._name = name
 
     async def list(self, prefix):
-        await self._answer()
+        await self._respond()
         return Listing(self._table.revision, self._under(prefix, 0))
 
     async def watch(self, prefix, *, after_revision, wait_seconds):
-        await self._answer()
+        await self._respond()
         table = self._table
         try:
             async with asyncio.timeout(wait_seconds), table.changed:
@@ -85,7 +85,7 @@
                 )
         except TimeoutError:
             return Listing(table.revision, ())
-        await self._judge()
+        await self._apply_faults()
         return Listing(table.revision, self._under(prefix, after_revision))
 
     def _under(self, prefix, after):
@@ -98,12 +98,12 @@
     def _fails(self):
         return self.refused or self.silent or self._table.away
 
-    async def _answer(self):
+    async def _respond(self):
         self._table.calls[self._name] += 1
-        await asyncio.sleep(_ANSWER_SECONDS)
-        await self._judge()
+        await asyncio.sleep(_RESPONSE_SECONDS)
+        await self._apply_faults()
 
-    async def _judge(self):
+    async def _apply_faults(self):
         if self.silent:
             await asyncio.sleep(1000)
         if self._fails():
@@ -111,7 +111,10 @@
 
 
 class Taker(Follower):
-    """What an entry knows of one kind of objects, and since when."""
+    """The objects of one kind that an entry has received, and when.
+
+    ``known`` has the version of each object and the time of its arrival.
+    """
 
     def __init__(self, loop):
         self.known = {}
@@ -140,25 +143,25 @@
 
 class _SideFeeds(Feeds):
     def __init__(self, end, log, clock):
-        self._parts = (end, log, clock)
+        self._arguments = (end, log, clock)
 
     def open(self, mirrors):
-        end, log, clock = self._parts
+        end, log, clock = self._arguments
         way = StoreWay(end, clock=clock)
         return [
             Feed(way, prefix, mirrors[prefix], log, wait)
-            for prefix, wait in _WAITS
+            for prefix, wait in _SIDE_WATCH_SECONDS
         ]
 
 
-class SideNode:
-    """A side that may watch."""
+class SimulatedSide:
+    """A side that can watch the store for entries."""
 
     def __init__(self, world, name, domain):
         self.name = name
         self.domain = domain
-        self.dead = False
-        self.way = StoreEnd(world.table, name)
+        self.crashed = False
+        self.way = StoreClient(world.table, name)
         clock = world.loop.time
         self.watcher = Watcher(
             _SideFeeds(self.way, world.log, clock),
@@ -172,8 +175,8 @@
         return bool(self.watcher.followers)
 
 
-class _Wire(Neighbour, ViewFollower):
-    """The connection of one entry to one side, both ways."""
+class _Link(Neighbour, ViewFollower):
+    """The connection between one entry and one side, in both directions."""
 
     def __init__(self, entry, side):
         self._entry = entry
@@ -186,15 +189,15 @@
 
     @property
     def live(self):
-        return not self._side.dead
+        return not self._side.crashed
 
     def tell(self, message):
         to_side = isinstance(message, FollowView | StampView | LeaveView)
-        take = self._at_side if to_side else self._at_entry
-        self._loop.call_later(_WIRE_SECONDS, take, message)
+        deliver = self._at_side if to_side else self._at_entry
+        self._loop.call_later(_LINK_DELAY_SECONDS, deliver, message)
 
     def _at_entry(self, message):
-        if self._side.dead or self._entry.stopped:
+        if self._side.crashed or self._entry.stopped:
             return
         if self._entry.suspended:
             self._entry.buffer.append((self.name, message))
@@ -212,15 +215,15 @@
                 watcher.leave(self)
 
 
-class EntryNode(Neighbours):
-    """An entry's view."""
+class SimulatedEntry(Neighbours):
+    """An entry that subscribes to a side's view."""
 
     def __init__(self, world, name, domain):
         self.stopped = False
         self.suspended = False
         self.buffer = []
-        self.way = StoreEnd(world.table, name)
-        self.wires = {one.name: _Wire(self, one) for one in world.sides}
+        self.way = StoreClient(world.table, name)
+        self.links = {one.name: _Link(self, one) for one in world.sides}
         self.takers = {
             prefix: Taker(world.loop) for prefix in (CONFIG, SERVERS)
         }
@@ -234,7 +237,7 @@
         way = StoreWay(self.way, clock=clock)
         feeds = [
             Feed(way, prefix, views[prefix], world.log, wait)
-            for prefix, wait in _OWN_WAITS
+            for prefix, wait in _DIRECT_WATCH_SECONDS
         ]
         own = OwnFeeds(feeds, way)
         self.source = ViewSource(own, views, self, world.log)
@@ -242,11 +245,11 @@
 
     def ranked(self):
         sides = {
-            one.name: one.domain for one in self._world.sides if not one.dead
+            one.name: one.domain for one in self._world.sides if not one.crashed
         }
         count = len(self._world.entries)
         names = ranked_neighbours(self._domain, count, sides)
-        return [self.wires[name] for name in names]
+        return [self.links[name] for name in names]
 
     @property
     def age_seconds(self):
@@ -256,18 +259,21 @@
     def stop(self):
         self.stopped = True
         self.task.cancel()
-        for name, wire in self.wires.items():
+        for name, link in self.links.items():
             side = next(one for one in self._world.sides if one.name == name)
-            side.watcher.leave(wire)
+            side.watcher.leave(link)
 
 
 class ViewWorld:
-    """Entries, sides and a store."""
+    """Entries, sides and a store.
+
+    :param log_fileno: receives the log lines of all of them.
+    """
 
     def __init__(self, entries, sides, log_fileno):
         self.loop = asyncio.get_running_loop()
         self.log = EventLog(log_fileno, 'view')
-        self.table = Table()
+        self.table = SimulatedStore()
         self.table.objects[f'{CONFIG}main'] = StoredObject(
             f'{CONFIG}main',
             1,
@@ -275,12 +281,12 @@
         )
         domains = ('galata', 'asparuhovo', 'kamchia')
         self.sides = [
-            SideNode(self, f'10.0.0.{one}', domains[one % 3])
+            SimulatedSide(self, f'10.0.0.{one}', domains[one % 3])
             for one in range(sides)
         ]
         self.entries = []
         for one in range(entries):
-            node = EntryNode(self, f'entry-{one}', domains[one % 3])
+            node = SimulatedEntry(self, f'entry-{one}', domains[one % 3])
             self.entries.append(node)
 
     @property
@@ -288,17 +294,21 @@
         return max(self.sides, key=lambda side: side.watcher.followers)
 
     def kill(self, side):
-        side.dead = True
+        side.crashed = True
         for entry in self.entries:
             entry.source.lost(side.name)
-            side.watcher.leave(entry.wires[side.name])
+            side.watcher.leave(entry.links[side.name])
 
     async def change(self):
         await self.table.write(f'{CONFIG}main')
         return self.loop.time()
 
     def worst_delay(self, version, since):
-        """Tell how long the slowest entry took to know a version."""
+        """Return how long the slowest entry took to receive a version.
+
+        :param since: when it was written, on the loop's clock.
+        :return: seconds.
+        """
         delays = []
         for entry in self.entries:
             known, at = entry.takers[CONFIG].known[f'{CONFIG}main']
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -20,7 +20,7 @@
         self.now: float = 1_000.0
 
     def select(self, timeout: float | None = None) -> Any:
-        """Poll the sockets; let the time pass that nothing happens in."""
+        """Poll the sockets; if none is ready, advance by the time-out."""
         ready = super().select(0)
         if not ready and timeout:
             self.now += timeout
@@ -28,14 +28,14 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Runs hours in moments; the same program takes the same steps."""
+    """Runs hours quickly; the same program takes the same steps each time."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
         super().__init__(self._jumping)
 
     def time(self) -> float:
-        """Tell the virtual time."""
+        """The virtual time in seconds."""
         return self._jumping.now
 
 
@@ -45,7 +45,7 @@
 ) -> ResultT:
     """Run a coroutine function on virtual time.
 
-    :return: what it returned.
+    :return: its result.
     """
     return anyio.run(
         main,
--- a/tests/support/wires.py
+++ b/tests/support/wires.py
@@ -1,4 +1,4 @@
-"""Relays between processes, driven from a test's own thread."""
+"""TCP proxies between processes, controlled from a test's thread."""
 
 from __future__ import annotations
 
@@ -12,65 +12,68 @@
 
 
 class Wire:
-    """One relay; every method returns when it has taken effect."""
+    """One proxy; every method returns when it has taken effect."""
 
-    def __init__(self, portal: BlockingPortal, relay: Relay) -> None:
-        """Wrap an open relay."""
+    def __init__(self, portal: BlockingPortal, proxy: Relay) -> None:
+        """Control an open proxy.
+
+        :param portal: runs calls in the proxy's event loop.
+        """
         self._portal = portal
-        self._relay = relay
-        self.address = f'127.0.0.1:{relay.port}'
+        self._proxy = proxy
+        self.address = f'127.0.0.1:{proxy.port}'
 
     def cut(self) -> None:
-        """Break all connections and refuse others."""
-        self._portal.call(self._relay.cut)
+        """Close all connections and refuse new ones."""
+        self._portal.call(self._proxy.cut)
 
     def restore(self) -> None:
-        """Take connections again."""
-        self._portal.call(self._relay.restore)
+        """Accept connections again."""
+        self._portal.call(self._proxy.restore)
 
     def freeze(self) -> None:
-        """Hold all bytes."""
-        self._portal.call(self._relay.freeze)
+        """Withhold all bytes; connections stay open."""
+        self._portal.call(self._proxy.freeze)
 
     def thaw(self) -> None:
-        """Let the held bytes go on."""
-        self._portal.call(self._relay.thaw)
+        """Forward the withheld bytes and go on."""
+        self._portal.call(self._proxy.thaw)
 
-    def strand(self) -> None:
-        """Break the callers' ends of a frozen wire, which then flows again.
+    def reset_callers(self) -> None:
+        """Close the callers' connections to a frozen proxy, then thaw it.
 
-        What was sent before stays on its way until ``deliver``.
+        What the callers sent before stays withheld until ``release_withheld``;
+        new connections work.
         """
-        self._portal.call(self._relay.strand)
-        self._portal.call(self._relay.thaw)
+        self._portal.call(self._proxy.strand)
+        self._portal.call(self._proxy.thaw)
 
-    def deliver(self) -> None:
-        """Let what was stranded arrive."""
-        self._portal.call(self._relay.deliver)
+    def release_withheld(self) -> None:
+        """Forward what the closed connections had sent."""
+        self._portal.call(self._proxy.deliver)
 
     def drop(self, direction: Direction) -> None:
-        """Lose what goes one way."""
-        self._portal.call(self._relay.drop, direction)
+        """Drop all bytes in one direction; connections stay open."""
+        self._portal.call(self._proxy.drop, direction)
 
     def stop_dropping(self) -> None:
-        """Lose nothing more."""
-        self._portal.call(self._relay.stop_dropping)
+        """Drop no more bytes."""
+        self._portal.call(self._proxy.stop_dropping)
 
     def delay(self, seconds: float) -> None:
-        """Let all bytes arrive late from now on."""
-        self._relay.delay_seconds = seconds
+        """Delay all bytes by so many seconds in each direction."""
+        self._proxy.delay_seconds = seconds
 
 
 class Wires:
-    """All wires of a fleet, on one thread of their own."""
+    """All proxies of a fleet, on one thread of their own."""
 
     def __init__(self) -> None:
-        """Start with none."""
         self._stack = ExitStack()
         self._portal: BlockingPortal
 
     def __enter__(self) -> Self:
-        """Start the thread."""
+        """Start the thread of the proxies."""
         self._portal = self._stack.enter_context(start_blocking_portal())
         return self
 
@@ -80,13 +83,13 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Close all wires."""
+        """Close all proxies."""
         self._stack.close()
 
     def to(self, address: str) -> Wire:
-        """Open a wire to ``IP:port``."""
+        """Open a proxy to ``IP:port``."""
         ip, _, port = address.rpartition(':')
-        relay = self._stack.enter_context(
+        proxy = self._stack.enter_context(
             self._portal.wrap_async_context_manager(relaying(ip, int(port))),
         )
-        return Wire(self._portal, relay)
+        return Wire(self._portal, proxy)
--- a/tests/system/not_run.feature
+++ b/tests/system/not_run.feature
@@ -92,7 +92,7 @@
     When the wire to the side freezes
     And a bill is posted through both entries
     And after 0.5 s the wire breaks towards the entries and flows again
-    Then the posts are told as whole
+    Then the posts are told as complete
     When the stuck orders arrive at the side
     Then all answers are true, also 10 s later
     And no slot is lost, and a small workspace is served beside a flood
@@ -115,7 +115,7 @@
     When the side is paused
     And a bill is posted through both entries
     And after 1.5 s the side goes on
-    Then the posts are told as whole
+    Then the posts are told as complete
     And all answers are true, also 10 s later
     And no slot is lost, and a small workspace is served beside a flood
 
--- a/tests/system/steps/answers_steps.py
+++ b/tests/system/steps/answers_steps.py
@@ -11,8 +11,8 @@
 from support.caller import Caller
 from support.crowd import (
     BROKEN,
-    CUT,
-    WHOLE,
+    COMPLETE,
+    TRUNCATED,
     ask_plain,
     ask_stream,
     post_service,
@@ -46,18 +46,18 @@
         wish = random.randint(1, _MOST_TOKENS)
         if ask is post_service:
             wish = f'delay_seconds={wish / 100}'
-        scene.crowd.send(ask, scene.keeping, url, marker, wish)
+        scene.caller_pool.send(ask, scene.keep_alive_caller, url, marker, wish)
         if number in leave_at:
-            context.left = scene.crowd.run(_leave, url, f'gone-{number}')
+            context.left = scene.caller_pool.run(_leave, url, f'gone-{number}')
 
 
 def _leave(url: str, marker: str) -> None:
-    Caller(TOKEN).leave(url, completion(marker, _MOST_TOKENS))
+    Caller(TOKEN).disconnect_midway(url, completion(marker, _MOST_TOKENS))
 
 
 @then('each of them has exactly its own words')
 def then_own_words(context):
-    _expect(context.scene.crowd.told(), WHOLE)
+    _expect(context.scene.caller_pool.results(), COMPLETE)
 
 
 @when('every engine cuts its streams after {tokens:d} of {due:d} tokens')
@@ -74,10 +74,10 @@
     for entry in ENTRIES:
         url = scene.fleet.url(entry)
         told = ask_stream(scene.caller, url, f'cut-{entry}', context.due)
-        assert told.verdict == CUT, told
+        assert told.outcome == TRUNCATED, told
         assert told.codes == ('answer_cut',), told
-        assert told.answer.broken and not told.answer.whole, told
-        assert len(told.answer.text.split()) == context.sent, told
+        assert told.response.broken and not told.response.complete, told
+        assert len(told.response.text.split()) == context.sent, told
 
 
 @when('the engines work again')
@@ -103,11 +103,11 @@
     _expect_post(context, 'long-post', _LONG, BROKEN)
 
 
-def _expect_post(context, marker: str, wish: str, verdict: str) -> None:
+def _expect_post(context, marker: str, wish: str, outcome: str) -> None:
     scene = context.scene
     url = scene.fleet.url(ENTRIES[0])
     told = post_service(scene.caller, url, marker, wish)
-    assert told.verdict == verdict, told
+    assert told.outcome == outcome, told
     assert not told.not_run, told
     assert scene.stand_ins.started(marker) == 1
 
@@ -124,10 +124,10 @@
     for number in range(4):
         for url in scene.entry_urls():
             marker = f'again-{number}-{url[-5:]}'
-            scene.crowd.send(ask_plain, scene.caller, url, marker)
+            scene.caller_pool.send(ask_plain, scene.caller, url, marker)
             get = (post_service, scene.caller, url, f'{marker}-get', '', 'GET')
-            scene.crowd.send(*get)
-    _expect(scene.crowd.told(), WHOLE)
+            scene.caller_pool.send(*get)
+    _expect(scene.caller_pool.results(), COMPLETE)
     for name in ('engine-0', 'chart-0'):
         assert scene.stand_ins.total(name), 'the fault was not met'
 
@@ -140,11 +140,13 @@
 
 @then('those streams are broken and have no terminal')
 def then_broken(context):
-    rows = context.scene.crowd.told()
-    wrong = [row for row in rows if row.verdict not in {CUT, BROKEN}]
+    rows = context.scene.caller_pool.results()
+    wrong = [row for row in rows if row.outcome not in {TRUNCATED, BROKEN}]
     assert not wrong, show(wrong)
-    assert any(row.verdict == CUT for row in rows), 'none was in the middle'
-    assert all(row.answer.broken for row in rows if row.answer), rows
+    assert any(row.outcome == TRUNCATED for row in rows), (
+        'none was in the middle'
+    )
+    assert all(row.response.broken for row in rows if row.response), rows
 
 
 @then('the engines have cancelled what ran')
@@ -164,12 +166,12 @@
 
 @then('the streams of that side are cut with an error event, the others whole')
 def then_side_cut(context):
-    for row in context.scene.crowd.told():
+    for row in context.scene.caller_pool.results():
         if row.marker in context.at_killed:
-            assert row.verdict == CUT, row
+            assert row.outcome == TRUNCATED, row
             assert row.codes == ('answer_cut',), row
         else:
-            assert row.verdict == WHOLE, row
+            assert row.outcome == COMPLETE, row
 
 
 @then('the engine has cancelled what ran at that side')
@@ -182,7 +184,7 @@
     scene, url = context.scene, cycle(urls)
     for number in range(count):
         marker = f'long-{number}'
-        scene.crowd.send(
+        scene.caller_pool.send(
             ask_stream, scene.caller, next(url), marker, _LONG_TOKENS
         )
     engines = scene.stand_ins.names()
@@ -199,6 +201,6 @@
     return sum(row['cancelled'] for row in rows)
 
 
-def _expect(rows, verdict: str) -> None:
-    wrong = [row for row in rows if row.verdict != verdict]
+def _expect(rows, outcome: str) -> None:
+    wrong = [row for row in rows if row.outcome != outcome]
     assert rows and not wrong, show(wrong)
--- a/tests/system/steps/configuration_steps.py
+++ b/tests/system/steps/configuration_steps.py
@@ -161,13 +161,13 @@
 
 @when('the way of "{entry}" loses all answers')
 def when_loses(context: Any, entry: str) -> None:
-    context.configuration.links[entry].lose_answers()
+    context.configuration.links[entry].drop_responses()
 
 
 @when('the way of "{entry}" loses nothing any more')
 def when_loses_nothing(context: Any, entry: str) -> None:
     time.sleep(0.3)
-    context.configuration.links[entry].lose_nothing()
+    context.configuration.links[entry].forward_responses()
 
 
 @when('a token is added')
@@ -187,7 +187,7 @@
     world = context.configuration
     address = world.fleet.processes[entry].ready['peer_address']
     world.fleet.processes[entry].kill()
-    world.watch.restarted(entry)
+    world.watch.forget(entry)
     world.start_entry(entry, int(address.rpartition(':')[2]))
     world.changed_at = time.monotonic()
 
--- a/tests/system/steps/crash_news_steps.py
+++ b/tests/system/steps/crash_news_steps.py
@@ -9,7 +9,7 @@
 
 from behave import given, then, when
 
-from support.crowd import WHOLE, Told, ask_stream, show
+from support.crowd import COMPLETE, Told, ask_stream, show
 from support.fleet import eventually
 from support.late_entries import LateEntriesScene
 from support.scene import Plan
@@ -44,27 +44,29 @@
 
 def _stream_and_kill(context, url: str) -> Told:
     scene = context.scene
-    asked = scene.crowd.send(ask_stream, scene.caller, url, _MARKER, _TOKENS)
+    asked = scene.caller_pool.send(
+        ask_stream, scene.caller, url, _MARKER, _TOKENS
+    )
     runs = partial(scene.stand_ins.started, _MARKER)
-    living = scene.living()
-    eventually(lambda: asked.done() or any(map(runs, living)))
-    for name in filter(runs, living):
+    running_servers = scene.running_servers()
+    eventually(lambda: asked.done() or any(map(runs, running_servers)))
+    for name in filter(runs, running_servers):
         # A part of the answer has gone out by then.
         time.sleep(_MIDWAY_SECONDS)
         context.fleet.processes[name].kill()
-    assert asked.result().verdict != WHOLE
+    assert asked.result().outcome != COMPLETE
     return asked.result()
 
 
 @then('the last {count:d} sendings were told as {code}')
 def then_last_told(context, count: int, code: str):
     last = context.sendings[-count:]
-    assert all(told.verdict == code for told in last), show(last)
+    assert all(told.outcome == code for told in last), show(last)
 
 
 @when('the entries hear of each other no more')
 def when_silent(context):
-    for wire in context.fleet.entry_wires.values():
+    for wire in context.fleet.entry_proxies.values():
         wire.freeze()
     context.began = time.monotonic()
 
--- a/tests/system/steps/crashes_steps.py
+++ b/tests/system/steps/crashes_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from failure_steps import start_scene
 
-from support.crowd import CUT, WHOLE, ask_plain, ask_stream, show
+from support.crowd import COMPLETE, TRUNCATED, ask_plain, ask_stream, show
 from support.fleet import eventually
 from support.scene import Plan
 from support.standard import ENTRIES
@@ -25,13 +25,13 @@
 )
 _CONDEMNED = 'crashes_servers'
 _TRUE = frozenset(
-    (WHOLE, CUT, 'server_failed', 'outcome_unknown', 'answer_cut')
+    (COMPLETE, TRUNCATED, 'server_failed', 'outcome_unknown', 'answer_cut')
 )
 
 
 @given('a failing fleet with {engines:d} engines behind wires')
 def given_wired_engines(context, engines: int):
-    start_scene(context, Plan(engines=engines, wired=True))
+    start_scene(context, Plan(engines=engines, sides_proxied=True))
     context.innocent = {}
 
 
@@ -68,7 +68,7 @@
 def _send(context, ask, entry: str) -> None:
     scene = context.scene
     told = ask(scene.caller, scene.fleet.url(entry), _MARKER)
-    assert told.verdict != WHOLE, told
+    assert told.outcome != COMPLETE, told
 
 
 @when('{entry} is killed and started anew')
@@ -97,7 +97,7 @@
     for entry in ENTRIES:
         for ask in _ASKS:
             told = ask(scene.caller, scene.fleet.url(entry), _MARKER)
-            assert told.verdict == _CONDEMNED, told
+            assert told.outcome == _CONDEMNED, told
             assert told.not_run, told
 
 
@@ -106,13 +106,13 @@
     scene = context.scene
     asks = cycle(_ASKS)
     urls = cycle(scene.entry_urls())
-    names = scene.living()
+    names = scene.running_servers()
     context.innocent = {
         f'innocent-{number}': (next(asks), next(urls))
         for number in range(3 * len(names))
     }
     context.running = [
-        scene.crowd.run(ask, scene.caller, url, marker, _TOKENS)
+        scene.caller_pool.run(ask, scene.caller, url, marker, _TOKENS)
         for marker, (ask, url) in context.innocent.items()
     ]
     eventually(lambda: all(scene.load(name)['running'] for name in names))
@@ -120,7 +120,7 @@
 
 @when('the wires to all sides break for a moment')
 def when_wires_blink(context):
-    for wire in context.scene.wires.values():
+    for wire in context.scene.proxies.values():
         wire.cut()
         wire.restore()
 
@@ -132,21 +132,21 @@
     wrong = [
         row
         for row in rows
-        if row.verdict not in _TRUE and not (row.not_run and row.verdict)
+        if row.outcome not in _TRUE and not (row.not_run and row.outcome)
     ]
     assert not wrong, show(wrong)
     false = [row for row in rows if row.not_run and counts[row.marker]]
     assert not false, show(false)
-    assert not any(row.verdict == _CONDEMNED for row in rows), show(rows)
+    assert not any(row.outcome == _CONDEMNED for row in rows), show(rows)
 
 
 @when('the innocent callers send their requests again')
 def when_innocent_again(context):
     scene = context.scene
     for entry in scene.entry_urls():
-        scene.wait_used(_name_of(scene, entry), len(scene.living()))
+        scene.wait_in_use(_name_of(scene, entry), len(scene.running_servers()))
     context.again = [
-        scene.crowd.run(ask, scene.caller, url, marker, _TOKENS)
+        scene.caller_pool.run(ask, scene.caller, url, marker, _TOKENS)
         for marker, (ask, url) in context.innocent.items()
     ]
 
@@ -158,5 +158,5 @@
 @then('all of these are whole')
 def then_again_whole(context):
     rows = [future.result() for future in context.again]
-    wrong = [row for row in rows if row.verdict != WHOLE]
+    wrong = [row for row in rows if row.outcome != COMPLETE]
     assert rows and not wrong, show(wrong)
--- a/tests/system/steps/failure_steps.py
+++ b/tests/system/steps/failure_steps.py
@@ -29,4 +29,4 @@
 
 @then('no slot is lost')
 def then_none_lost(context):
-    check_idle(context.scene, context.scene.living())
+    check_idle(context.scene, context.scene.running_servers())
--- a/tests/system/steps/leaving_steps.py
+++ b/tests/system/steps/leaving_steps.py
@@ -10,9 +10,9 @@
 
 from support.crowd import (
     BROKEN,
-    CUT,
+    COMPLETE,
     REFUSED,
-    WHOLE,
+    TRUNCATED,
     Told,
     ask_plain,
     ask_stream,
@@ -29,7 +29,7 @@
 _CALLERS = 10
 _MOVES = 20
 _TRUE_FAILURES = frozenset(
-    ('server_failed', 'outcome_unknown', 'answer_cut', CUT)
+    ('server_failed', 'outcome_unknown', 'answer_cut', TRUNCATED)
 )
 
 
@@ -41,7 +41,8 @@
         self._scene = scene
         self._over = threading.Event()
         self._futures = [
-            scene.crowd.run(self._ask_on, number) for number in range(_CALLERS)
+            scene.caller_pool.run(self._ask_on, number)
+            for number in range(_CALLERS)
         ]
 
     def stop(self) -> list[Told]:
@@ -79,7 +80,9 @@
     names = scene.stand_ins.names()
     markers = [f'whole-{number}' for number in range(2 * scene.plan.slots)]
     for marker in markers:
-        scene.crowd.send(ask_stream, scene.caller, url, marker, _LONG_TOKENS)
+        scene.caller_pool.send(
+            ask_stream, scene.caller, url, marker, _LONG_TOKENS
+        )
     eventually(lambda: all(scene.load(name)['running'] for name in names))
     # One that is not taken yet would be refused by an entry that ends.
     started = scene.stand_ins.started
@@ -92,7 +95,9 @@
     url = scene.fleet.url(entry)
     markers = [f'drained-{number}' for number in range(count)]
     for marker in markers:
-        scene.crowd.send(ask_stream, scene.caller, url, marker, _LONG_TOKENS)
+        scene.caller_pool.send(
+            ask_stream, scene.caller, url, marker, _LONG_TOKENS
+        )
     started = scene.stand_ins.started
     eventually(lambda: all(map(started, markers)))
 
@@ -168,7 +173,7 @@
 
 @then('this caller is told {code:S}, and no engine has started its request')
 def then_late_not_run(context, code: str):
-    assert context.late.verdict == code, context.late
+    assert context.late.outcome == code, context.late
     assert context.late.not_run, context.late
     context.ending.wait()
     assert not context.scene.stand_ins.started(_LATE_MARKER)
@@ -177,15 +182,15 @@
 @then('the process has ended before its streams would have')
 def then_ended_at_once(context):
     context.ending.wait()
-    rows = context.scene.crowd.told()
-    whole = [row for row in rows if row.verdict == WHOLE]
+    rows = context.scene.caller_pool.results()
+    whole = [row for row in rows if row.outcome == COMPLETE]
     assert not whole, show(whole)
 
 
 @then('no stream that was cut looks complete')
 def then_none_complete(context):
-    rows = context.scene.crowd.told()
-    wrong = [row for row in rows if row.verdict not in {CUT, BROKEN}]
+    rows = context.scene.caller_pool.results()
+    wrong = [row for row in rows if row.outcome not in {TRUNCATED, BROKEN}]
     assert rows and not wrong, show(wrong)
 
 
@@ -228,15 +233,15 @@
 
 @then('the long streams are whole')
 def then_long_whole(context):
-    rows = context.scene.crowd.told()
-    wrong = [row for row in rows if row.verdict != WHOLE]
+    rows = context.scene.caller_pool.results()
+    wrong = [row for row in rows if row.outcome != COMPLETE]
     assert rows and not wrong, show(wrong)
 
 
 @then('all callers have whole answers')
 def then_all_whole(context):
     rows = context.load.stop()
-    wrong = [row for row in rows if row.verdict != WHOLE]
+    wrong = [row for row in rows if row.outcome != COMPLETE]
     assert rows and not wrong, show(wrong)
 
 
@@ -245,8 +250,8 @@
     rows = context.load.stop()
     counts = context.scene.stand_ins.all_started()
     for row in rows:
-        assert row.verdict in {WHOLE, *_TRUE_FAILURES}, row
-        assert row.verdict != REFUSED, row
+        assert row.outcome in {COMPLETE, *_TRUE_FAILURES}, row
+        assert row.outcome != REFUSED, row
         assert not (row.not_run and counts[row.marker]), row
 
 
--- a/tests/system/steps/not_run_steps.py
+++ b/tests/system/steps/not_run_steps.py
@@ -10,7 +10,7 @@
 from failure_steps import start_scene
 
 from sardinetrack.standin.relay import Direction
-from support.crowd import WHOLE, post_service, show
+from support.crowd import COMPLETE, post_service, show
 from support.fleet import eventually
 from support.scene import Plan, Scene
 from support.standard import ENTRIES, SERVICE
@@ -35,7 +35,9 @@
 
 
 def _start(context, entry) -> None:
-    plan = Plan(services=1, wired=True, backend_wired=True, entry=entry)
+    plan = Plan(
+        services=1, sides_proxied=True, backends_proxied=True, entry=entry
+    )
     start_scene(context, plan)
     context.posts = []
 
@@ -49,7 +51,7 @@
 
 
 def _unused(scene: Scene, entry: str) -> bool:
-    return not scene.used(entry)
+    return not scene.used_servers(entry)
 
 
 @when('the wire to {server} is restored')
@@ -91,14 +93,14 @@
 @when('after {seconds:g} s the wire breaks towards the entries and flows again')
 def when_strands(context, seconds: float):
     time.sleep(seconds)
-    _wire(context, 'the side').strand()
+    _wire(context, 'the side').reset_callers()
 
 
 @when('the stuck orders arrive at the side')
 def when_delivered(context):
     # A side that has no configuration yet would refuse them for that alone.
     _wait_used(context.scene)
-    _wire(context, 'the side').deliver()
+    _wire(context, 'the side').release_withheld()
 
 
 @when('a bill is posted through both entries')
@@ -121,20 +123,22 @@
         marker = f'bill-{len(context.posts)}'
         url = scene.fleet.url(entry)
         context.posts.append(
-            scene.crowd.send(post_service, scene.caller, url, marker, query),
+            scene.caller_pool.send(
+                post_service, scene.caller, url, marker, query
+            ),
         )
 
 
-@step('the posts are told as {verdict}')
-def then_told(context, verdict: str):
+@step('the posts are told as {outcome}')
+def then_told(context, outcome: str):
     rows = [future.result() for future in context.posts]
-    wrong = [row for row in rows if row.verdict != verdict]
+    wrong = [row for row in rows if row.outcome != outcome]
     assert not wrong, show(wrong)
 
 
 @then('all answers are true, also 10 s later')
 def then_true(context):
-    rows = context.scene.crowd.told()
+    rows = context.scene.caller_pool.results()
     _check(context.scene, rows)
     time.sleep(_LATER_SECONDS)
     _check(context.scene, rows)
@@ -147,7 +151,9 @@
     twice = [row for row in rows if counts[row.marker] > 1]
     assert not twice, f'ran twice: {show(twice)}'
     lost = [
-        row for row in rows if row.verdict == WHOLE and not counts[row.marker]
+        row
+        for row in rows
+        if row.outcome == COMPLETE and not counts[row.marker]
     ]
     assert not lost, f'never ran: {show(lost)}'
 
@@ -189,7 +195,7 @@
     scene = context.scene
     urls = cycle(scene.entry_urls())
     for number in range(count):
-        scene.crowd.send(
+        scene.caller_pool.send(
             post_service,
             scene.caller,
             next(urls),
@@ -201,12 +207,12 @@
     turns = (
         (wire.cut, wire.restore),
         (wire.freeze, wire.thaw),
-        (wire.freeze, wire.strand),
+        (wire.freeze, wire.reset_callers),
         (partial(wire.drop, Direction.TO_TARGET), partial(_renew, wire)),
         (partial(wire.drop, Direction.TO_CALLER), partial(_renew, wire)),
         (side.freeze, side.thaw),
-        (wire.freeze, wire.strand),
-        (wire.deliver, wire.deliver),
+        (wire.freeze, wire.reset_callers),
+        (wire.release_withheld, wire.release_withheld),
     )
     for fail, mend in turns:
         fail()
@@ -226,9 +232,9 @@
 
 def _wait_used(scene: Scene) -> None:
     for entry in ENTRIES:
-        scene.wait_used(entry, 1)
+        scene.wait_in_use(entry, 1)
 
 
 def _wire(context, server: str):
     names = {'the side': _SIDE, 'the service': _SERVER}
-    return context.scene.wires[names[server]]
+    return context.scene.proxies[names[server]]
--- a/tests/system/steps/path_steps.py
+++ b/tests/system/steps/path_steps.py
@@ -59,7 +59,7 @@
 def then_stream(context):
     for entry, stream in context.streams.items():
         assert stream.status == 200, stream
-        assert stream.whole, stream
+        assert stream.complete, stream
         assert stream.text.split() == words(entry), stream.text
 
 
--- a/tests/system/steps/stalls_steps.py
+++ b/tests/system/steps/stalls_steps.py
@@ -6,7 +6,7 @@
 
 from behave import then, when
 
-from support.crowd import CUT, show
+from support.crowd import TRUNCATED, show
 
 
 @when('all sides stall for {seconds:g} s')
@@ -28,8 +28,8 @@
 
 @then('each long stream is cut within {seconds:g} s')
 def then_cut(context, seconds: float):
-    rows = context.scene.crowd.told()
-    wrong = [row for row in rows if row.verdict != CUT]
+    rows = context.scene.caller_pool.results()
+    wrong = [row for row in rows if row.outcome != TRUNCATED]
     assert rows and not wrong, show(wrong)
     taken = time.monotonic() - context.frozen_at
     assert taken < seconds, taken
