--- a/benchmarks/chaos/asked.py
+++ b/benchmarks/chaos/asked.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, Final
 
-from sardinetrack.standin.engine_prompt import answer_text
+from sardinetrack.standin.engine_prompt import expected_text
 from sardinetrack.standin.service import KEY_HEADER
 
 MODEL: Final = 'ice-llm'
@@ -137,7 +137,7 @@
             return False
 
     def _matches(self, body: bytes) -> bool:
-        due = answer_text(self.group, self.tokens)
+        due = expected_text(self.group, self.tokens)
         if self.kind is Kind.STREAM:
             return streamed_text(body) == due
         found = json.loads(body)
--- a/benchmarks/chaos/virtual/outside.py
+++ b/benchmarks/chaos/virtual/outside.py
@@ -30,7 +30,7 @@
 
     def kill(self) -> None:
         """Crash: all that runs is cut."""
-        self.standin.executions.cut_all()
+        self.standin.executions.interrupt_all()
         super().kill()
 
 
--- a/src/sardinetrack/standin/__init__.py
+++ b/src/sardinetrack/standin/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the outside systems, for tests and ``local``."""
+"""Stand-ins for backend servers and the platform, for tests and ``local``."""
 
 from __future__ import annotations
--- a/src/sardinetrack/standin/base.py
+++ b/src/sardinetrack/standin/base.py
@@ -1,4 +1,4 @@
-"""What the stand-ins for backend servers share."""
+"""Base class of the stand-ins for backend servers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Scope,
     Send,
 )
-from sardinetrack.standin.connections import Connections
+from sardinetrack.standin.connections import ConnectionRegistry
 from sardinetrack.standin.executions import Execution, Executions, Outcome
 from sardinetrack.standin.faults import Faults, FaultSwitch
 from sardinetrack.standin.fencing import Fence
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request whose body has arrived."""
+    """A request with its complete body."""
 
     exchange: Exchange
     body: bytes
@@ -47,13 +47,17 @@
 
 
 class StandIn(ABC):
-    """An ASGI application with faults, fencing and counted executions."""
+    """ASGI application with faults, a fencing check and execution counts."""
 
     def __init__(self, faults: Faults, *, checks_fencing: bool) -> None:
-        """Build a stand-in; serve it with ``hosting``."""
+        """Build a stand-in; ``sardinetrack.standin.hosting`` serves it.
+
+        :param faults: the initial faults.
+        :param checks_fencing: whether old fencing tokens are refused.
+        """
         self.faults = FaultSwitch(faults)
         self.executions = Executions()
-        self.connections = Connections()
+        self.connections = ConnectionRegistry()
         self.fence = Fence(checks=checks_fencing)
         self.crashed = anyio.Event()
         self._scopes: set[anyio.CancelScope] = set()
@@ -64,12 +68,12 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope['type'] != 'http':
             return
         exchange = Exchange(scope, receive, send)
-        # A crash cuts requests in whatever state they are: this scope also
-        # holds those that wait frozen and have no execution yet.
+        # A crash interrupts requests in any state: this scope also covers
+        # those that wait frozen and have no execution yet.
         request_scope = anyio.CancelScope()
         self._scopes.add(request_scope)
         try:
@@ -82,37 +86,41 @@
 
     @abstractmethod
     async def handle(self, request: Request) -> None:
-        """Answer a request that passed the faults common to all."""
+        """Respond to a request that the common faults let through."""
 
     async def crash(self) -> None:
-        """Cut everything at once; never returns."""
+        """Interrupt all requests and connections; never returns."""
         if self.faults.current.crash_kills_process:
             signal.raise_signal(signal.SIGKILL)
-        self.cut_all()
+        self.interrupt_all()
         self.crashed.set()
         await anyio.sleep_forever()
 
-    def cut_all(self) -> None:
-        """Cut all requests and connections, and each new one."""
-        self.executions.cut_all()
+    def interrupt_all(self) -> None:
+        """Interrupt all requests and connections, and reject new ones."""
+        self.executions.interrupt_all()
         for request_scope in tuple(self._scopes):
             request_scope.cancel()
-        self.connections.cut_all()
+        self.connections.abort_all()
 
     def restart(self) -> None:
-        """Come back after a crash, with empty memory."""
-        self.fence.forget()
+        """Accept connections again after a crash, with no state left."""
+        self.fence.reset()
         self.crashed = anyio.Event()
-        self.connections.admit()
+        self.connections.accept_again()
 
-    async def cut(self, request: Request, execution: Execution) -> None:
-        """Cut the connection of one request; never returns."""
-        self.connections.cut(request.exchange.scope['client'])
-        execution.stop(Outcome.CUT)
+    async def abort_connection(
+        self,
+        request: Request,
+        execution: Execution,
+    ) -> None:
+        """Abort the connection of one request; never returns."""
+        self.connections.abort_peer(request.exchange.scope['client'])
+        execution.stop(Outcome.INTERRUPTED)
         await anyio.sleep_forever()
 
-    async def answer_error(self, request: Request, status: int) -> None:
-        """Answer a failure in the shape that model engines use."""
+    async def respond_error(self, request: Request, status: int) -> None:
+        """Respond with an error body as model engines write it."""
         content = {'error': {'message': 'stand-in', 'code': status}}
         await request.exchange.answer_json(status, content)
 
@@ -125,12 +133,12 @@
         if exchange.path.startswith('/standin/'):
             await self._control(request)
             return
-        await self.faults.thawed()
-        status = self._refusal(request)
+        await self.faults.wait_unfrozen()
+        status = self._rejection_status(request)
         if status is None:
             await self.handle(request)
         else:
-            await self.answer_error(request, status)
+            await self.respond_error(request, status)
 
     async def _control(self, request: Request) -> None:
         if request.route == 'GET /standin/executions':
@@ -138,23 +146,23 @@
         elif request.route == 'PUT /standin/faults':
             await self._put_faults(request)
         else:
-            await self.answer_error(request, NOT_FOUND)
+            await self.respond_error(request, NOT_FOUND)
 
     async def _put_faults(self, request: Request) -> None:
         try:
-            self.faults.put_json(request.body)
+            self.faults.replace_json(request.body)
         except ValidationError as error:
             await request.exchange.answer(BAD_REQUEST, str(error).encode())
             return
         await request.exchange.answer(NO_CONTENT)
 
-    def _refusal(self, request: Request) -> int | None:
+    def _rejection_status(self, request: Request) -> int | None:
         faults = self.faults.current
         if faults.error_status is not None and not faults.error_after_run:
             return faults.error_status
-        number = request.exchange.header(FENCING_HEADER)
-        if number is None:
+        token = request.exchange.header(FENCING_HEADER)
+        if token is None:
             return None
-        if not number.isdecimal():
+        if not token.isdecimal():
             return BAD_REQUEST
-        return None if self.fence.admits(int(number)) else CONFLICT
+        return None if self.fence.admits(int(token)) else CONFLICT
--- a/src/sardinetrack/standin/connections.py
+++ b/src/sardinetrack/standin/connections.py
@@ -1,4 +1,4 @@
-"""Connections of a stand-in, which a fault may cut."""
+"""Registry of a stand-in's connections, which a fault may abort."""
 
 from __future__ import annotations
 
@@ -9,52 +9,52 @@
 
 Peer = tuple[str, int]
 
-_PEER_PARTS: Final = 2
+_IP_AND_PORT: Final = 2
 
 
-class Connections:
-    """Open connections by the peer's address."""
+class ConnectionRegistry:
+    """Open connections by the client's address."""
 
     def __init__(self) -> None:
-        """Start with no connections."""
+        """Build an empty registry that accepts connections."""
         self._transports: dict[Peer, asyncio.Transport] = {}
         self._refusing = False
 
     def protocol(self) -> type[asyncio.Protocol]:
-        """Make a protocol class for uvicorn that registers here."""
-        made = type('_Bound', (_RegisteredProtocol,), {'registry': self})
-        return cast(type[asyncio.Protocol], made)
+        """Return a protocol class for uvicorn that registers here."""
+        bound = type('_Bound', (_RegisteredProtocol,), {'registry': self})
+        return cast(type[asyncio.Protocol], bound)
 
     def add(self, peer: Peer, transport: asyncio.Transport) -> None:
-        """Register a connection, or cut it while all are refused."""
+        """Register a connection, or abort it while all are refused."""
         if self._refusing:
             transport.abort()
             return
         self._transports[peer] = transport
 
     def discard(self, peer: Peer) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection."""
         self._transports.pop(peer, None)
 
-    def cut(self, peer: Peer) -> None:
-        """Cut one connection at once."""
+    def abort_peer(self, peer: Peer) -> None:
+        """Abort the connection of one client, if it is open."""
         transport = self._transports.get(peer)
         if transport is not None:
             transport.abort()
 
-    def cut_all(self) -> None:
-        """Cut every connection, and each new one until ``admit``."""
+    def abort_all(self) -> None:
+        """Abort all connections, and new ones until ``accept_again``."""
         self._refusing = True
         for transport in tuple(self._transports.values()):
             transport.abort()
 
-    def admit(self) -> None:
-        """Take connections again."""
+    def accept_again(self) -> None:
+        """Accept new connections again."""
         self._refusing = False
 
 
 class _RegisteredProtocol(HttpToolsProtocol):
-    registry: ClassVar[Connections]
+    registry: ClassVar[ConnectionRegistry]
 
     def connection_made(  # type: ignore[override]  # as uvicorn's own class
         self,
@@ -70,5 +70,5 @@
 
 
 def _peer(address: Any) -> Peer:
-    ip, port = address[:_PEER_PARTS]
+    ip, port = address[:_IP_AND_PORT]
     return (str(ip), int(port))
--- a/src/sardinetrack/standin/engine.py
+++ b/src/sardinetrack/standin/engine.py
@@ -17,11 +17,14 @@
     Request,
     StandIn,
 )
-from sardinetrack.standin.engine_answer import Completion
 from sardinetrack.standin.engine_batch import PrefixCache
+from sardinetrack.standin.engine_completion import Completion
 from sardinetrack.standin.engine_load import LoadMeter, Sequence
-from sardinetrack.standin.engine_orders import OrderBook, models_of
-from sardinetrack.standin.engine_prompt import ChatRequest, answer_words
+from sardinetrack.standin.engine_load_commands import (
+    LoadCommandLog,
+    models_to_load,
+)
+from sardinetrack.standin.engine_prompt import ChatRequest, expected_words
 from sardinetrack.standin.executions import Execution, Outcome
 from sardinetrack.standin.hosting import run
 from sardinetrack.standin.settings import EngineSettings
@@ -33,10 +36,10 @@
 
 
 class Engine(StandIn):
-    """Admits requests as they come; past the knee all slow down."""
+    """Starts requests as they arrive; beyond the knee all slow down."""
 
     def __init__(self, settings: EngineSettings) -> None:
-        """Build an idle engine inside a running event loop."""
+        """Build an idle engine; needs a running event loop."""
         super().__init__(
             settings.faults,
             checks_fencing=settings.checks_fencing,
@@ -45,7 +48,7 @@
         self._loaded: dict[str, None] = {}
         self._rates = settings.rates
         self._cache = PrefixCache(settings.rates.cache_blocks)
-        self._orders = OrderBook(self.fence)
+        self._load_commands = LoadCommandLog(self.fence)
         self._meter = LoadMeter(
             settings.load_lag_seconds,
             settings.rates.kv_capacity_tokens,
@@ -53,7 +56,7 @@
         )
 
     async def handle(self, request: Request) -> None:
-        """Answer a request for a completion, the load or an order."""
+        """Handle a completion, a load query or a load command."""
         match request.route:
             case 'POST /v1/chat/completions':
                 await self._chat(request)
@@ -63,15 +66,15 @@
                 load = self._meter.report(anyio.current_time())
                 await request.exchange.answer_json(OK, load)
             case 'POST /orders':
-                await self._order(request)
+                await self._load_models(request)
             case 'GET /orders':
-                accepted = self._orders.accepted
+                accepted = self._load_commands.accepted
                 await request.exchange.answer_json(OK, accepted)
             case _:
-                await self.answer_error(request, NOT_FOUND)
+                await self.respond_error(request, NOT_FOUND)
 
     def restart(self) -> None:
-        """Come back with an empty cache."""
+        """Accept connections again, with empty caches and no loaded models."""
         super().restart()
         self._cache.clear()
         self._loaded.clear()
@@ -84,15 +87,15 @@
         content = {'object': 'list', 'data': listed}
         await request.exchange.answer_json(OK, content)
 
-    async def _order(self, request: Request) -> None:
+    async def _load_models(self, request: Request) -> None:
         try:
-            accepted = self._orders.take(request.body)
+            accepted = self._load_commands.apply(request.body)
         except msgspec.MsgspecError:
-            await self.answer_error(request, BAD_REQUEST)
+            await self.respond_error(request, BAD_REQUEST)
             return
         if accepted:
-            newest = self._orders.accepted[-1]
-            self._loaded.update(dict.fromkeys(models_of(newest)))
+            newest = self._load_commands.accepted[-1]
+            self._loaded.update(dict.fromkeys(models_to_load(newest)))
         content = {'accepted': accepted, 'newest': self.fence.newest}
         status = OK if accepted else CONFLICT
         await request.exchange.answer_json(status, content)
@@ -101,10 +104,10 @@
         try:
             chat = msgspec.json.decode(request.body, type=ChatRequest)
         except msgspec.MsgspecError:
-            await self.answer_error(request, BAD_REQUEST)
+            await self.respond_error(request, BAD_REQUEST)
             return
         if chat.model not in self._models():
-            await self.answer_error(request, NOT_FOUND)
+            await self.respond_error(request, NOT_FOUND)
             return
         with self.executions.running(chat.key) as execution:
             if self.faults.current.crashes_on(chat.text):
@@ -118,7 +121,7 @@
         execution: Execution,
     ) -> None:
         prompt = chat.text.split()
-        cached_tokens = self._cache.take(prompt)
+        cached_tokens = self._cache.look_up_and_insert(prompt)
         completion = Completion(
             chat,
             execution.ordinal,
@@ -126,48 +129,48 @@
             cached_tokens,
         )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_cancel_when_gone, request.exchange, execution)
+            tasks.start_soon(_cancel_on_disconnect, request.exchange, execution)
             if chat.stream:
-                await self._stream(request, completion, execution)
+                await self._respond_streamed(request, completion, execution)
             else:
-                await self._plain(request, completion, execution)
+                await self._respond_plain(request, completion, execution)
             tasks.cancel_scope.cancel()
 
-    async def _stream(
+    async def _respond_streamed(
         self,
         request: Request,
         completion: Completion,
         execution: Execution,
     ) -> None:
         if self.faults.current.error_status is not None:
-            await self._plain(request, completion, execution)
+            await self._respond_plain(request, completion, execution)
             return
         exchange = request.exchange
         await anyio.sleep(self.faults.current.late_seconds)
         await exchange.start(OK, _STREAM_HEADERS)
-        await exchange.write(completion.first())
-        async for word in self._words(request, completion, execution):
-            await exchange.write(completion.word(word))
+        await exchange.write(completion.first_event())
+        async for word in self._generate(request, completion, execution):
+            await exchange.write(completion.token_event(word))
         execution.finish()
-        await exchange.finish(completion.last())
+        await exchange.finish(completion.final_events())
 
-    async def _plain(
+    async def _respond_plain(
         self,
         request: Request,
         completion: Completion,
         execution: Execution,
     ) -> None:
-        words = self._words(request, completion, execution)
+        words = self._generate(request, completion, execution)
         text = ''.join([word async for word in words])
         execution.finish()
         faults = self.faults.current
         await anyio.sleep(faults.late_seconds)
         if faults.error_status is not None:
-            await self.answer_error(request, faults.error_status)
+            await self.respond_error(request, faults.error_status)
             return
-        await request.exchange.answer_json(OK, completion.whole(text))
+        await request.exchange.answer_json(OK, completion.plain_body(text))
 
-    async def _words(
+    async def _generate(
         self,
         request: Request,
         completion: Completion,
@@ -180,36 +183,38 @@
         )
         with Sequence(self._meter, completion.prompt_tokens) as sequence:
             await anyio.sleep(prefill_seconds)
-            sequence.decode()
+            sequence.start_decode()
             for position, word in enumerate(
-                answer_words(chat.key, chat.tokens)
+                expected_words(chat.key, chat.output_tokens)
             ):
-                await self._pace(request, execution, position)
-                sequence.token()
+                await self._wait_for_token(request, execution, position)
+                sequence.count_token()
                 yield word
-            await self._cut_at(request, execution, chat.tokens)
+            await self._abort_at(request, execution, chat.output_tokens)
 
-    async def _pace(
+    async def _wait_for_token(
         self,
         request: Request,
         execution: Execution,
         position: int,
     ) -> None:
         await anyio.sleep(self._rates.token_seconds(self._meter.running))
-        await self.faults.thawed()
-        await self._cut_at(request, execution, position)
+        await self.faults.wait_unfrozen()
+        await self._abort_at(request, execution, position)
 
-    async def _cut_at(
+    async def _abort_at(
         self,
         request: Request,
         execution: Execution,
         position: int,
     ) -> None:
         if self.faults.current.cut_after_chunks == position:
-            await self.cut(request, execution)
+            await self.abort_connection(request, execution)
 
 
-async def _cancel_when_gone(exchange: Exchange, execution: Execution) -> None:
+async def _cancel_on_disconnect(
+    exchange: Exchange, execution: Execution
+) -> None:
     await exchange.gone()
     execution.stop(Outcome.CANCELLED)
 
--- a/src/sardinetrack/standin/engine_answer.py
+++ b/src/sardinetrack/standin/engine_completion.py
@@ -1,4 +1,4 @@
-"""Answers of the model engine in the shape that its clients know."""
+"""Responses of the model engine in the chat completions format."""
 
 from __future__ import annotations
 
@@ -14,15 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Completion:
-    """One answer."""
+    """The response to one chat request.
+
+    :param ordinal: number of the execution under the request's key.
+    """
 
     chat: ChatRequest
     ordinal: int
     prompt_tokens: int
     cached_tokens: int
 
-    def whole(self, text: str) -> dict[str, Any]:
-        """Shape a plain answer."""
+    def plain_body(self, text: str) -> dict[str, Any]:
+        """Return the body of a response that is not streamed."""
         choice = {
             'index': 0,
             'message': {'role': 'assistant', 'content': text},
@@ -34,17 +37,17 @@
             'usage': self._usage(),
         }
 
-    def word(self, text: str) -> bytes:
-        """Shape one token of a stream."""
+    def token_event(self, text: str) -> bytes:
+        """Return the event of one token."""
         return self._event(choices=[_choice({'content': text})])
 
-    def first(self) -> bytes:
-        """Shape the opening event of a stream."""
+    def first_event(self) -> bytes:
+        """Return the event that opens a stream."""
         delta = {'role': 'assistant', 'content': ''}
         return self._event(choices=[_choice(delta)])
 
-    def last(self) -> bytes:
-        """Shape the events that end a stream, the terminal included."""
+    def final_events(self) -> bytes:
+        """Return the events that end a stream, ``STREAM_END`` included."""
         reason = self.chat.finish_reason
         finish = self._event(choices=[_choice({}, reason)])
         usage = self._event(choices=[], usage=self._usage())
@@ -66,8 +69,8 @@
     def _usage(self) -> dict[str, Any]:
         return {
             'prompt_tokens': self.prompt_tokens,
-            'completion_tokens': self.chat.tokens,
-            'total_tokens': self.prompt_tokens + self.chat.tokens,
+            'completion_tokens': self.chat.output_tokens,
+            'total_tokens': self.prompt_tokens + self.chat.output_tokens,
             'prompt_tokens_details': {'cached_tokens': self.cached_tokens},
         }
 
--- a/src/sardinetrack/standin/engine_load.py
+++ b/src/sardinetrack/standin/engine_load.py
@@ -1,4 +1,4 @@
-"""The load that a model engine reports, with a lag."""
+"""The load that a model engine reports, delayed by up to one period."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """One report; ``waiting`` counts requests whose prompt is read."""
+    """A load report; ``waiting`` counts requests in prefill."""
 
     running: int = 0
     waiting: int = 0
@@ -20,7 +20,7 @@
 
 
 class LoadMeter:
-    """Follows the load and takes a snapshot each period."""
+    """Tracks the load and takes a snapshot each period."""
 
     def __init__(
         self,
@@ -28,7 +28,12 @@
         kv_capacity_tokens: int,
         now_seconds: float,
     ) -> None:
-        """Start idle."""
+        """Build the meter of an idle engine.
+
+        :param lag_seconds: length of a period.
+        :param kv_capacity_tokens: capacity of the KV cache in tokens.
+        :param now_seconds: start of the first period.
+        """
         self.running = 0
         self._waiting = 0
         self._kv_tokens = 0
@@ -40,40 +45,40 @@
 
     def report(self, now_seconds: float) -> Load:
         """Return the last snapshot."""
-        self._pass(now_seconds)
+        self._advance(now_seconds)
         return self._snapshot
 
-    def prefill(self, now_seconds: float, prompt_tokens: int) -> None:
-        """A request starts to read its prompt."""
-        self._pass(now_seconds)
+    def start_prefill(self, now_seconds: float, prompt_tokens: int) -> None:
+        """Count a request that starts its prefill."""
+        self._advance(now_seconds)
         self._waiting += 1
         self._kv_tokens += prompt_tokens
 
-    def decode(self, now_seconds: float) -> None:
-        """Its prompt is read, tokens follow."""
-        self._pass(now_seconds)
+    def start_decode(self, now_seconds: float) -> None:
+        """Count a request whose prefill ended and whose decode starts."""
+        self._advance(now_seconds)
         self._waiting -= 1
         self.running += 1
 
-    def token(self, now_seconds: float) -> None:
-        """One token came out."""
-        self._pass(now_seconds)
+    def count_token(self, now_seconds: float) -> None:
+        """Count one generated token."""
+        self._advance(now_seconds)
         self._period_tokens += 1
         self._kv_tokens += 1
 
     def end(self, now_seconds: float, tokens: int, *, decoding: bool) -> None:
-        """A request ended.
+        """Count a request that ended.
 
-        :param tokens: of its prompt and answer, freed now.
-        :param decoding: ``False`` if its prompt was still being read.
+        :param tokens: its prompt and output tokens, freed in the KV cache.
+        :param decoding: ``False`` if it was still in prefill.
         """
-        self._pass(now_seconds)
+        self._advance(now_seconds)
         self.running -= int(decoding)
         self._waiting -= int(not decoding)
         self._kv_tokens -= tokens
 
-    def _pass(self, now_seconds: float) -> None:
-        """Take the snapshots due; nothing changed since the last event."""
+    def _advance(self, now_seconds: float) -> None:
+        """Take the snapshots due, before the load changes."""
         if now_seconds < self._due_seconds:
             return
         self._snapshot = Load(
@@ -92,17 +97,20 @@
 
 
 class Sequence:
-    """One request's part of the load, from its prompt to its end."""
+    """The load of one request, from its prefill to its end."""
 
     def __init__(self, meter: LoadMeter, prompt_tokens: int) -> None:
-        """Build it; use it as a context manager."""
+        """Build a sequence, to be used as a context manager.
+
+        :param prompt_tokens: length of the prompt in tokens.
+        """
         self._meter = meter
         self._tokens = prompt_tokens
         self._decoding = False
 
     def __enter__(self) -> Self:
-        """Start to read the prompt."""
-        self._meter.prefill(anyio.current_time(), self._tokens)
+        """Start the prefill."""
+        self._meter.start_prefill(anyio.current_time(), self._tokens)
         return self
 
     def __exit__(
@@ -111,19 +119,19 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Free what it held."""
+        """Count the end and free the request's tokens."""
         self._meter.end(
             anyio.current_time(),
             self._tokens,
             decoding=self._decoding,
         )
 
-    def decode(self) -> None:
-        """The prompt is read."""
+    def start_decode(self) -> None:
+        """Start the decode."""
         self._decoding = True
-        self._meter.decode(anyio.current_time())
+        self._meter.start_decode(anyio.current_time())
 
-    def token(self) -> None:
-        """One token came out."""
+    def count_token(self) -> None:
+        """Count one generated token."""
         self._tokens += 1
-        self._meter.token(anyio.current_time())
+        self._meter.count_token(anyio.current_time())
--- a/src/sardinetrack/standin/engine_prompt.py
+++ b/src/sardinetrack/standin/engine_prompt.py
@@ -1,4 +1,4 @@
-"""What a chat request asks of the stand-in, and the answer that is due."""
+"""Chat requests to the stand-in, and the text it generates for them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 import msgspec
 
-_DEFAULT_TOKENS: Final = 16
+_DEFAULT_OUTPUT_TOKENS: Final = 16
 _KEY_LENGTH: Final = 16
-_KEY: Final = re.compile(r'\bid=([\w.-]+)')
-_TOKENS: Final = re.compile(r'\btokens=(\d+)')
+_KEY_MARKER: Final = re.compile(r'\bid=([\w.-]+)')
+_TOKENS_MARKER: Final = re.compile(r'\btokens=(\d+)')
 
 
-class _Part(msgspec.Struct):
+class _ContentPart(msgspec.Struct):
     text: str = ''
 
 
@@ -23,18 +23,18 @@
     """One message of a conversation."""
 
     role: str
-    content: str | list[_Part] | None = None
+    content: str | list[_ContentPart] | None = None
 
     @property
     def text(self) -> str:
-        """The text of all its parts."""
+        """The text of all content parts."""
         if isinstance(self.content, list):
             return ' '.join(part.text for part in self.content)
         return self.content or ''
 
 
 class ChatRequest(msgspec.Struct):
-    """The body of a chat completion, as far as the stand-in reads it."""
+    """The body of a chat completion request, as far as it is used here."""
 
     model: str
     messages: list[ChatMessage]
@@ -44,52 +44,57 @@
 
     @property
     def text(self) -> str:
-        """The whole prompt."""
+        """The complete prompt."""
         return ' '.join(message.text for message in self.messages)
 
     @property
     def last_text(self) -> str:
-        """The text of the last message, where the markers stand."""
+        """The text of the last message, which may contain the markers."""
         return self.messages[-1].text if self.messages else ''
 
     @property
     def key(self) -> str:
         """The last message's ``id=KEY``, else a hash of all messages."""
-        marker = _KEY.search(self.last_text)
+        marker = _KEY_MARKER.search(self.last_text)
         if marker:
             return marker.group(1)
         digest = hashlib.sha256(msgspec.json.encode(self.messages))
         return digest.hexdigest()[:_KEY_LENGTH]
 
     @property
-    def tokens(self) -> int:
-        """How many tokens the answer has."""
-        marker = _TOKENS.search(self.last_text)
+    def output_tokens(self) -> int:
+        """The number of tokens to generate."""
+        marker = _TOKENS_MARKER.search(self.last_text)
         if marker:
             return int(marker.group(1))
-        return self._limit or _DEFAULT_TOKENS
+        return self._max_output_tokens or _DEFAULT_OUTPUT_TOKENS
 
     @property
     def finish_reason(self) -> str:
-        """Why the answer ends where it does."""
-        return 'length' if self.tokens == self._limit else 'stop'
+        """The ``finish_reason`` of the completion."""
+        return (
+            'length'
+            if self.output_tokens == self._max_output_tokens
+            else 'stop'
+        )
 
     @property
-    def _limit(self) -> int | None:
+    def _max_output_tokens(self) -> int | None:
         return self.max_completion_tokens or self.max_tokens
 
 
-def answer_words(key: str, tokens: int) -> Iterator[str]:
-    """Yield the answer that is due, word by word.
+def expected_words(key: str, tokens: int) -> Iterator[str]:
+    """Yield the generated text word by word.
 
-    :param key: of the request.
-    :param tokens: one word each; joined, they are the whole answer.
+    :param key: key of the request.
+    :param tokens: number of words, one for each token; joined, they are the
+        complete text.
     """
     for position in range(tokens):
         space = ' ' if position else ''
         yield f'{space}w{position}-{key}'
 
 
-def answer_text(key: str, tokens: int) -> str:
-    """The whole answer that is due."""
-    return ''.join(answer_words(key, tokens))
+def expected_text(key: str, tokens: int) -> str:
+    """Return the complete text generated for a request."""
+    return ''.join(expected_words(key, tokens))
--- a/src/sardinetrack/standin/executions.py
+++ b/src/sardinetrack/standin/executions.py
@@ -1,4 +1,4 @@
-"""What a stand-in ran, counted by the key of the request."""
+"""Counts of a stand-in's executions by the key of the request."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
     FINISHED = 'finished'
     CANCELLED = 'cancelled'
-    CUT = 'cut'
+    INTERRUPTED = 'cut'
 
 
 @dataclass(slots=True)
 class Counts:
-    """Executions of one key."""
+    """Counts of the executions of one key."""
 
     started: int = 0
     finished: int = 0
@@ -28,13 +28,16 @@
     cut: int = 0
 
     def add(self, outcome: Outcome) -> None:
-        """Count one that ended."""
+        """Count an execution that ended."""
         setattr(self, outcome.value, getattr(self, outcome.value) + 1)
 
 
 @dataclass(eq=False, slots=True)
 class Execution:
-    """One run of one request."""
+    """One execution of one request.
+
+    :param ordinal: its number under the key, from 1.
+    """
 
     key: str
     ordinal: int
@@ -42,28 +45,28 @@
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
     def finish(self) -> None:
-        """The work is done; the answer may still be on its way."""
+        """Record that it finished; its response may still be under way."""
         self.outcome = self.outcome or Outcome.FINISHED
 
     def stop(self, outcome: Outcome) -> None:
-        """End it before its time."""
+        """Cancel it and record why."""
         self.outcome = self.outcome or outcome
         self.scope.cancel()
 
 
 class Executions:
-    """Counts by key, kept as long as the stand-in's process lives."""
+    """Counts by key, kept until the stand-in's process ends."""
 
     def __init__(self) -> None:
-        """Start with no executions."""
+        """Build empty counts."""
         self.counts: dict[str, Counts] = {}
         self._running: set[Execution] = set()
 
     @contextmanager
     def running(self, key: str) -> Iterator[Execution]:
-        """Count one execution; leaving without an outcome means cut.
+        """Count an execution; without an outcome it counts as interrupted.
 
-        :param key: of the request.
+        :param key: key of the request.
         :return: the execution, in whose cancel scope the body runs.
         """
         counts = self.counts.setdefault(key, Counts())
@@ -75,9 +78,9 @@
                 yield execution
         finally:
             self._running.discard(execution)
-            counts.add(execution.outcome or Outcome.CUT)
+            counts.add(execution.outcome or Outcome.INTERRUPTED)
 
-    def cut_all(self) -> None:
-        """Cut all that run now."""
+    def interrupt_all(self) -> None:
+        """Interrupt all running executions."""
         for execution in tuple(self._running):
-            execution.stop(Outcome.CUT)
+            execution.stop(Outcome.INTERRUPTED)
--- a/src/sardinetrack/standin/fencing.py
+++ b/src/sardinetrack/standin/fencing.py
@@ -1,26 +1,26 @@
-"""The check of fencing numbers, which some backend servers make."""
+"""The check of fencing tokens that some backend servers make."""
 
 from __future__ import annotations
 
 
 class Fence:
-    """Refuses numbers older than the newest seen."""
+    """Rejects fencing tokens older than the newest one seen."""
 
     def __init__(self, *, checks: bool) -> None:
-        """Start without a number.
+        """Build a check that has seen no token.
 
-        :param checks: ``False`` admits every number.
+        :param checks: ``False`` admits every token.
         """
         self._checks = checks
         self.newest = 0
 
-    def admits(self, number: int) -> bool:
-        """Check a number and remember it if it is the newest."""
-        if self._checks and number < self.newest:
+    def admits(self, token: int) -> bool:
+        """Return whether a token is accepted; record it if it is the newest."""
+        if self._checks and token < self.newest:
             return False
-        self.newest = max(self.newest, number)
+        self.newest = max(self.newest, token)
         return True
 
-    def forget(self) -> None:
-        """Start again without a number, as after a restart."""
+    def reset(self) -> None:
+        """Clear the newest token, as after a restart."""
         self.newest = 0
--- a/src/sardinetrack/standin/hosting.py
+++ b/src/sardinetrack/standin/hosting.py
@@ -1,4 +1,4 @@
-"""Serve a stand-in, through its crashes and restarts."""
+"""Serve a stand-in and restart it after crashes."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 ) -> AsyncIterator[str]:
     """Serve a stand-in while the context lasts.
 
-    :param standin: the application; after a crash the port refuses for the
-        seconds that its faults say, then it is served again.
-    :param ip: an IP number to listen at.
-    :param port: 0 lets the system choose; a restart keeps the choice.
+    :param standin: the application; after a crash the port refuses
+        connections for the faults' ``restart_seconds``, then it is served
+        again.
+    :param ip: IP address to listen at.
+    :param port: 0 lets the system choose; a restart keeps the port.
     :return: the base URL.
     """
     stopping = anyio.Event()
@@ -38,14 +39,14 @@
 
 
 async def run(standin: StandIn, ip: str, port: int) -> None:
-    """Serve until cancelled; one line of JSON tells when it is ready."""
+    """Serve until cancelled; print the URL when ready."""
     async with hosting(standin, ip, port) as url:
-        announce(url)
+        print_url(url)
         await anyio.sleep_forever()
 
 
-def announce(url: str) -> None:
-    """Tell on standard output, as one line of JSON, where it is served."""
+def print_url(url: str) -> None:
+    """Print the URL to standard output as one line of JSON."""
     line = json.dumps({'url': url})
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
@@ -71,24 +72,26 @@
             if url is None:
                 url = server.url
                 task_status.started(url)
-            await _first(standin.crashed, stopping)
-            standin.cut_all()
+            await _wait_any(standin.crashed, stopping)
+            standin.interrupt_all()
         if not stopping.is_set():
-            await _pause(standin.faults.current.restart_seconds, stopping)
+            await _wait_before_restart(
+                standin.faults.current.restart_seconds, stopping
+            )
         standin.restart()
 
 
-async def _first(*events: anyio.Event) -> None:
+async def _wait_any(*events: anyio.Event) -> None:
     async with anyio.create_task_group() as tasks:
         for event in events:
-            tasks.start_soon(_wait, event, tasks.cancel_scope)
+            tasks.start_soon(_cancel_after, event, tasks.cancel_scope)
 
 
-async def _wait(event: anyio.Event, scope: anyio.CancelScope) -> None:
+async def _cancel_after(event: anyio.Event, scope: anyio.CancelScope) -> None:
     await event.wait()
     scope.cancel()
 
 
-async def _pause(seconds: float, stopping: anyio.Event) -> None:
+async def _wait_before_restart(seconds: float, stopping: anyio.Event) -> None:
     with anyio.move_on_after(seconds):
         await stopping.wait()
--- a/src/sardinetrack/standin/platform.py
+++ b/src/sardinetrack/standin/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform: object API, list of instances, faults."""
+"""Stand-in for the platform: object API, instance list, faults."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class PlatformStandin:
-    """ASGI application over a store in memory."""
+    """ASGI application over an in-memory store."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         """Build a stand-in.
 
         :param token: bearer token that every call must carry.
-        :param platform: what it serves, by default an empty one.
+        :param platform: the store to serve, by default an empty one.
         """
         self.platform = platform or MemoryPlatform()
         self.gate = FaultGate()
@@ -71,10 +71,10 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer one call."""
+        """Handle one call."""
         exchange = Exchange(scope, receive, send)
         try:
-            await self._answer(exchange)
+            await self._respond(exchange)
         except (AnsweredError, RefusedError, ValueError) as error:
             text = str(error).encode()
             await exchange.answer(HTTPStatus.BAD_REQUEST, text)
@@ -83,21 +83,21 @@
         except CallerGoneError:
             return
 
-    async def _answer(self, exchange: Exchange) -> None:
-        given = (exchange.header('authorization') or '').encode()
-        if not hmac.compare_digest(given, self._authorization):
+    async def _respond(self, exchange: Exchange) -> None:
+        received = (exchange.header('authorization') or '').encode()
+        if not hmac.compare_digest(received, self._authorization):
             await exchange.answer(HTTPStatus.UNAUTHORIZED)
             return
         body = await exchange.body(MAX_VALUE_BYTES * 2, _BODY_SECONDS)
-        kind = _kind_of(exchange)
+        kind = _call_kind(exchange)
         if kind is None:
             await self._control(exchange, body)
         elif await self._admit(exchange, kind):
             await self._serve(exchange, kind, body)
 
     async def _admit(self, exchange: Exchange, kind: CallKind) -> bool:
-        await self.gate.hold()
-        if self.gate.refuses():
+        await self.gate.delay_call()
+        if self.gate.rejects_call():
             await exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE)
             return False
         wait_seconds = self.gate.throttle_seconds(time.monotonic(), kind)
@@ -148,10 +148,12 @@
         prefix, _, instance = exchange.path.rpartition('/')
         match (exchange.method, exchange.path, prefix):
             case ('GET', '/calls', _):
-                await exchange.answer_json(HTTPStatus.OK, self.gate.calls())
+                await exchange.answer_json(
+                    HTTPStatus.OK, self.gate.call_counts()
+                )
                 return
             case ('PUT', '/faults', _):
-                self._disturb(msgspec.json.decode(body, type=Faults))
+                self._inject_faults(msgspec.json.decode(body, type=Faults))
             case ('PUT', _, '/instances'):
                 row = msgspec.json.decode(body, type=ListedInstance)
                 self.platform.set_instance(row)
@@ -162,7 +164,7 @@
                 return
         await exchange.answer(HTTPStatus.NO_CONTENT)
 
-    def _disturb(self, faults: Faults) -> None:
+    def _inject_faults(self, faults: Faults) -> None:
         self.gate.replace(time.monotonic(), faults)
         self.platform.disturb(
             Disturbance(
@@ -173,7 +175,7 @@
         )
 
 
-def _kind_of(exchange: Exchange) -> CallKind | None:
+def _call_kind(exchange: Exchange) -> CallKind | None:
     path = exchange.path
     if path.startswith(f'{_OBJECTS}/'):
         path = f'{_OBJECTS}/'
--- a/src/sardinetrack/standin/platform_faults.py
+++ b/src/sardinetrack/standin/platform_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong at the platform's stand-in, and the count of its calls."""
+"""Injected faults of the platform's stand-in, and its call counts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CallKind(StrEnum):
-    """Calls that the platform counts."""
+    """Kinds of calls that are counted."""
 
     GET = 'get'
     PUT = 'put'
@@ -20,31 +20,32 @@
     INSTANCES = 'instances'
 
 
-_WRITES = frozenset((CallKind.PUT, CallKind.DELETE))
+_WRITE_KINDS = frozenset((CallKind.PUT, CallKind.DELETE))
 
 
 class Faults(Struct, frozen=True, forbid_unknown_fields=True):
-    """The faults in force; a new set replaces all of the old one."""
+    """The active faults; a new set replaces the old one completely."""
 
     outage: bool = False
-    """Every call is answered 503."""
+    """Every call gets a 503 response."""
     freeze: bool = False
-    """No call gets on until the freeze ends."""
+    """All calls are delayed until the freeze ends."""
     delay_seconds: float = 0
     reads_per_second: float | None = None
     writes_per_second: float | None = None
     lose_replies: int = 0
-    """So many next writes take effect, then the connection is cut."""
+    """The next writes, up to this number, are applied, but their connections
+    are closed without a response."""
     list_lag_seconds: float = 0
     watch_lag_seconds: float = 0
     watch_repeat: bool = False
-    """Each watch that has news also repeats the last ones."""
+    """Each watch that returns changes also returns all current objects."""
     watch_break: bool = False
-    """Each watch is cut off instead of answered."""
+    """The connection of each watch is closed without a response."""
 
 
-class Calls(Struct, frozen=True):
-    """Calls since the start, a waiting watch counted as one."""
+class CallCounts(Struct, frozen=True):
+    """Calls since the start; a pending watch counts as one."""
 
     taken: dict[str, int]
     throttled: int
@@ -52,21 +53,21 @@
 
 
 class _Bucket:
-    """A token bucket that holds one second's worth."""
+    """A token bucket with the capacity of one second."""
 
     def __init__(self, rate_per_second: float, now: float) -> None:
-        """Start full."""
+        """Build a full bucket."""
         self._rate_per_second = rate_per_second
         self._tokens = max(rate_per_second, 1)
         self._filled_at_seconds = now
 
     def wait_seconds(self, now: float) -> float:
-        """Take a token; tell how long to wait when there is none."""
-        passed_seconds = now - self._filled_at_seconds
+        """Take a token; return the wait if there is none, else 0."""
+        elapsed_seconds = now - self._filled_at_seconds
         self._filled_at_seconds = now
         self._tokens = min(
             max(self._rate_per_second, 1),
-            self._tokens + passed_seconds * self._rate_per_second,
+            self._tokens + elapsed_seconds * self._rate_per_second,
         )
         if self._tokens < 1:
             return (1 - self._tokens) / self._rate_per_second
@@ -75,46 +76,46 @@
 
 
 class FaultGate:
-    """Decides what happens to each call."""
+    """Applies the faults to each call."""
 
     def __init__(self) -> None:
-        """Start without faults."""
-        self._moving = anyio.Event()
-        self._moving.set()
+        """Build a gate without faults."""
+        self._unfrozen = anyio.Event()
+        self._unfrozen.set()
         self.faults = Faults()
-        self._replies_to_lose = 0
+        self._responses_to_drop = 0
         self._buckets: dict[bool, _Bucket] = {}
         self._taken: Counter[CallKind] = Counter()
         self._throttled = 0
         self._refused = 0
 
     def replace(self, now: float, faults: Faults) -> None:
-        """Put other faults in force."""
+        """Replace the active faults."""
         self.faults = faults
-        self._replies_to_lose = faults.lose_replies
+        self._responses_to_drop = faults.lose_replies
         self._buckets = {}
         if not faults.freeze:
-            self._moving.set()
-        elif self._moving.is_set():
-            self._moving = anyio.Event()
+            self._unfrozen.set()
+        elif self._unfrozen.is_set():
+            self._unfrozen = anyio.Event()
         if faults.reads_per_second:
             self._buckets[False] = _Bucket(faults.reads_per_second, now)
         if faults.writes_per_second:
             self._buckets[True] = _Bucket(faults.writes_per_second, now)
 
-    async def hold(self) -> None:
-        """Keep a call back as the faults want; call it again to answer."""
-        await self._moving.wait()
+    async def delay_call(self) -> None:
+        """Delay a call by the active faults; also awaited before a response."""
+        await self._unfrozen.wait()
         await anyio.sleep(self.faults.delay_seconds)
 
-    def refuses(self) -> bool:
-        """Tell whether a call meets an outage."""
+    def rejects_call(self) -> bool:
+        """Return whether an outage rejects a call, and count it."""
         self._refused += self.faults.outage
         return self.faults.outage
 
     def throttle_seconds(self, now: float, kind: CallKind) -> float:
-        """Count a call; tell how long it must stay away, 0 if it may pass."""
-        bucket = self._buckets.get(kind in _WRITES)
+        """Count a call; return the wait before a retry, 0 if it is admitted."""
+        bucket = self._buckets.get(kind in _WRITE_KINDS)
         wait_seconds = bucket.wait_seconds(now) if bucket else 0
         if wait_seconds:
             self._throttled += 1
@@ -122,14 +123,14 @@
             self._taken[kind] += 1
         return wait_seconds
 
-    def loses_reply(self) -> bool:
-        """Tell whether the reply of a write that took effect gets lost."""
-        if not self._replies_to_lose:
+    def drops_response(self) -> bool:
+        """Return whether to drop the response to a write that was applied."""
+        if not self._responses_to_drop:
             return False
-        self._replies_to_lose -= 1
+        self._responses_to_drop -= 1
         return True
 
-    def calls(self) -> Calls:
-        """Tell the counters."""
+    def call_counts(self) -> CallCounts:
+        """Return the counters."""
         taken = {kind.value: self._taken[kind] for kind in CallKind}
-        return Calls(taken, self._throttled, self._refused)
+        return CallCounts(taken, self._throttled, self._refused)
--- a/src/sardinetrack/standin/platform_objects.py
+++ b/src/sardinetrack/standin/platform_objects.py
@@ -1,4 +1,4 @@
-"""The object calls of the platform's stand-in."""
+"""Object calls of the platform's stand-in."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 
 class ObjectCalls:
-    """Answers reads, conditional writes and watches."""
+    """Handles reads, conditional writes and watches."""
 
     def __init__(self, platform: MemoryPlatform, gate: FaultGate) -> None:
-        """Remember the store and the faults."""
+        """Build handlers for a store, with the faults of a gate."""
         self._platform = platform
         self._gate = gate
 
     async def get(self, exchange: Exchange, key: str) -> None:
-        """Answer a read of one object."""
+        """Handle a read of one object."""
         stored = await self._platform.get(key)
         if stored is None:
             await exchange.answer(HTTPStatus.NOT_FOUND)
@@ -41,7 +41,7 @@
         await exchange.answer_json(HTTPStatus.OK, object_body(stored))
 
     async def put(self, exchange: Exchange, key: str, value: bytes) -> None:
-        """Answer a write."""
+        """Handle a write."""
         if len(value) > MAX_VALUE_BYTES:
             await exchange.answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
             return
@@ -53,12 +53,12 @@
                 expected_version=_expected_version(exchange),
             )
         except ConflictError as error:
-            await _answer_conflict(exchange, error)
+            await _respond_conflict(exchange, error)
             return
-        await self._answer_write(exchange, object_body(stored))
+        await self._respond_write(exchange, object_body(stored))
 
     async def delete(self, exchange: Exchange, key: str) -> None:
-        """Answer a deletion, which must name the version."""
+        """Handle a deletion, which must name the expected version."""
         expected_version = _expected_version(exchange)
         if expected_version is None:
             await exchange.answer(HTTPStatus.PRECONDITION_REQUIRED)
@@ -69,13 +69,13 @@
                 expected_version=expected_version,
             )
         except ConflictError as error:
-            await _answer_conflict(exchange, error)
+            await _respond_conflict(exchange, error)
             return
-        gone = ObjectBody(key, version, deleted=True)
-        await self._answer_write(exchange, gone)
+        tombstone = ObjectBody(key, version, deleted=True)
+        await self._respond_write(exchange, tombstone)
 
     async def list(self, exchange: Exchange, prefix: str) -> None:
-        """Answer a read of all objects under a prefix."""
+        """Handle a read of all objects under a prefix."""
         listing = await self._platform.list(prefix)
         await exchange.answer_json(HTTPStatus.OK, listing_body(listing))
 
@@ -86,12 +86,14 @@
         after_revision: int,
         wait_seconds: float,
     ) -> None:
-        """Answer a watch, or cut it off as the faults want."""
-        seen: Listing | None = None
+        """Handle a watch, or close its connection if a fault is active."""
+        changes: Listing | None = None
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_cancel_when_gone, exchange, tasks.cancel_scope)
+            tasks.start_soon(
+                _cancel_on_disconnect, exchange, tasks.cancel_scope
+            )
             try:
-                seen = await self._platform.watch(
+                changes = await self._platform.watch(
                     prefix,
                     after_revision=after_revision,
                     wait_seconds=wait_seconds,
@@ -101,31 +103,33 @@
             except UnavailableError:
                 await exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE)
             tasks.cancel_scope.cancel()
-        if seen is not None:
-            await self._answer_watch(exchange, prefix, seen)
+        if changes is not None:
+            await self._respond_watch(exchange, prefix, changes)
 
-    async def _answer_watch(
+    async def _respond_watch(
         self,
         exchange: Exchange,
         prefix: str,
-        seen: Listing,
+        changes: Listing,
     ) -> None:
-        await self._gate.hold()
+        await self._gate.delay_call()
         if self._gate.faults.watch_break:
-            await _cut(exchange)
+            await _close_early(exchange)
             return
-        if self._gate.faults.watch_repeat and seen.objects:
-            every = await self._platform.list(prefix)
-            seen = Listing(seen.revision, (*seen.objects, *every.objects))
-        await exchange.answer_json(HTTPStatus.OK, listing_body(seen))
+        if self._gate.faults.watch_repeat and changes.objects:
+            current = await self._platform.list(prefix)
+            changes = Listing(
+                changes.revision, (*changes.objects, *current.objects)
+            )
+        await exchange.answer_json(HTTPStatus.OK, listing_body(changes))
 
-    async def _answer_write(
+    async def _respond_write(
         self,
         exchange: Exchange,
         body: ObjectBody,
     ) -> None:
-        if self._gate.loses_reply():
-            await _cut(exchange)
+        if self._gate.drops_response():
+            await _close_early(exchange)
         else:
             await exchange.answer_json(HTTPStatus.OK, body)
 
@@ -137,7 +141,7 @@
     return int(version) if version else None
 
 
-async def _answer_conflict(exchange: Exchange, error: ConflictError) -> None:
+async def _respond_conflict(exchange: Exchange, error: ConflictError) -> None:
     current = object_body(error.current) if error.current else None
     await exchange.answer_json(
         HTTPStatus.PRECONDITION_FAILED,
@@ -145,12 +149,12 @@
     )
 
 
-async def _cut(exchange: Exchange) -> None:
-    # Leaving with a body byte owed makes uvicorn close the connection.
+async def _close_early(exchange: Exchange) -> None:
+    # Returning with one body byte missing makes uvicorn close the connection.
     await exchange.start(HTTPStatus.OK, (('content-length', '1'),))
 
 
-async def _cancel_when_gone(
+async def _cancel_on_disconnect(
     exchange: Exchange,
     scope: anyio.CancelScope,
 ) -> None:
--- a/src/sardinetrack/standin/platform_process.py
+++ b/src/sardinetrack/standin/platform_process.py
@@ -1,4 +1,4 @@
-"""Serve the platform's stand-in as a process of its own."""
+"""Serve the platform's stand-in as a separate process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sardinetrack.config.model import Port
 from sardinetrack.config.secret import Secret, resolve_secret
 from sardinetrack.http.server import serving
-from sardinetrack.standin.hosting import announce
+from sardinetrack.standin.hosting import print_url
 from sardinetrack.standin.platform import PlatformStandin
 
 
@@ -27,5 +27,5 @@
     """Serve an empty platform until cancelled."""
     standin = PlatformStandin(resolve_secret(settings.token))
     async with serving(standin, settings.ip, settings.port) as server:
-        announce(server.url)
+        print_url(server.url)
         await anyio.sleep_forever()
--- a/src/sardinetrack/standin/relay.py
+++ b/src/sardinetrack/standin/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay for tests, whose link can be cut, frozen or slowed."""
+"""A TCP proxy for tests that can cut, freeze or delay its connections."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from anyio.streams.stapled import MultiListener
 
 _BUFFERED_CHUNKS: Final = 64
-_END: Final = b''
+_END_OF_STREAM: Final = b''
 
 _log: Final = logging.getLogger(__name__)
 
 
 class Direction(Enum):
-    """The way of bytes through the relay."""
+    """The direction of bytes through the proxy."""
 
     TO_TARGET = auto()
     TO_CALLER = auto()
@@ -33,94 +33,93 @@
 
 @dataclass(frozen=True, slots=True)
 class _Delivery:
-    """Bytes on their way; an empty chunk is the end of the stream."""
+    """Bytes to forward; an empty chunk is the end of the stream."""
 
     due_seconds: float
     chunk: bytes
 
 
-class _Line:
-    """One caller's connection through the relay."""
+class _ProxiedConnection:
+    """One caller's connection through the proxy."""
 
     def __init__(self, caller: SocketStream) -> None:
-        """Let its bytes flow."""
         self.caller = caller
-        self.stranded = False
-        self.delivered = anyio.Event()
-        self.delivered.set()
-
-    def strand(self) -> None:
-        """Break the caller's end; hold what it has sent."""
-        self.stranded = True
-        self.delivered = anyio.Event()
+        self.caller_reset = False
+        self.released = anyio.Event()
+        self.released.set()
+
+    def reset_caller(self) -> None:
+        """Close the caller's end; withhold the bytes that it has sent."""
+        self.caller_reset = True
+        self.released = anyio.Event()
         transport_socket = self.caller.extra(SocketAttribute.raw_socket)
         try:
             transport_socket.shutdown(socket.SHUT_RDWR)
         except OSError as error:
-            _log.debug('a caller left before: %s', error)
+            _log.debug('caller had already disconnected: %s', error)
 
 
 class Relay:
-    """Passes TCP connections on to a target; ``relaying`` opens it."""
+    """Forwards TCP connections to a target; ``relaying`` runs it."""
 
     def __init__(self, target_ip: str, target_port: int) -> None:
-        """Build a closed relay inside a running event loop.
+        """Build a proxy that is not yet open; needs a running event loop.
 
-        :param target_ip: the IP number of the target.
-        :param target_port: its port.
+        :param target_ip: IP address of the target.
+        :param target_port: port of the target.
         """
         self.delay_seconds: float = 0
         self.port = 0
         self._target = (target_ip, target_port)
         self._dropped: set[Direction] = set()
-        self._lines: set[_Line] = set()
-        self._flowing = anyio.Event()
-        self._flowing.set()
+        self._connections: set[_ProxiedConnection] = set()
+        self._unfrozen = anyio.Event()
+        self._unfrozen.set()
         self._serving = anyio.CancelScope()
         self._opened = anyio.Event()
         self._closed = anyio.Event()
         self._restored = anyio.Event()
 
     async def cut(self) -> None:
-        """Close all connections and refuse others; return when it is so."""
+        """Close all connections and the port; return when they are closed."""
         self._serving.cancel()
         await self._closed.wait()
 
     async def restore(self) -> None:
-        """Take connections again after a cut; return when it is so."""
+        """Open the port again after a cut; return when it is open."""
         self._restored.set()
         await self._opened.wait()
 
     def freeze(self) -> None:
-        """Hold all bytes both ways; connections stay open."""
-        if self._flowing.is_set():
-            self._flowing = anyio.Event()
+        """Withhold all bytes in both directions; connections stay open."""
+        if self._unfrozen.is_set():
+            self._unfrozen = anyio.Event()
 
     def thaw(self) -> None:
-        """Let the held bytes go on."""
-        self._flowing.set()
+        """Forward the withheld bytes and all later ones."""
+        self._unfrozen.set()
 
     def strand(self) -> None:
-        """Break all connections towards their callers alone.
+        """Close all connections at their callers' end only.
 
-        What the callers have sent stays on its way, as packets do that are
-        delayed in a network, and arrives after ``deliver``; its target never
-        learns that the sender is gone.
+        The bytes that the callers have sent are withheld, like packets that
+        a network delays, and arrive after ``deliver``. The target doesn't
+        see that the caller disconnected.
         """
-        for line in self._lines:
-            line.strand()
+        for connection in self._connections:
+            connection.reset_caller()
 
     def deliver(self) -> None:
-        """Let the bytes of stranded connections arrive."""
-        for line in self._lines:
-            line.delivered.set()
+        """Forward the withheld bytes of connections closed by ``strand``."""
+        for connection in self._connections:
+            connection.released.set()
 
     def drop(self, direction: Direction) -> None:
-        """Lose what goes this way from now on."""
+        """Discard all bytes in a direction from now on."""
         self._dropped.add(direction)
 
     def stop_dropping(self) -> None:
-        """Lose nothing more."""
+        """Forward bytes in both directions again."""
         self._dropped.clear()
 
     async def serve(
@@ -130,11 +129,11 @@
         *,
         task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Relay until cancelled, through cuts.
+        """Serve until cancelled, across cuts.
 
-        :param ip: an IP number to listen at.
-        :param port: 0 lets the system choose; a cut keeps the choice.
-        :param task_status: told when the port is open.
+        :param ip: IP address to listen at.
+        :param port: 0 lets the system choose; a cut keeps the port.
+        :param task_status: started when the port is open.
         """
         self.port = port
         listener = await self._listen(ip)
@@ -164,51 +163,53 @@
         with anyio.CancelScope() as scope:
             self._serving = scope
             self._opened.set()
-            await listener.serve(self._link)
+            await listener.serve(self._handle)
 
-    async def _link(self, caller: SocketStream) -> None:
-        line = _Line(caller)
-        self._lines.add(line)
+    async def _handle(self, caller: SocketStream) -> None:
+        connection = _ProxiedConnection(caller)
+        self._connections.add(connection)
         try:
-            await self._connect(line)
+            await self._connect(connection)
         finally:
-            self._lines.discard(line)
+            self._connections.discard(connection)
 
-    async def _connect(self, line: _Line) -> None:
-        caller = line.caller
-        await self._flowing.wait()
-        await line.delivered.wait()
+    async def _connect(self, connection: _ProxiedConnection) -> None:
+        caller = connection.caller
+        await self._unfrozen.wait()
+        await connection.released.wait()
         try:
             target = await anyio.connect_tcp(*self._target)
         except OSError as error:
-            _log.debug('target refused: %s', error)
+            _log.debug('target refused the connection: %s', error)
             await caller.aclose()
             return
         async with caller, target:
-            await self._pump_both(line, target)
+            await self._forward_both(connection, target)
 
-    async def _pump_both(
+    async def _forward_both(
         self,
-        line: _Line,
+        connection: _ProxiedConnection,
         target: SocketStream,
     ) -> None:
-        caller = line.caller
+        caller = connection.caller
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(
-                    self._pump,
-                    line,
+                    self._forward,
+                    connection,
                     caller,
                     target,
                     Direction.TO_TARGET,
                 )
-                await self._pump(line, target, caller, Direction.TO_CALLER)
+                await self._forward(
+                    connection, target, caller, Direction.TO_CALLER
+                )
         except* anyio.BrokenResourceError:
-            _log.debug('a peer reset its connection')
+            _log.debug('caller or target reset its connection')
 
-    async def _pump(
+    async def _forward(
         self,
-        line: _Line,
+        connection: _ProxiedConnection,
         source: SocketStream,
         sink: SocketStream,
         direction: Direction,
@@ -218,7 +219,7 @@
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._read, source, sender)
-            await self._write(line, receiver, sink, direction)
+            await self._write(connection, receiver, sink, direction)
 
     async def _read(
         self,
@@ -228,11 +229,11 @@
         async with sender:
             async for chunk in source:
                 await sender.send(self._delivery(chunk))
-            await sender.send(self._delivery(_END))
+            await sender.send(self._delivery(_END_OF_STREAM))
 
     async def _write(
         self,
-        line: _Line,
+        connection: _ProxiedConnection,
         receiver: MemoryObjectReceiveStream[_Delivery],
         sink: SocketStream,
         direction: Direction,
@@ -240,23 +241,25 @@
         async with receiver:
             async for delivery in receiver:
                 await anyio.sleep_until(delivery.due_seconds)
-                await self._flowing.wait()
-                await line.delivered.wait()
-                if self._loses(line, direction, delivery):
+                await self._unfrozen.wait()
+                await connection.released.wait()
+                if self._drops(connection, direction, delivery):
                     continue
-                if delivery.chunk == _END:
+                if delivery.chunk == _END_OF_STREAM:
                     await sink.send_eof()
                 else:
                     await sink.send(delivery.chunk)
 
-    def _loses(
+    def _drops(
         self,
-        line: _Line,
+        connection: _ProxiedConnection,
         direction: Direction,
         delivery: _Delivery,
     ) -> bool:
-        ends = delivery.chunk == _END
-        return direction in self._dropped or (line.stranded and ends)
+        is_end = delivery.chunk == _END_OF_STREAM
+        return direction in self._dropped or (
+            connection.caller_reset and is_end
+        )
 
     def _delivery(self, chunk: bytes) -> _Delivery:
         return _Delivery(anyio.current_time() + self.delay_seconds, chunk)
@@ -270,13 +273,13 @@
     ip: str = '127.0.0.1',
     port: int = 0,
 ) -> AsyncIterator[Relay]:
-    """Run a relay while the context lasts.
+    """Run a proxy while the context lasts.
 
-    :param target_ip: the IP number of the target.
-    :param target_port: its port.
-    :param ip: an IP number to listen at.
+    :param target_ip: IP address of the target.
+    :param target_port: port of the target.
+    :param ip: IP address to listen at.
     :param port: 0 lets the system choose.
-    :return: the open relay.
+    :return: the open proxy.
     """
     relay = Relay(target_ip, target_port)
     async with anyio.create_task_group() as tasks:
--- a/src/sardinetrack/standin/service.py
+++ b/src/sardinetrack/standin/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service."""
+"""Stand-in for a plain service, which echoes requests."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 KEY_HEADER: Final = 'x-standin-key'
 
 _LOOKUP: Final = '/lookup/'
-_PIECE: Final = b'0123456789abcdef' * 1024
-_BODILESS: Final = frozenset((204, 304))
-_FIRST_STATUS: Final = 200
-_LAST_STATUS: Final = 599
+_CHUNK: Final = b'0123456789abcdef' * 1024
+_STATUSES_WITHOUT_BODY: Final = frozenset((204, 304))
+_MIN_STATUS: Final = 200
+_MAX_STATUS: Final = 599
 _JSON: Final = ('content-type', 'application/json')
 _BINARY: Final = ('content-type', 'application/octet-stream')
 
@@ -37,8 +37,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Wishes:
-    """What the query asks of the answer."""
+class _ResponseOptions:
+    """Options of the response, given in the query."""
 
     status: int
     delay_seconds: float
@@ -46,87 +46,89 @@
     headers: tuple[tuple[str, str], ...]
 
     @classmethod
-    def parse(cls, query: str) -> _Wishes:
-        """Read a query.
+    def parse(cls, query: str) -> _ResponseOptions:
+        """Parse a query.
 
-        :raises ValueError: a wish is malformed.
+        :raises ValueError: an option is invalid.
         """
         fields = parse_qs(query)
-        status = int(_first(fields, 'status', str(OK)))
-        if not _FIRST_STATUS <= status <= _LAST_STATUS:
+        status = int(_first_or_default(fields, 'status', str(OK)))
+        if not _MIN_STATUS <= status <= _MAX_STATUS:
             raise ValueError(status)
-        size = _first(fields, 'bytes', '')
+        size = _first_or_default(fields, 'bytes', '')
         return cls(
             status,
-            float(_first(fields, 'delay_seconds', '0')),
+            float(_first_or_default(fields, 'delay_seconds', '0')),
             int(size) if size else None,
-            tuple(_pair(text) for text in fields.get('header', ())),
+            tuple(_split_header(text) for text in fields.get('header', ())),
         )
 
 
 class Service(StandIn):
-    """Echoes requests; runs each to its end though its caller leaves."""
+    """Echoes requests; runs each to its end even if its caller disconnects."""
 
     def __init__(self, settings: ServiceSettings) -> None:
-        """Build a service inside a running event loop."""
+        """Build a service; needs a running event loop."""
         super().__init__(
             settings.faults,
             checks_fencing=settings.checks_fencing,
         )
 
     async def handle(self, request: Request) -> None:
-        """Answer any method and path."""
+        """Handle any method and path."""
         exchange = request.exchange
         try:
-            wishes = _Wishes.parse(exchange.scope['query_string'].decode())
+            options = _ResponseOptions.parse(
+                exchange.scope['query_string'].decode()
+            )
         except ValueError:
-            await self.answer_error(request, BAD_REQUEST)
+            await self.respond_error(request, BAD_REQUEST)
             return
         with self.executions.running(_key(request)) as execution:
             body = request.body.decode(errors='replace')
             if self.faults.current.crashes_on(f'{exchange.target} {body}'):
                 await self.crash()
-            await self._run(request, wishes, execution)
+            await self._run(request, options, execution)
 
     async def _run(
         self,
         request: Request,
-        wishes: _Wishes,
+        options: _ResponseOptions,
         execution: Execution,
     ) -> None:
-        await anyio.sleep(wishes.delay_seconds)
-        await self.faults.thawed()
+        await anyio.sleep(options.delay_seconds)
+        await self.faults.wait_unfrozen()
         faults = self.faults.current
         execution.finish()
         await anyio.sleep(faults.late_seconds)
         if faults.error_status is not None:
-            await self.answer_error(request, faults.error_status)
+            await self.respond_error(request, faults.error_status)
             return
-        await self._answer(request, wishes, execution)
+        await self._respond(request, options, execution)
 
-    async def _answer(
+    async def _respond(
         self,
         request: Request,
-        wishes: _Wishes,
+        options: _ResponseOptions,
         execution: Execution,
     ) -> None:
         exchange = request.exchange
-        if wishes.size_bytes is None:
+        if options.size_bytes is None:
             content = msgspec.json.encode(_content(request, execution))
-            kind, pieces, size_bytes = _JSON, iter((content,)), len(content)
+            kind, chunks, size_bytes = _JSON, iter((content,)), len(content)
         else:
-            size_bytes = wishes.size_bytes
-            kind, pieces = _BINARY, _pieces(size_bytes)
-        if wishes.status in _BODILESS:
-            await exchange.start(wishes.status, wishes.headers)
+            size_bytes = options.size_bytes
+            kind, chunks = _BINARY, _chunks(size_bytes)
+        if options.status in _STATUSES_WITHOUT_BODY:
+            await exchange.start(options.status, options.headers)
             await exchange.finish()
             return
         length = ('content-length', str(size_bytes))
-        await exchange.start(wishes.status, (kind, length, *wishes.headers))
-        for position, piece in enumerate(pieces):
+        await exchange.start(options.status, (kind, length, *options.headers))
+        for position, chunk in enumerate(chunks):
             if self.faults.current.cut_after_chunks == position:
-                await self.cut(request, execution)
-            await exchange.write(piece)
+                await self.abort_connection(request, execution)
+            await exchange.write(chunk)
         await exchange.finish()
 
 
@@ -135,11 +137,13 @@
     await run(Service(settings), settings.ip, settings.port)
 
 
-def _first(fields: dict[str, list[str]], name: str, default: str) -> str:
+def _first_or_default(
+    fields: dict[str, list[str]], name: str, default: str
+) -> str:
     return fields.get(name, [default])[0]
 
 
-def _pair(text: str) -> tuple[str, str]:
+def _split_header(text: str) -> tuple[str, str]:
     name, _, content = text.partition(':')
     return (name, content)
 
@@ -170,6 +174,6 @@
     return content
 
 
-def _pieces(size_bytes: int) -> Iterator[bytes]:
-    for start in range(0, size_bytes, len(_PIECE)):
-        yield _PIECE[: size_bytes - start]
+def _chunks(size_bytes: int) -> Iterator[bytes]:
+    for start in range(0, size_bytes, len(_CHUNK)):
+        yield _CHUNK[: size_bytes - start]
--- a/src/sardinetrack/standin/settings.py
+++ b/src/sardinetrack/standin/settings.py
@@ -1,4 +1,4 @@
-"""Validated settings of the stand-ins for backend servers."""
+"""Settings of the stand-ins for backend servers."""
 
 from __future__ import annotations
 
--- a/tests/standin/engine.feature
+++ b/tests/standin/engine.feature
@@ -1,26 +1,26 @@
 Feature: Stand-in for a model engine
 
-  Scenario: A stream has the protocol's shape and its terminal
+  Scenario: A stream has the protocol's format and its terminal event
     Given a model engine
-    When a stream is asked for with "say id=a1 tokens=5"
+    When a stream is requested with "say id=a1 tokens=5"
     Then the stream's text is "w0-a1 w1-a1 w2-a1 w3-a1 w4-a1"
-    And the stream opens with the role and ends with usage and the terminal
+    And the stream opens with the role and ends with usage and the terminal event
     And the engine soon counts for "a1": 1 started, 1 finished, 0 cancelled, 0 cut
 
-  Scenario: A plain answer is determined by its request
+  Scenario: A plain response is determined by its request
     Given a model engine
-    When "no markers here" is asked twice
-    Then both answers have the same text of 16 words
+    When "no markers here" is sent twice
+    Then both responses have the same text of 16 words
     And their ids differ in the ordinal of the execution only
 
-  Scenario: A prompt with a known prefix is read faster
+  Scenario: The prefix of a known prompt is cached
     Given a model engine
-    When a prompt of 40 words is asked twice
-    Then the second answer reports 32 cached prompt tokens
+    When a prompt of 40 words is sent twice
+    Then the second response reports 32 cached prompt tokens
 
-  Scenario Outline: Past the knee all requests slow down
+  Scenario Outline: Beyond the knee all requests slow down
     Given rates of 0.01 seconds a token with the knee at 8
-    Then with <running> running a token takes <seconds> seconds
+    Then with <running> running requests a token takes <seconds> seconds
 
     Examples:
       | running | seconds |
@@ -38,44 +38,44 @@
 
   Scenario: A closed connection cancels the generation
     Given a model engine
-    When a stream with "id=left tokens=100000" is left after its first event
+    When the caller of a stream with "id=left tokens=100000" disconnects after its first event
     Then the engine soon counts for "left": 1 started, 0 finished, 1 cancelled, 0 cut
 
-  Scenario: A crash cuts every running request
+  Scenario: A crash interrupts every running request
     The marked prompt arrives while another stream is running. The engine
-    cuts both connections at once and refuses new ones while it restarts.
-    Neither caller sees a terminal, so neither answer looks complete.
+    aborts both connections and refuses new ones while it restarts. Neither
+    caller receives a terminal event, so neither response looks complete.
     Given a model engine
     And its faults are {"crash_marker": "poison", "restart_seconds": 30}
     When a stream with "id=bystander tokens=100000" is running
-    And "poison id=culprit" is asked
-    Then both requests are broken
+    And "poison id=culprit" is sent
+    Then both requests are interrupted
     And the engine soon refuses connections
-    And the engine object counted a cut of "culprit" and of "bystander"
+    And the engine object counted interrupted executions of "culprit" and of "bystander"
 
-  Scenario: A crashed engine comes back on its port with empty memory
+  Scenario: A crashed engine restarts on its port with no state left
     Given a model engine
     And its faults are {"crash_marker": "poison", "restart_seconds": 0.2}
-    When an order with number 7 has status 200
-    And "poison id=culprit" is asked
-    Then the engine soon answers again
-    And an order with number 3 has status 200
+    When a load command with fencing token 7 has status 200
+    And "poison id=culprit" is sent
+    Then the engine soon responds again
+    And a load command with fencing token 3 has status 200
 
-  Scenario: A frozen engine answers once thawed
+  Scenario: A frozen engine responds once it is no longer frozen
     Given a model engine
     And its faults are {"frozen": true}
-    When "id=cold tokens=3" is asked without waiting
-    Then there is no answer within 0.3 seconds
-    And after the faults are {} the answer is "w0-cold w1-cold w2-cold"
+    When "id=cold tokens=3" is sent without waiting
+    Then there is no response within 0.3 seconds
+    And after the faults are {} the response is "w0-cold w1-cold w2-cold"
 
-  Scenario Outline: A stream is cut after some tokens
-    The engine writes two tokens and its connection breaks. The caller has
-    part of the text, or all of it, but no terminal and no protocol end:
-    it must not take the answer for whole.
+  Scenario Outline: A stream is truncated after some tokens
+    The engine writes two tokens and aborts the connection. The caller has
+    received some or all of the text, but neither the terminal event nor the
+    end of the HTTP body, so it must not treat the response as complete.
     Given a model engine
     And its faults are {"cut_after_chunks": 2}
-    When a stream is asked for with "id=short tokens=<tokens>"
-    Then the stream broke after the text "w0-short w1-short"
+    When a stream is requested with "id=short tokens=<tokens>"
+    Then the stream was interrupted after the text "w0-short w1-short"
     And the engine soon counts for "short": 1 started, 0 finished, 0 cancelled, 1 cut
 
     Examples:
@@ -86,8 +86,8 @@
   Scenario Outline: Errors come before or after the run
     Given a model engine
     And its faults are <faults>
-    When "id=err" is asked
-    Then the answer's status is 503
+    When "id=err" is sent
+    Then the response's status is 503
     And the engine soon counts for "err": <runs> started, <runs> finished, 0 cancelled, 0 cut
 
     Examples:
--- a/tests/standin/environment.py
+++ b/tests/standin/environment.py
@@ -1,4 +1,4 @@
-"""An event loop for each scenario."""
+"""Run an event loop for each scenario."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def before_scenario(context: Any, scenario: object) -> None:
-    """Start the loop and an HTTP client in it."""
+    """Start an event loop with an HTTP client in it."""
     context.stack = ExitStack()
     context.portal = context.stack.enter_context(start_blocking_portal())
     context.http = context.stack.enter_context(
@@ -20,5 +20,5 @@
 
 
 def after_scenario(context: Any, scenario: object) -> None:
-    """Close all that the scenario opened, newest first."""
+    """Close everything that the scenario opened, in reverse order."""
     context.stack.close()
--- a/tests/standin/relay.feature
+++ b/tests/standin/relay.feature
@@ -1,52 +1,52 @@
-Feature: Relay between a caller and a target
+Feature: TCP proxy between a caller and a target
 
-  Scenario: It passes requests on
-    Given a plain service behind a relay
-    Then a lookup through the relay is answered
+  Scenario: It forwards requests
+    Given a plain service behind a proxy
+    Then a lookup through the proxy succeeds
 
-  Scenario: A cut breaks what runs and refuses what comes
-    A request is running through the relay when the link is cut: its caller
-    sees a broken connection, and the next caller none at all.
-    Given a plain service behind a relay
-    When a slow request runs through the relay
-    And the relay is cut
-    Then the slow request broke
-    And a lookup through the relay is not sent
-    And after it is restored a lookup through the relay is answered
+  Scenario: A cut closes open connections and refuses new ones
+    A request is running through the proxy when it is cut: its connection is
+    interrupted, and the next caller can't connect.
+    Given a plain service behind a proxy
+    When a slow request runs through the proxy
+    And the proxy is cut
+    Then the slow request was interrupted
+    And a lookup through the proxy is not sent
+    And after it is restored a lookup through the proxy succeeds
 
-  Scenario: A freeze holds bytes and keeps connections
-    Given a plain service behind a relay
-    When the relay is frozen
-    And a lookup is sent through the relay
-    Then there is no answer within 0.3 seconds
-    And once the relay is thawed the lookup is answered
+  Scenario: A freeze withholds bytes and keeps connections open
+    Given a plain service behind a proxy
+    When the proxy is frozen
+    And a lookup is sent through the proxy
+    Then there is no response within 0.3 seconds
+    And once the proxy is thawed the lookup succeeds
     And the service soon ran 1 lookup
 
-  Scenario: Answers are lost one way
-    The request reaches the service and runs; its answer is dropped on the
-    way back, so that the caller cannot tell whether it ran.
-    Given a plain service behind a relay
-    When the relay drops what goes to the caller
-    And a lookup is sent through the relay
+  Scenario: Responses are dropped in one direction
+    The request reaches the service and runs; its response is dropped, so
+    that the caller cannot know whether it ran.
+    Given a plain service behind a proxy
+    When the proxy drops the bytes to the caller
+    And a lookup is sent through the proxy
     Then the service soon ran 1 lookup
-    And there is no answer within 0.3 seconds
+    And there is no response within 0.3 seconds
 
   Scenario: A delay does not lower the rate
-    Given a plain service behind a relay
-    When the relay delays by 0.2 seconds
-    Then a body of 2000000 bytes arrives through the relay
+    Given a plain service behind a proxy
+    When the proxy delays by 0.2 seconds
+    Then a body of 2000000 bytes arrives through the proxy
 
-  Scenario: Stranded bytes arrive though their sender was told of a break
-    The relay holds a request; its caller's connection breaks, and new ones
-    pass. Later the held request reaches the service and runs, as a packet
-    does that a network has delayed.
-    Given a plain service behind a relay
-    When the relay is frozen
-    And a lookup is sent through the relay
-    Then there is no answer within 0.3 seconds
-    When the relay strands what it holds
-    Then the lookup broke
-    And another request through the relay is answered
+  Scenario: Withheld bytes arrive after their sender's connection was closed
+    The proxy withholds a request; its caller's connection is closed, and new
+    connections work. Later the withheld request reaches the service and
+    runs, like a packet that a network has delayed.
+    Given a plain service behind a proxy
+    When the proxy is frozen
+    And a lookup is sent through the proxy
+    Then there is no response within 0.3 seconds
+    When the proxy closes its callers' connections and withholds their bytes
+    Then the lookup was interrupted
+    And another request through the proxy succeeds
     And the service ran no lookup yet
-    When the relay delivers what was stranded
+    When the proxy forwards the withheld bytes
     Then the service soon ran 1 lookup
--- a/tests/standin/service.feature
+++ b/tests/standin/service.feature
@@ -4,7 +4,7 @@
     Given a plain service
     When it is sent PATCH "/a/b?c=1&header=x-shade:blue&status=207" with "hello"
     Then the status is 207 and the header "x-shade" is "blue"
-    And the echo tells the method, target and digest of "hello"
+    And the echo has the method, target and digest of "hello"
 
   Scenario: Lookups are deterministic
     Given a plain service
@@ -14,7 +14,7 @@
   Scenario: Renders are counted by key
     Given a plain service
     When the render "k1" is sent twice
-    Then the second answer says that it was execution 2
+    Then the second response reports execution 2
     And the service counted 2 executions of "k1"
 
   Scenario: A large body
@@ -22,16 +22,16 @@
     When it is sent GET "/file?bytes=1000003" with ""
     Then the body has 1000003 bytes
 
-  Scenario: A large body is cut
+  Scenario: A large body is truncated
     Given a plain service
     And its faults are {"cut_after_chunks": 3}
     When it is sent GET "/file?bytes=1000003" with ""
-    Then the exchange broke
+    Then the response was interrupted
 
-  Scenario: A render runs to its end though its caller left
-    The caller gives up while the service is frozen and the service thaws
-    later. The render then runs: a closed connection does not mean that
-    nothing happened.
+  Scenario: A render runs to its end though its caller disconnected
+    The caller disconnects while the service is frozen, and the freeze ends
+    later. The render then runs: a closed connection does not mean that the
+    request did not run.
     Given a plain service
     And its faults are {"frozen": true}
     When the render "late" is sent and given up after 0.2 seconds
--- a/tests/standin/steps/engine_steps.py
+++ b/tests/standin/steps/engine_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the model engine."""
+"""Steps for the model engine."""
 
 from __future__ import annotations
 
@@ -8,13 +8,20 @@
 from typing import Any
 
 from behave import given, step, then, when
-from standin_steps import PATIENCE_SECONDS, call, counts, host, put_faults, soon
+from standin_steps import (
+    MAX_WAIT_SECONDS,
+    call,
+    counts,
+    host,
+    put_faults,
+    wait_until,
+)
 
 from sardinetrack.http.client import BrokenError, NotSentError
 from sardinetrack.standin.engine import Engine
 from sardinetrack.standin.engine_batch import EngineRates
 from sardinetrack.standin.engine_load import LoadMeter
-from sardinetrack.standin.engine_prompt import answer_text
+from sardinetrack.standin.engine_prompt import expected_text
 from sardinetrack.standin.settings import EngineSettings
 
 CHAT = '/v1/chat/completions'
@@ -31,22 +38,22 @@
     return json.dumps(content).encode()
 
 
-def ask(context: Any, text: str) -> Any:
+def send_chat(context: Any, text: str) -> Any:
     return call(context, 'POST', CHAT, chat_body(text))
 
 
-async def read_stream(context: Any, text: str, seen: list[bytes]) -> None:
+async def read_stream(context: Any, text: str, received: list[bytes]) -> None:
     async with context.http.stream(
         'POST',
         f'{context.url}{CHAT}',
         body=chat_body(text, stream=True),
-        read_seconds=PATIENCE_SECONDS,
+        read_seconds=MAX_WAIT_SECONDS,
     ) as reply:
         async for chunk in reply.chunks():
-            seen.append(chunk)
+            received.append(chunk)
 
 
-async def open_and_leave(context: Any, text: str) -> None:
+async def open_and_disconnect(context: Any, text: str) -> None:
     async with context.http.stream(
         'POST',
         f'{context.url}{CHAT}',
@@ -55,13 +62,13 @@
         await anext(reply.chunks())
 
 
-def events(seen: list[bytes]) -> list[str]:
-    lines = b''.join(seen).decode().split('\n\n')
+def events(received: list[bytes]) -> list[str]:
+    lines = b''.join(received).decode().split('\n\n')
     return [line.removeprefix('data: ') for line in lines if line]
 
 
-def stream_text(seen: list[bytes]) -> str:
-    parts = [json.loads(line) for line in events(seen) if line != '[DONE]']
+def stream_text(received: list[bytes]) -> str:
+    parts = [json.loads(line) for line in events(received) if line != '[DONE]']
     choices = [part['choices'][0] for part in parts if part['choices']]
     return ''.join(choice['delta'].get('content', '') for choice in choices)
 
@@ -71,32 +78,34 @@
     host(context, lambda: Engine(EngineSettings(rates=FAST)))
 
 
-@given('a model engine that ignores fencing numbers')
+@given('a model engine that ignores fencing tokens')
 def engine_unfenced(context: Any) -> None:
     settings = EngineSettings(rates=FAST, checks_fencing=False)
     host(context, lambda: Engine(settings))
 
 
-@when('a stream is asked for with "{text}"')
-def ask_stream(context: Any, text: str) -> None:
-    context.seen = []
-    context.broke = False
+@when('a stream is requested with "{text}"')
+def request_stream(context: Any, text: str) -> None:
+    context.received = []
+    context.interrupted = False
     try:
-        context.portal.call(read_stream, context, text, context.seen)
+        context.portal.call(read_stream, context, text, context.received)
     except BrokenError:
-        context.broke = True
+        context.interrupted = True
 
 
 @then('the stream\'s text is "{text}"')
 def stream_has_text(context: Any, text: str) -> None:
-    assert not context.broke
-    assert stream_text(context.seen) == text, context.seen
-    assert answer_text('a1', 5) == text
+    assert not context.interrupted
+    assert stream_text(context.received) == text, context.received
+    assert expected_text('a1', 5) == text
 
 
-@then('the stream opens with the role and ends with usage and the terminal')
-def stream_shape(context: Any) -> None:
-    lines = events(context.seen)
+@then(
+    'the stream opens with the role and ends with usage and the terminal event'
+)
+def stream_format(context: Any) -> None:
+    lines = events(context.received)
     assert lines[-1] == '[DONE]', lines
     parts = [json.loads(line) for line in lines[:-1]]
     assert {part['object'] for part in parts} == {'chat.completion.chunk'}
@@ -108,11 +117,11 @@
     assert parts[-1]['usage']['completion_tokens'] == 5, parts
 
 
-@then('the stream broke after the text "{text}"')
-def stream_broke(context: Any, text: str) -> None:
-    assert context.broke
-    assert stream_text(context.seen) == text, context.seen
-    assert '[DONE]' not in events(context.seen)
+@then('the stream was interrupted after the text "{text}"')
+def stream_interrupted(context: Any, text: str) -> None:
+    assert context.interrupted
+    assert stream_text(context.received) == text, context.received
+    assert '[DONE]' not in events(context.received)
 
 
 @then(
@@ -128,32 +137,35 @@
     cut: int,
 ) -> None:
     expected = (started, finished, cancelled, cut)
-    soon(lambda: tuple(counts(context, key).values()) == expected)
+    wait_until(lambda: tuple(counts(context, key).values()) == expected)
 
 
-@when('"{text}" is asked')
-def ask_once(context: Any, text: str) -> None:
-    context.broke = False
+@when('"{text}" is sent')
+def send_once(context: Any, text: str) -> None:
+    context.interrupted = False
     try:
-        context.reply = ask(context, text)
+        context.reply = send_chat(context, text)
     except BrokenError:
-        context.broke = True
+        context.interrupted = True
 
 
-@when('"{text}" is asked twice')
-def ask_twice(context: Any, text: str) -> None:
-    context.replies = [json.loads(ask(context, text).body) for _ in range(2)]
+@when('"{text}" is sent twice')
+def send_twice(context: Any, text: str) -> None:
+    context.replies = [
+        json.loads(send_chat(context, text).body) for _ in range(2)
+    ]
 
 
-@when('a prompt of {size:d} words is asked twice')
-def ask_long(context: Any, size: int) -> None:
-    ask_twice(context, ' '.join(f'word{index}' for index in range(size)))
+@when('a prompt of {size:d} words is sent twice')
+def send_long(context: Any, size: int) -> None:
+    send_twice(context, ' '.join(f'word{index}' for index in range(size)))
 
 
-@then('both answers have the same text of {size:d} words')
+@then('both responses have the same text of {size:d} words')
 def same_text(context: Any, size: int) -> None:
     texts = [
-        answer['choices'][0]['message']['content'] for answer in context.replies
+        response['choices'][0]['message']['content']
+        for response in context.replies
     ]
     assert texts[0] == texts[1], texts
     assert len(texts[0].split()) == size, texts
@@ -161,16 +173,16 @@
 
 @then('their ids differ in the ordinal of the execution only')
 def ids_differ(context: Any) -> None:
-    parts = [answer['id'].rpartition('-') for answer in context.replies]
+    parts = [response['id'].rpartition('-') for response in context.replies]
     assert parts[0][0] == parts[1][0], parts
     assert [part[2] for part in parts] == ['1', '2'], parts
 
 
-@then('the second answer reports {cached:d} cached prompt tokens')
+@then('the second response reports {cached:d} cached prompt tokens')
 def cached_prefix(context: Any, cached: int) -> None:
     found = [
-        answer['usage']['prompt_tokens_details']['cached_tokens']
-        for answer in context.replies
+        response['usage']['prompt_tokens_details']['cached_tokens']
+        for response in context.replies
     ]
     assert found == [0, cached], found
 
@@ -180,7 +192,7 @@
     context.rates = EngineRates(base_token_seconds=seconds, knee=knee)
 
 
-@then('with {running:d} running a token takes {seconds:g} seconds')
+@then('with {running:d} running requests a token takes {seconds:g} seconds')
 def token_time(context: Any, running: int, seconds: float) -> None:
     found = context.rates.token_seconds(running)
     assert math.isclose(found, seconds), found
@@ -194,10 +206,10 @@
 @when('{requests:d} requests decode {tokens:d} tokens each at {now:g} seconds')
 def decode(context: Any, requests: int, tokens: int, now: float) -> None:
     for _ in range(requests):
-        context.meter.prefill(now, 10)
-        context.meter.decode(now)
+        context.meter.start_prefill(now, 10)
+        context.meter.start_decode(now)
         for _ in range(tokens):
-            context.meter.token(now)
+            context.meter.count_token(now)
 
 
 @then(
@@ -210,67 +222,69 @@
     assert load.tokens_per_second == rate, load
 
 
-@when('a stream with "{text}" is left after its first event')
-def leave_stream(context: Any, text: str) -> None:
-    context.portal.call(open_and_leave, context, text)
+@when('the caller of a stream with "{text}" disconnects after its first event')
+def disconnect_stream(context: Any, text: str) -> None:
+    context.portal.call(open_and_disconnect, context, text)
 
 
 @when('a stream with "{text}" is running')
 def running_stream(context: Any, text: str) -> None:
-    context.seen = []
+    context.received = []
     context.running = context.portal.start_task_soon(
         read_stream,
         context,
         text,
-        context.seen,
+        context.received,
     )
-    soon(lambda: len(context.seen) > 1)
+    wait_until(lambda: len(context.received) > 1)
 
 
-@then('both requests are broken')
-def both_broken(context: Any) -> None:
-    assert context.broke
-    error = context.running.exception(PATIENCE_SECONDS)
+@then('both requests are interrupted')
+def both_interrupted(context: Any) -> None:
+    assert context.interrupted
+    error = context.running.exception(MAX_WAIT_SECONDS)
     assert isinstance(error, BrokenError), error
-    assert '[DONE]' not in events(context.seen)
+    assert '[DONE]' not in events(context.received)
 
 
 def refuses(context: Any) -> bool:
     try:
-        ask(context, 'id=next')
+        send_chat(context, 'id=next')
     except BrokenError:
         return False
     except NotSentError:
         return True
-    raise AssertionError('the crashed engine answered')
+    raise AssertionError('the crashed engine responded')
 
 
-def answers(context: Any) -> bool:
+def responds(context: Any) -> bool:
     try:
-        return ask(context, 'id=again').status == 200
+        return send_chat(context, 'id=again').status == 200
     except (BrokenError, NotSentError):
         return False
 
 
 @then('the engine soon refuses connections')
 def refuses_soon(context: Any) -> None:
-    soon(lambda: refuses(context))
+    wait_until(lambda: refuses(context))
 
 
-@then('the engine object counted a cut of "{one}" and of "{two}"')
-def cut_both(context: Any, one: str, two: str) -> None:
+@then(
+    'the engine object counted interrupted executions of "{one}" and of "{two}"'
+)
+def both_counted(context: Any, one: str, two: str) -> None:
     found = context.standin.executions.counts
     assert (found[one].started, found[one].cut) == (1, 1), found
     assert (found[two].started, found[two].cut) == (1, 1), found
 
 
-@then('the engine soon answers again')
-def answers_again(context: Any) -> None:
-    soon(lambda: answers(context))
+@then('the engine soon responds again')
+def responds_again(context: Any) -> None:
+    wait_until(lambda: responds(context))
 
 
-@when('"{text}" is asked without waiting')
-def ask_in_background(context: Any, text: str) -> None:
+@when('"{text}" is sent without waiting')
+def send_in_background(context: Any, text: str) -> None:
     context.running = context.portal.start_task_soon(
         partial(
             context.http.call,
@@ -281,34 +295,34 @@
     )
 
 
-@then('after the faults are {faults} the answer is "{text}"')
-def thawed_answer(context: Any, faults: str, text: str) -> None:
+@then('after the faults are {faults} the response is "{text}"')
+def unfrozen_response(context: Any, faults: str, text: str) -> None:
     put_faults(context, faults)
-    answer = json.loads(context.running.result(PATIENCE_SECONDS).body)
-    assert answer['choices'][0]['message']['content'] == text, answer
+    response = json.loads(context.running.result(MAX_WAIT_SECONDS).body)
+    assert response['choices'][0]['message']['content'] == text, response
 
 
-@then("the answer's status is {status:d}")
-def answer_status(context: Any, status: int) -> None:
+@then("the response's status is {status:d}")
+def response_status(context: Any, status: int) -> None:
     assert context.reply.status == status, context.reply
 
 
-@step('an order with number {number:d} has status {status:d}')
-def give_order(context: Any, number: int, status: int) -> None:
+@step('a load command with fencing token {number:d} has status {status:d}')
+def send_load_command(context: Any, number: int, status: int) -> None:
     body = json.dumps({'fencing': number, 'content': {'load': 'm'}}).encode()
     reply = call(context, 'POST', '/orders', body)
     assert reply.status == status, reply
 
 
-@then('a request with number {number:d} has status {status:d}')
+@then('a request with fencing token {number:d} has status {status:d}')
 def fenced_request(context: Any, number: int, status: int) -> None:
     headers = (('sardinetrack-fencing', str(number)),)
     reply = call(context, 'POST', CHAT, chat_body('hello'), headers)
     assert reply.status == status, reply
 
 
-@then('the accepted orders have the numbers {numbers}')
-def accepted_orders(context: Any, numbers: str) -> None:
+@then('the accepted load commands have the fencing tokens {numbers}')
+def accepted_commands(context: Any, numbers: str) -> None:
     orders = json.loads(call(context, 'GET', '/orders').body)
     found = [order['fencing'] for order in orders]
     assert found == [int(text) for text in numbers.split(',')], found
--- a/tests/standin/steps/relay_steps.py
+++ b/tests/standin/steps/relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the relay."""
+"""Steps for the TCP proxy."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from behave import given, step, then, when
 from service_steps import service
-from standin_steps import PATIENCE_SECONDS, counts, soon
+from standin_steps import MAX_WAIT_SECONDS, counts, wait_until
 
 from sardinetrack.http.client import BrokenError, NotSentError
 from sardinetrack.standin.relay import Direction, relaying
@@ -20,7 +20,7 @@
     return context.portal.start_task_soon(context.http.call, 'GET', url)
 
 
-@given('a plain service behind a relay')
+@given('a plain service behind a proxy')
 def relay(context: Any) -> None:
     service(context)
     port = int(context.url.rpartition(':')[2])
@@ -31,92 +31,92 @@
     )
 
 
-@step('a lookup through the relay is answered')
-def answered(context: Any) -> None:
-    reply = start(context, LOOKUP).result(PATIENCE_SECONDS)
+@step('a lookup through the proxy succeeds')
+def lookup_succeeds(context: Any) -> None:
+    reply = start(context, LOOKUP).result(MAX_WAIT_SECONDS)
     assert reply.status == 200, reply
 
 
-@when('a slow request runs through the relay')
+@when('a slow request runs through the proxy')
 def slow(context: Any) -> None:
     context.running = start(context, '/slow?delay_seconds=30')
-    soon(lambda: counts(context, 'GET /slow')['started'] == 1)
+    wait_until(lambda: counts(context, 'GET /slow')['started'] == 1)
 
 
-@when('the relay is cut')
+@when('the proxy is cut')
 def cut(context: Any) -> None:
     context.portal.call(context.relay.cut)
 
 
-@then('the slow request broke')
-def broke(context: Any) -> None:
-    error = context.running.exception(PATIENCE_SECONDS)
+@then('the slow request was interrupted')
+def slow_interrupted(context: Any) -> None:
+    error = context.running.exception(MAX_WAIT_SECONDS)
     assert isinstance(error, BrokenError), error
 
 
-@then('a lookup through the relay is not sent')
+@then('a lookup through the proxy is not sent')
 def not_sent(context: Any) -> None:
-    error = start(context, LOOKUP).exception(PATIENCE_SECONDS)
+    error = start(context, LOOKUP).exception(MAX_WAIT_SECONDS)
     assert isinstance(error, NotSentError), error
 
 
-@then('after it is restored a lookup through the relay is answered')
+@then('after it is restored a lookup through the proxy succeeds')
 def restored(context: Any) -> None:
     context.portal.call(context.relay.restore)
-    answered(context)
+    lookup_succeeds(context)
 
 
-@when('the relay is frozen')
+@when('the proxy is frozen')
 def freeze(context: Any) -> None:
     context.portal.call(context.relay.freeze)
 
 
-@when('a lookup is sent through the relay')
+@when('a lookup is sent through the proxy')
 def send_lookup(context: Any) -> None:
     context.running = start(context, LOOKUP)
 
 
-@then('once the relay is thawed the lookup is answered')
+@then('once the proxy is thawed the lookup succeeds')
 def thaw(context: Any) -> None:
     context.portal.call(context.relay.thaw)
-    assert context.running.result(PATIENCE_SECONDS).status == 200
+    assert context.running.result(MAX_WAIT_SECONDS).status == 200
 
 
 @step('the service soon ran {number:d} lookup')
 def ran_soon(context: Any, number: int) -> None:
-    soon(lambda: counts(context, f'GET {LOOKUP}')['finished'] == number)
+    wait_until(lambda: counts(context, f'GET {LOOKUP}')['finished'] == number)
 
 
-@when('the relay drops what goes to the caller')
+@when('the proxy drops the bytes to the caller')
 def drop(context: Any) -> None:
     context.portal.call(context.relay.drop, Direction.TO_CALLER)
 
 
-@when('the relay delays by {seconds:g} seconds')
+@when('the proxy delays by {seconds:g} seconds')
 def delay(context: Any, seconds: float) -> None:
     context.relay.delay_seconds = seconds
 
 
-@then('a body of {size:d} bytes arrives through the relay')
+@then('a body of {size:d} bytes arrives through the proxy')
 def large(context: Any, size: int) -> None:
-    reply = start(context, f'/file?bytes={size}').result(PATIENCE_SECONDS)
+    reply = start(context, f'/file?bytes={size}').result(MAX_WAIT_SECONDS)
     assert len(reply.body) == size
 
 
-@when('the relay strands what it holds')
+@when("the proxy closes its callers' connections and withholds their bytes")
 def strand(context: Any) -> None:
     context.portal.call(context.relay.strand)
     context.portal.call(context.relay.thaw)
 
 
-@then('the lookup broke')
-def lookup_broke(context: Any) -> None:
-    broke(context)
+@then('the lookup was interrupted')
+def lookup_interrupted(context: Any) -> None:
+    slow_interrupted(context)
 
 
-@then('another request through the relay is answered')
-def another_answered(context: Any) -> None:
-    reply = start(context, '/other').result(PATIENCE_SECONDS)
+@then('another request through the proxy succeeds')
+def another_succeeds(context: Any) -> None:
+    reply = start(context, '/other').result(MAX_WAIT_SECONDS)
     assert reply.status == 200, reply
 
 
@@ -125,6 +125,6 @@
     assert counts(context, f'GET {LOOKUP}')['started'] == 0
 
 
-@when('the relay delivers what was stranded')
+@when('the proxy forwards the withheld bytes')
 def deliver(context: Any) -> None:
     context.portal.call(context.relay.deliver)
--- a/tests/standin/steps/service_steps.py
+++ b/tests/standin/steps/service_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the plain service."""
+"""Steps for the plain service."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 import anyio
 from behave import given, then, when
-from standin_steps import call, counts, host, soon
+from standin_steps import call, counts, host, wait_until
 
 from sardinetrack.http.client import BrokenError
 from sardinetrack.standin.service import Service
 from sardinetrack.standin.settings import ServiceSettings
 
 
-async def leave_render(context: Any, key: str, seconds: float) -> None:
+async def send_and_disconnect(context: Any, key: str, seconds: float) -> None:
     with anyio.move_on_after(seconds):
         await context.http.call(
             'POST',
@@ -32,11 +32,11 @@
 @when('it is sent {method} "{target}" with "{body}"')
 def send(context: Any, method: str, target: str, body: str) -> None:
     context.sent = (method, target)
-    context.broke = False
+    context.interrupted = False
     try:
         context.reply = call(context, method, target, body.encode())
     except BrokenError:
-        context.broke = True
+        context.interrupted = True
 
 
 @when('it is sent {method} "{target}" with ""')
@@ -45,12 +45,12 @@
 
 
 @then('the status is {status:d} and the header "{name}" is "{text}"')
-def answered(context: Any, status: int, name: str, text: str) -> None:
+def status_and_header(context: Any, status: int, name: str, text: str) -> None:
     assert context.reply.status == status, context.reply
     assert context.reply.header(name) == text, context.reply
 
 
-@then('the echo tells the method, target and digest of "{body}"')
+@then('the echo has the method, target and digest of "{body}"')
 def echoed(context: Any, body: str) -> None:
     echo = json.loads(context.reply.body)
     assert (echo['method'], echo['target']) == context.sent, echo
@@ -72,7 +72,7 @@
     context.reply = call(context, 'POST', '/render', body)
 
 
-@then('the second answer says that it was execution {ordinal:d}')
+@then('the second response reports execution {ordinal:d}')
 def execution_ordinal(context: Any, ordinal: int) -> None:
     assert json.loads(context.reply.body)['execution'] == ordinal
 
@@ -85,21 +85,21 @@
 
 @then('the body has {size:d} bytes')
 def body_size(context: Any, size: int) -> None:
-    assert not context.broke
+    assert not context.interrupted
     assert len(context.reply.body) == size
 
 
-@then('the exchange broke')
-def exchange_broke(context: Any) -> None:
-    assert context.broke
+@then('the response was interrupted')
+def response_interrupted(context: Any) -> None:
+    assert context.interrupted
 
 
 @when('the render "{key}" is sent and given up after {seconds:g} seconds')
 def give_up(context: Any, key: str, seconds: float) -> None:
-    context.portal.call(leave_render, context, key, seconds)
+    context.portal.call(send_and_disconnect, context, key, seconds)
     assert counts(context, key)['started'] == 0
 
 
 @then('the service soon counts 1 finished execution of "{key}"')
 def finished_soon(context: Any, key: str) -> None:
-    soon(lambda: counts(context, key)['finished'] == 1)
+    wait_until(lambda: counts(context, key)['finished'] == 1)
--- a/tests/standin/steps/standin_steps.py
+++ b/tests/standin/steps/standin_steps.py
@@ -1,4 +1,4 @@
-"""Steps shared by the stand-ins of backend servers."""
+"""Steps shared by the stand-ins for backend servers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from sardinetrack.standin.hosting import hosting
 
-PATIENCE_SECONDS = 10.0
+MAX_WAIT_SECONDS = 10.0
 
 
 def host(context: Any, build: Callable[[], Any]) -> None:
@@ -38,16 +38,16 @@
         f'{context.url}{path}',
         body=body,
         headers=headers,
-        read_seconds=PATIENCE_SECONDS,
+        read_seconds=MAX_WAIT_SECONDS,
     )
     return context.portal.call(request)
 
 
-def soon(check: Callable[[], bool]) -> None:
-    """Wait until a check holds; fail when it never does."""
-    deadline = time.monotonic() + PATIENCE_SECONDS
+def wait_until(check: Callable[[], bool]) -> None:
+    """Wait until a check returns true; fail after ``MAX_WAIT_SECONDS``."""
+    deadline = time.monotonic() + MAX_WAIT_SECONDS
     while not check():
-        assert time.monotonic() < deadline, 'it never came so'
+        assert time.monotonic() < deadline, 'the condition never became true'
         time.sleep(0.02)
 
 
@@ -64,13 +64,13 @@
     assert reply.status == 204, reply
 
 
-@then('there is no answer within {seconds:g} seconds')
-def no_answer(context: Any, seconds: float) -> None:
+@then('there is no response within {seconds:g} seconds')
+def no_response(context: Any, seconds: float) -> None:
     try:
         context.running.result(seconds)
     except FutureTimeoutError:
         return
-    raise AssertionError('an answer came')
+    raise AssertionError('a response arrived')
 
 
 @then('the faults {faults} are refused')
