--- a/src/sardinetrack/emulator/__init__.py
+++ b/src/sardinetrack/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded crowds before emulated engines; decisions are the product's own."""
+"""Seeded load on emulated engines, with the product's own decisions."""
--- a/src/sardinetrack/emulator/api.py
+++ b/src/sardinetrack/emulator/api.py
@@ -1,4 +1,4 @@
-"""Abstract order of servers, and what a play has shown."""
+"""The interface of placement policies, and the outcome of a simulation."""
 
 from __future__ import annotations
 
@@ -10,45 +10,48 @@
 from sardinetrack.placement.choice import Candidate
 
 
-class Order(ABC):
-    """Which server a request asks first, and which next."""
+class PlacementPolicy(ABC):
+    """Decides in which order a request tries the servers."""
 
     name: ClassVar[str]
     guests_hurry: ClassVar[bool] = False
-    """Whether a server that reads a shared part again gets no patience."""
+    """Whether a request's maximum wait is shorter at a server that computes its
+    shared prefix again."""
 
     @abstractmethod
-    def sort(self, found: list[Candidate]) -> list[Candidate]:
-        """Order candidates, the best first.
+    def rank(self, candidates: list[Candidate]) -> list[Candidate]:
+        """Rank candidates, the best first.
 
-        :param found: in the order of what they would cost.
+        :param candidates: sorted by estimated cost.
+        :return: the candidates in the order to try them.
         """
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of a crowd."""
+    """The outcome of a simulation."""
 
     asked: int = 0
     in_time: int = 0
-    """First token within the objective, counted from the first attempt."""
+    """Requests with their first token within the objective, counted from their
+    first arrival."""
     late: int = 0
     refused: int = 0
-    """Never served: refused, and again when they came back as told."""
+    """Requests never served: refused, and refused again at their retry."""
     refused_first: int = 0
-    """Refused when they came, whatever became of them."""
+    """Requests refused at their first arrival, whatever their retry got."""
     refused_beside_idle: int = 0
-    """Of these, while an engine was idle for 0.2 s and more."""
+    """Of these, requests refused while an engine was idle for 0.2 s or more."""
     again_tokens: int = 0
-    """Of shared parts that were read, each reading counted."""
+    """Tokens of shared prefixes that were computed, each time counted."""
     busiest_part: float = 0
-    """Busy time of the busiest engine to the mean of all."""
+    """Ratio of the busiest engine's busy time to the mean of all engines."""
     asked_by: Counter[str] = field(default_factory=Counter)
     in_time_by: Counter[str] = field(default_factory=Counter)
 
     @property
     def worst_workspace(self) -> float:
-        """Part served in time of the workspace that fared worst."""
+        """Lowest fraction of requests in time of any workspace."""
         return min(
             (self.in_time_by[name] / asked)
             for name, asked in self.asked_by.items()
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -1,4 +1,4 @@
-"""Play a crowd before engines, event by event, on a clock of its own."""
+"""Discrete event simulation of engines under load, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import Final
 
 from sardinetrack.admission.ask import Ask, Granted, Verdict
-from sardinetrack.emulator.api import Order, Outcome
+from sardinetrack.emulator.api import Outcome, PlacementPolicy
 from sardinetrack.emulator.engine import Engine
 from sardinetrack.emulator.load import Request, Shape
 from sardinetrack.fairness.recent import RecentService
@@ -20,26 +20,30 @@
 from sardinetrack.relay.placing import GUEST_SECONDS, MOST_ASKED
 from sardinetrack.turns.side import WORD_SECONDS
 
-IDLE_SECONDS: Final = 0.2
-"""An engine without work for longer is idle."""
-_WAITS_PART: Final = 3.0
-"""Callers come back within this part of the time they have left."""
-Act = Callable[[float], None]
+MIN_IDLE_SECONDS: Final = 0.2
+"""An engine that had no work for longer counts as idle."""
+_REMAINING_TIME_DIVISOR: Final = 3.0
+"""Callers retry within their remaining time divided by this."""
+Action = Callable[[float], None]
 
 
 class Crowd:
-    """Engines, one entry that places, and the callers' patience."""
+    """Simulates engines, one entry that places requests, and callers."""
 
-    def __init__(self, shape: Shape, order: Order) -> None:
-        """Start with idle engines."""
+    def __init__(self, shape: Shape, policy: PlacementPolicy) -> None:
+        """Build a simulation with idle engines.
+
+        :param shape: deployment and load.
+        :param policy: ranks the servers for each request.
+        """
         self.outcome = Outcome()
         self._shape = shape
-        self._order = order
-        self._numbers = count()
-        self._events: list[tuple[float, int, Act]] = []
+        self._policy = policy
+        self._sequence_numbers = count()
+        self._events: list[tuple[float, int, Action]] = []
         self._service = RecentService[str]()
         self._holdings = Holdings()
-        self._asking: dict[str, _Try] = {}
+        self._pending: dict[str, _Attempt] = {}
         engines = [Engine(one, shape) for one in range(shape.engines)]
         self._engines = {one.server.instance: one for one in engines}
         self._loads = {
@@ -50,99 +54,111 @@
         }
 
     def play(self, requests: Iterable[Request], seconds: float) -> Outcome:
-        """Play until every request has ended."""
+        """Run until every request has ended.
+
+        :param requests: the load, in order of arrival.
+        :param seconds: how long load reports are sent.
+        """
         for request in requests:
-            self._at(request.came_seconds, partial(self._come, request))
+            self._schedule(
+                request.arrived_seconds, partial(self._arrive, request)
+            )
         for number in range(int(seconds / WORD_SECONDS)):
-            self._at(number * WORD_SECONDS, self._word)
+            self._schedule(number * WORD_SECONDS, self._send_load_reports)
         while self._events:
-            now, _, act = heapq.heappop(self._events)
-            act(now)
+            now, _, action = heapq.heappop(self._events)
+            action(now)
         busy = [one.busy_seconds for one in self._engines.values()]
         mean = sum(busy) / len(busy)
         self.outcome.busiest_part = max(busy) / mean if mean else 1
         return self.outcome
 
-    def _at(self, moment: float, act: Act) -> None:
-        heapq.heappush(self._events, (moment, next(self._numbers), act))
+    def _schedule(self, moment: float, action: Action) -> None:
+        heapq.heappush(
+            self._events, (moment, next(self._sequence_numbers), action)
+        )
 
-    def _come(self, request: Request, now: float) -> None:
-        if not request.returned:
+    def _arrive(self, request: Request, now: float) -> None:
+        if not request.is_retry:
             self.outcome.asked += 1
             self.outcome.asked_by[request.workspace] += 1
-        self._ask(_Try(request, now), now)
+        self._request_permit(_Attempt(request, now), now)
 
-    def _ask(self, attempt: _Try, now: float) -> None:
-        candidate = self._best(attempt, now)
+    def _request_permit(self, attempt: _Attempt, now: float) -> None:
+        candidate = self._choose_server(attempt, now)
         if candidate is None:
-            self._refused(attempt, now)
+            self._refuse(attempt, now)
             return
         name = candidate.server.instance
         attempt.tried.append(name)
         request = attempt.request
-        patience = attempt.patience_seconds(self._shape, now)
-        guest = candidate.is_guest and self._order.guests_hurry
+        remaining_wait = attempt.remaining_wait_seconds(self._shape, now)
+        recomputes = candidate.is_guest and self._policy.guests_hurry
         ask = Ask(
-            f'{request.name}.{int(request.returned)}.{len(attempt.tried)}',
+            f'{request.name}.{int(request.is_retry)}.{len(attempt.tried)}',
             request.workspace,
             candidate.new_tokens,
             request.own_tokens,
-            self._shape.answer_tokens,
-            GUEST_SECONDS if guest else patience,
+            self._shape.output_tokens,
+            GUEST_SECONDS if recomputes else remaining_wait,
             served_tokens=self._service.tokens(now, request.workspace),
         )
-        self._asking[ask.ask_id] = attempt
-        self._take(name, self._engines[name].admission.ask(now, ask), now)
-        self._at(now + ask.patience_seconds, partial(self._tick, name))
+        self._pending[ask.ask_id] = attempt
+        self._apply_decisions(
+            name, self._engines[name].admission.ask(now, ask), now
+        )
+        self._schedule(now + ask.patience_seconds, partial(self._tick, name))
 
-    def _best(self, attempt: _Try, now: float) -> Candidate | None:
+    def _choose_server(self, attempt: _Attempt, now: float) -> Candidate | None:
         if len(attempt.tried) >= MOST_ASKED:
             return None
         prompt = attempt.request.prompt
-        held = self._holdings.of(now, shared_part(prompt))
+        cached_at = self._holdings.of(now, shared_part(prompt))
         servers = [engine.server for engine in self._engines.values()]
-        found = by_prompt(prompt, servers, self._loads, held)
-        found = [
+        candidates = by_prompt(prompt, servers, self._loads, cached_at)
+        candidates = [
             one
-            for one in self._order.sort(found)
+            for one in self._policy.rank(candidates)
             if one.server.instance not in attempt.tried
         ]
         if attempt.tried:
-            left = attempt.patience_seconds(self._shape, now)
-            found = list(with_room(found, left))
-        return found[0] if found else None
+            remaining_wait = attempt.remaining_wait_seconds(self._shape, now)
+            candidates = list(with_room(candidates, remaining_wait))
+        return candidates[0] if candidates else None
 
-    def _take(
+    def _apply_decisions(
         self,
         name: str,
-        verdicts: Iterable[Verdict],
+        decisions: Iterable[Verdict],
         now: float,
     ) -> None:
-        for verdict in verdicts:
-            attempt = self._asking.pop(verdict.ask_id)
-            if isinstance(verdict, Granted):
-                self._granted(name, verdict.ask_id, attempt, now)
+        for decision in decisions:
+            attempt = self._pending.pop(decision.ask_id)
+            if isinstance(decision, Granted):
+                self._granted(name, decision.ask_id, attempt, now)
                 continue
             if attempt.retry_after_seconds is None:
-                attempt.retry_after_seconds = verdict.retry_after_seconds
-            self._at(now, partial(self._ask, attempt))
+                attempt.retry_after_seconds = decision.retry_after_seconds
+            self._schedule(now, partial(self._request_permit, attempt))
 
     def _granted(
         self,
         name: str,
         ask_id: str,
-        attempt: _Try,
+        attempt: _Attempt,
         now: float,
     ) -> None:
         request, engine = attempt.request, self._engines[name]
-        read_at, again = engine.read(now, request)
-        tokens = request.own_tokens + again
-        self.outcome.again_tokens += again
+        prefilled_at, recomputed = engine.prefill(now, request)
+        tokens = request.own_tokens + recomputed
+        self.outcome.again_tokens += recomputed
         self._service.add(now, request.workspace, tokens)
         self._loads[name].added_tokens += tokens
-        self._at(read_at, partial(self._begun, name, ask_id, request))
+        self._schedule(
+            prefilled_at, partial(self._first_token, name, ask_id, request)
+        )
 
-    def _begun(
+    def _first_token(
         self,
         name: str,
         ask_id: str,
@@ -150,60 +166,64 @@
         now: float,
     ) -> None:
         outcome = self.outcome
-        if now - request.came_seconds <= self._shape.objective_seconds:
+        if now - request.arrived_seconds <= self._shape.objective_seconds:
             outcome.in_time += 1
             outcome.in_time_by[request.workspace] += 1
         else:
             outcome.late += 1
         admission = self._engines[name].admission
-        self._take(name, admission.begun(now, ask_id), now)
-        ends = now + self._shape.run_seconds
-        self._at(ends, partial(self._ended, name, ask_id))
+        self._apply_decisions(name, admission.begun(now, ask_id), now)
+        end = now + self._shape.run_seconds
+        self._schedule(end, partial(self._ended, name, ask_id))
 
     def _ended(self, name: str, ask_id: str, now: float) -> None:
         admission = self._engines[name].admission
-        self._take(name, admission.ended(now, ask_id), now)
+        self._apply_decisions(name, admission.ended(now, ask_id), now)
 
     def _tick(self, name: str, now: float) -> None:
-        self._take(name, self._engines[name].admission.tick(now), now)
+        self._apply_decisions(
+            name, self._engines[name].admission.tick(now), now
+        )
 
-    def _refused(self, attempt: _Try, now: float) -> None:
-        """Refuse; its caller comes back once, when it was told to."""
+    def _refuse(self, attempt: _Attempt, now: float) -> None:
+        """Refuse an attempt; its caller retries once, after the wait it got."""
         request, outcome = attempt.request, self.outcome
-        if request.returned:
+        if request.is_retry:
             outcome.refused += 1
             return
         outcome.refused_first += 1
-        idle_since = now - IDLE_SECONDS
+        idle_since = now - MIN_IDLE_SECONDS
         outcome.refused_beside_idle += any(
             one.free_at_seconds < idle_since for one in self._engines.values()
         )
-        ends = request.came_seconds + self._shape.deadline_seconds
-        most = (ends - now) / _WAITS_PART
-        wait = min(most, attempt.retry_after_seconds or 0)
-        request.returned = True
-        self._at(now + wait, partial(self._come, request))
+        deadline = request.arrived_seconds + self._shape.deadline_seconds
+        max_wait = (deadline - now) / _REMAINING_TIME_DIVISOR
+        retry_wait = min(max_wait, attempt.retry_after_seconds or 0)
+        request.is_retry = True
+        self._schedule(now + retry_wait, partial(self._arrive, request))
 
-    def _word(self, now: float) -> None:
+    def _send_load_reports(self, now: float) -> None:
         for name, engine in self._engines.items():
             admission = engine.admission
             self._loads[name].hear(
                 admission.wait_seconds(now),
                 admission.rate_tokens,
             )
-            self._holdings.note(now, engine.server.ip, engine.told)
-            engine.told.clear()
+            self._holdings.note(
+                now, engine.server.ip, engine.unreported_prefixes
+            )
+            engine.unreported_prefixes.clear()
 
 
-class _Try:
-    """One attempt of a caller: the servers it has asked."""
+class _Attempt:
+    """An attempt of a caller, with the servers that it has tried."""
 
-    def __init__(self, request: Request, began_seconds: float) -> None:
+    def __init__(self, request: Request, started_seconds: float) -> None:
         self.request = request
         self.tried: list[str] = []
         self.retry_after_seconds: float | None = None
-        self._began_seconds = began_seconds
+        self._started_seconds = started_seconds
 
-    def patience_seconds(self, shape: Shape, now: float) -> float:
-        """Tell how long it may still wait."""
-        return max(0, shape.patience_seconds - (now - self._began_seconds))
+    def remaining_wait_seconds(self, shape: Shape, now: float) -> float:
+        """Return how long it may still wait."""
+        return max(0, shape.max_wait_seconds - (now - self._started_seconds))
--- a/src/sardinetrack/emulator/engine.py
+++ b/src/sardinetrack/emulator/engine.py
@@ -1,4 +1,4 @@
-"""An emulated model engine: reads prompts in order, keeps what it has read."""
+"""An emulated model engine: prefills in FIFO order and caches prefixes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
     """One engine with the admission of its side."""
 
     def __init__(self, number: int, shape: Shape) -> None:
-        """Start idle, with an empty memory."""
+        """Build an idle engine with an empty prefix cache.
+
+        :param number: becomes part of its name and address.
+        :param shape: deployment and load.
+        """
         self.server = BackendServer(
             f'i-{number}',
             'models',
@@ -30,30 +34,34 @@
         self.admission = ReadingAdmission(shape.slots, shape.memory_tokens)
         self.free_at_seconds = float(0)
         self.busy_seconds = float(0)
-        self.told: set[str] = set()
-        """Parts that its side tells with the next word."""
+        self.unreported_prefixes: set[str] = set()
+        """Prefixes that its side sends with the next load report."""
         self._shape = shape
-        self._kept: OrderedDict[str, int] = OrderedDict()
-        self._kept_tokens = 0
+        self._cached: OrderedDict[str, int] = OrderedDict()
+        self._cached_tokens = 0
 
-    def read(self, now: float, request: Request) -> tuple[float, int]:
+    def prefill(self, now: float, request: Request) -> tuple[float, int]:
         """Queue a prompt.
 
-        :return: when it is read, and the tokens of its shared part that had
-            to be read for it.
+        :return: when its prefill ends, and the number of tokens of its shared
+            prefix that had to be computed for it.
         """
-        part = shared_part(request.prompt)
-        again = 0 if part in self._kept else self._shape.shared_tokens
-        self._keep(part, self._shape.shared_tokens)
-        self._keep(request.name, request.own_tokens)
-        took = (request.own_tokens + again) / self._shape.rate_tokens
-        self.busy_seconds += took
-        self.free_at_seconds = max(now, self.free_at_seconds) + took
-        self.told.add(part)
-        return self.free_at_seconds, again
-
-    def _keep(self, part: str, tokens: int) -> None:
-        self._kept_tokens += tokens - self._kept.pop(part, 0)
-        self._kept[part] = tokens
-        while self._kept_tokens > self._shape.memory_tokens:
-            self._kept_tokens -= self._kept.popitem(last=False)[1]
+        prefix = shared_part(request.prompt)
+        recomputed = (
+            0 if prefix in self._cached else self._shape.shared_prefix_tokens
+        )
+        self._insert(prefix, self._shape.shared_prefix_tokens)
+        self._insert(request.name, request.own_tokens)
+        prefill_seconds = (
+            request.own_tokens + recomputed
+        ) / self._shape.rate_tokens
+        self.busy_seconds += prefill_seconds
+        self.free_at_seconds = max(now, self.free_at_seconds) + prefill_seconds
+        self.unreported_prefixes.add(prefix)
+        return self.free_at_seconds, recomputed
+
+    def _insert(self, prefix: str, tokens: int) -> None:
+        self._cached_tokens += tokens - self._cached.pop(prefix, 0)
+        self._cached[prefix] = tokens
+        while self._cached_tokens > self._shape.memory_tokens:
+            self._cached_tokens -= self._cached.popitem(last=False)[1]
--- a/src/sardinetrack/emulator/experiment.py
+++ b/src/sardinetrack/emulator/experiment.py
@@ -1,59 +1,69 @@
-"""Play the same seeded crowds under each order, and compare."""
+"""Run the same seeded load under each placement policy, and compare."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from sardinetrack.emulator.api import Order, Outcome
+from sardinetrack.emulator.api import Outcome, PlacementPolicy
 from sardinetrack.emulator.crowd import Crowd
 from sardinetrack.emulator.load import Shape, draw
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One order under one rate, over all seeds."""
+    """The outcomes of one policy at one rate, over all seeds."""
 
     order: str
     per_second: float
     outcomes: tuple[Outcome, ...]
 
     def part(self, name: str) -> float:
-        """Tell a count of the outcomes as a part of what was asked."""
+        """Return a count of the outcomes as a fraction of all requests.
+
+        :param name: a field of ``Outcome``.
+        """
         counted = sum(getattr(one, name) for one in self.outcomes)
         return float(counted / max(1, sum(one.asked for one in self.outcomes)))
 
     @property
     def again_tokens(self) -> int:
-        """Tokens of shared parts read, over all seeds."""
+        """Tokens of shared prefixes computed, over all seeds."""
         return sum(one.again_tokens for one in self.outcomes)
 
     @property
     def worst_workspace(self) -> float:
-        """Part served in time of the workspace that fared worst of all."""
+        """Lowest fraction of requests in time of any workspace and seed."""
         return min(one.worst_workspace for one in self.outcomes)
 
     @property
     def busiest_part(self) -> float:
-        """Busiest engine to the mean, in the worst seed."""
+        """Highest ratio of the busiest engine to the mean, over all seeds."""
         return max(one.busiest_part for one in self.outcomes)
 
 
 def compare(
     shape: Shape,
-    orders: Sequence[type[Order]],
+    policies: Sequence[type[PlacementPolicy]],
     rates: Sequence[float],
     seeds: Sequence[int],
     seconds: float,
 ) -> Iterator[Row]:
-    """Play each rate and seed under each order."""
+    """Simulate each rate and seed under each policy.
+
+    :param shape: deployment and load.
+    :param policies: the policies to compare.
+    :param rates: requests a second.
+    :param seeds: one simulation each.
+    :param seconds: length of the load.
+    """
     for per_second in rates:
-        for order in orders:
+        for policy in policies:
             outcomes = tuple(
-                Crowd(shape, order()).play(
+                Crowd(shape, policy()).play(
                     draw(shape, per_second, seconds, seed),
                     seconds,
                 )
                 for seed in seeds
             )
-            yield Row(order.name, per_second, outcomes)
+            yield Row(policy.name, per_second, outcomes)
--- a/src/sardinetrack/emulator/orders.py
+++ b/src/sardinetrack/emulator/orders.py
@@ -1,4 +1,4 @@
-"""The product's order of servers, and naive ones to compare it with."""
+"""The product's placement policy, and naive ones to compare it with."""
 
 from __future__ import annotations
 
@@ -6,50 +6,50 @@
 from random import Random
 from typing import Final
 
-from sardinetrack.emulator.api import Order
+from sardinetrack.emulator.api import PlacementPolicy
 from sardinetrack.placement.choice import Candidate
 
 _SEED: Final = 1
 
 
-class HomeOrder(Order):
-    """The product's own: by what the request would cost at each server."""
+class HomeOrder(PlacementPolicy):
+    """The product's own policy: by the request's estimated cost."""
 
     name = 'home'
     guests_hurry = True
 
-    def sort(self, found: list[Candidate]) -> list[Candidate]:
-        """Keep the order."""
-        return found
+    def rank(self, candidates: list[Candidate]) -> list[Candidate]:
+        """Return the candidates unchanged."""
+        return candidates
 
 
-class LeastLoadedOrder(Order):
-    """The shortest wait first, without regard to prompts."""
+class LeastLoadedPolicy(PlacementPolicy):
+    """The shortest wait first, without regard to cached prefixes."""
 
     name = 'least loaded'
 
-    def sort(self, found: list[Candidate]) -> list[Candidate]:
-        """Order by the wait alone."""
-        return sorted(found, key=attrgetter('wait_seconds'))
+    def rank(self, candidates: list[Candidate]) -> list[Candidate]:
+        """Sort by the wait alone."""
+        return sorted(candidates, key=attrgetter('wait_seconds'))
 
 
-class RandomOrder(Order):
-    """Any server."""
+class RandomPolicy(PlacementPolicy):
+    """Random order."""
 
     name = 'random'
 
     def __init__(self) -> None:
-        """Draw the same orders each time."""
-        self._chance = Random(_SEED)
+        """Seed the random number generator, for the same order each time."""
+        self._rng = Random(_SEED)
 
-    def sort(self, found: list[Candidate]) -> list[Candidate]:
-        """Shuffle."""
-        return self._chance.sample(found, len(found))
+    def rank(self, candidates: list[Candidate]) -> list[Candidate]:
+        """Shuffle the candidates."""
+        return self._rng.sample(candidates, len(candidates))
 
 
-OrderTypes = tuple[type[Order], ...]
-ORDERS: Final[OrderTypes] = (
+PolicyTypes = tuple[type[PlacementPolicy], ...]
+ORDERS: Final[PolicyTypes] = (
     HomeOrder,
-    LeastLoadedOrder,
-    RandomOrder,
+    LeastLoadedPolicy,
+    RandomPolicy,
 )
--- a/tests/emulator/steps/crowd_steps.py
+++ b/tests/emulator/steps/crowd_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the emulator of crowds."""
+"""Steps for the emulator."""
 
 from __future__ import annotations
 
@@ -17,31 +17,32 @@
 _SECONDS = 20
 
 
-def _play(rate, seed):
+def _simulate(rate, seed):
     shape = Shape()
     requests = draw(shape, rate, _SECONDS, seed)
     return Crowd(shape, HomeOrder()).play(requests, _SECONDS)
 
 
 @when(
-    'a crowd of {rate:d} requests a second is played twice with seed {seed:d}',
+    'a load of {rate:d} requests a second is simulated twice'
+    ' with seed {seed:d}',
 )
-def play_twice(context, rate, seed):
-    context.plays = [_play(rate, seed), _play(rate, seed)]
+def simulate_twice(context, rate, seed):
+    context.outcomes = [_simulate(rate, seed), _simulate(rate, seed)]
 
 
-@then('both plays came to the same')
+@then('both simulations have the same outcome')
 def same(context):
-    assert context.plays[0] == context.plays[1]
-    assert context.plays[0].asked > 0
+    assert context.outcomes[0] == context.outcomes[1]
+    assert context.outcomes[0].asked > 0
 
 
-@when('a crowd of {rate:d} requests a second is played with seed {seed:d}')
-def play(context, rate, seed):
-    context.outcome = _play(rate, seed)
+@when('a load of {rate:d} requests a second is simulated with seed {seed:d}')
+def simulate(context, rate, seed):
+    context.outcome = _simulate(rate, seed)
 
 
-@then('in time, late and refused add up to what was asked')
+@then('in time, late and refused add up to the number of requests')
 def adds_up(context):
     outcome = context.outcome
     assert outcome.refused > 0
@@ -50,72 +51,72 @@
 
 
 @when(
-    'a crowd of {rate:d} requests a second with a jump of {jump:d}'
+    'a load of {rate:d} requests a second with a step of {step:d}'
     ' is drawn with seed {seed:d}',
 )
-def draw_jump(context, rate, jump, seed):
+def draw_step(context, rate, step, seed):
     seconds = 60
-    shape = Shape(jump=jump)
+    shape = Shape(jump=step)
     context.thirds = Counter(
-        int(one.came_seconds * 3 / seconds)
+        int(one.arrived_seconds * 3 / seconds)
         for one in draw(shape, rate, seconds, seed)
     )
 
 
 @then(
-    'the middle third holds between {least:g} and {most:g} times as many'
+    'the middle third has between {minimum:g} and {maximum:g} times as many'
     ' as the others',
 )
-def middle(context, least, most):
+def middle_third(context, minimum, maximum):
     other = (context.thirds[0] + context.thirds[2]) / 2
-    assert least <= context.thirds[1] / other <= most, context.thirds
+    assert minimum <= context.thirds[1] / other <= maximum, context.thirds
 
 
-@then('the workspace that fares worst is the flood')
+@then('the workspace with the lowest fraction in time is the flood')
 def flood_worst(context):
     outcome = context.outcome
-    assert outcome.worst_workspace == _part(outcome, 'flood')
+    assert outcome.worst_workspace == _fraction_in_time(outcome, 'flood')
 
 
 @then(
-    'each other workspace is served at least {times:g} times as often as it',
+    'each other workspace has at least {times:g} times its fraction in time',
 )
 def others_better(context, times):
     outcome = context.outcome
-    flood = _part(outcome, 'flood')
+    flood = _fraction_in_time(outcome, 'flood')
     for name in outcome.asked_by:
         if name != 'flood':
-            assert _part(outcome, name) >= times * flood, name
+            assert _fraction_in_time(outcome, name) >= times * flood, name
 
 
-def _part(outcome, name):
+def _fraction_in_time(outcome, name):
     return outcome.in_time_by[name] / outcome.asked_by[name]
 
 
 @when('"sardinetrack {words}" is run in this process')
 def run(context, words):
-    written, errors = io.StringIO(), io.StringIO()
+    output, errors = io.StringIO(), io.StringIO()
     with (
-        contextlib.redirect_stdout(written),
+        contextlib.redirect_stdout(output),
         contextlib.redirect_stderr(errors),
     ):
         try:
             context.code = main(shlex.split(words))
         except SystemExit as exit_:
             context.code = exit_.code
-    context.written = written.getvalue()
+    context.output = output.getvalue()
     context.errors = errors.getvalue()
 
 
-@then('it prints {rows:d} rows, {each:d} of them for each order')
+@then('it prints {rows:d} rows, {each:d} of them for each policy')
 def prints_rows(context, rows, each):
-    lines = context.written.splitlines()[1:]
-    assert len(lines) == rows, context.written
-    orders = Counter(line[:8] for line in lines)
-    assert all(count == each for count in orders.values()), orders
+    lines = context.output.splitlines()[1:]
+    assert len(lines) == rows, context.output
+    policies = Counter(line[:8] for line in lines)
+    assert all(count == each for count in policies.values()), policies
 
 
-@then('it ends with code {code:d} and says "{reason}"')
+@then('it ends with code {code:d} and prints "{reason}"')
 def fails(context, code, reason):
     assert context.code == code, context.code
     assert reason in context.errors, context.errors
