--- a/benchmarks/chaos/__init__.py
+++ b/benchmarks/chaos/__init__.py
@@ -1,1 +1,1 @@
-"""A long randomised run that mixes all failures, two at a time."""
+"""Long randomised runs that inject all faults, two at a time."""
--- a/benchmarks/chaos/__main__.py
+++ b/benchmarks/chaos/__main__.py
@@ -1,4 +1,4 @@
-"""Command: mix all failures, two at a time, and count what callers got.
+"""Command: inject all faults, two at a time, and check callers' responses.
 
 Run ``python -m benchmarks.chaos --help`` at the root of the repository.
 """
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from types import MappingProxyType
 
+from benchmarks.chaos.checker import Verdicts
 from benchmarks.chaos.processes.run import run_seed as run_processes
-from benchmarks.chaos.referee import Verdicts
 from benchmarks.chaos.virtual.run import run_seed as run_virtual
 
 LEVELS: Mapping[str, Callable[[int, int], Verdicts]] = MappingProxyType(
@@ -50,7 +50,7 @@
 
 
 def parse() -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog='python -m benchmarks.chaos')
     parser.add_argument(
         'level',
@@ -70,13 +70,13 @@
 
 
 def row(cells: Sequence[object]) -> str:
-    """Write one row of a Markdown table."""
+    """Format one row of a Markdown table."""
     text = ' | '.join(map(str, cells))
     return f'| {text} |'
 
 
 def line(seed: int, verdicts: Verdicts) -> str:
-    """Write the figures of one seed."""
+    """Format the figures of one seed."""
     figures = [getattr(verdicts, name) for name in COLUMNS]
     wait = f'{verdicts.longest_wait_seconds:.1f}'
     return row((seed, *figures, verdicts.faults.total(), wait))
@@ -85,7 +85,7 @@
 def main() -> int:
     """Run all seeds, print a table and one line of JSON for each.
 
-    :return: the exit code, 1 when a promise was broken.
+    :return: the exit code, 1 if a guarantee was violated.
     """
     options = parse()
     jobs = [
@@ -101,7 +101,7 @@
     for job, seen in zip(jobs, found, strict=True):
         content = {'level': job.level, 'seed': job.seed}
         print(json.dumps({**content, **seen.as_content()}))
-    return int(any(one.broken for one in found))
+    return int(any(one.has_violations for one in found))
 
 
 if __name__ == '__main__':
--- a/benchmarks/chaos/processes/__init__.py
+++ b/benchmarks/chaos/processes/__init__.py
@@ -1,4 +1,4 @@
-"""The whole path as real processes on loopback, through relays."""
+"""All daemons as real processes on loopback, connected through proxies."""
 
 from __future__ import annotations
 
--- a/benchmarks/chaos/processes/faults.py
+++ b/benchmarks/chaos/processes/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the real fleet; each lasts as long as its coroutine."""
+"""Faults of the fleet of processes; each lasts as long as its coroutine."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 import anyio
 import httpcore
 
-from benchmarks.chaos.asked import MODEL
 from benchmarks.chaos.processes.world import (
     ENTRIES,
     SERVERS,
     SLOTS,
     World,
 )
+from benchmarks.chaos.submission import MODEL
 from sardinetrack.standin.relay import Relay
 
 Fault = Callable[[World, float], Awaitable[None]]
 
 _SIDES: Final = tuple(f'side-{server}' for server in SERVERS)
 _CRASH: Final = 'crash-now'
-_BROKEN: Final = (httpcore.NetworkError, httpcore.ProtocolError)
+_INTERRUPTED: Final = (httpcore.NetworkError, httpcore.ProtocolError)
 _DELAY_SECONDS: Final = 0.3
 
 
 @contextmanager
 def _one_of(world: World, names: Sequence[str]) -> Iterator[str]:
-    """Choose a process that no other fault is at work on."""
-    free = [name for name in names if name not in world.disturbed]
+    """Choose a process that no other fault affects."""
+    free = [name for name in names if name not in world.under_fault]
     name = world.random.choice(free)
-    world.disturbed.add(name)
+    world.under_fault.add(name)
     try:
         yield name
     finally:
-        world.disturbed.discard(name)
+        world.under_fault.discard(name)
 
 
 async def entry_killed(world: World, seconds: float) -> None:
-    """Kill an entry; the next one starts empty."""
+    """Kill an entry; the next one starts with no state."""
     with _one_of(world, ENTRIES) as entry:
-        world.down.add(entry)
+        world.out_of_service.add(entry)
         world.kill(entry)
         await anyio.sleep(seconds / 2)
         await world.start_entry(entry)
 
 
 async def side_killed(world: World, seconds: float) -> None:
-    """Kill a side; the next one starts empty at its address."""
+    """Kill a side; the next one starts with no state at the same address."""
     with _one_of(world, _SIDES) as side:
         port = world.peer_port(side)
         world.kill(side)
@@ -59,8 +59,8 @@
         await world.start_side(side.removeprefix('side-'), port)
 
 
-async def paused(world: World, seconds: float) -> None:
-    """Pause an entry, a side or a backend server."""
+async def suspended(world: World, seconds: float) -> None:
+    """Suspend an entry, a side or a backend server."""
     with _one_of(world, (*ENTRIES, *_SIDES, *SERVERS)) as name:
         process = world.process(name)
         process.freeze()
@@ -68,8 +68,8 @@
         process.thaw()
 
 
-async def platform_paused(world: World, seconds: float) -> None:
-    """Pause the platform."""
+async def platform_suspended(world: World, seconds: float) -> None:
+    """Suspend the platform."""
     process = world.process('platform')
     process.freeze()
     await anyio.sleep(seconds)
@@ -77,7 +77,7 @@
 
 
 async def server_crashes(world: World, seconds: float) -> None:
-    """Crash a stand-in inside its process, so that its counts stay."""
+    """Crash a stand-in inside its process, which keeps its counts."""
     with _one_of(world, SERVERS) as server:
         faults = {'crash_marker': _CRASH, 'restart_seconds': seconds / 2}
         await world.blocking(world.put_server_faults, server, faults)
@@ -90,12 +90,12 @@
     message = {'role': 'user', 'content': f'id=crash {_CRASH}'}
     content = {'model': MODEL, 'key': 'crash', 'messages': [message]}
     url = f'{world.server_urls[server]}/v1/chat/completions'
-    with suppress(*_BROKEN):
+    with suppress(*_INTERRUPTED):
         world.fleet.platform.call('POST', url, json.dumps(content).encode())
 
 
 async def server_frozen(world: World, seconds: float) -> None:
-    """Let a stand-in accept requests and answer none."""
+    """Let a stand-in accept requests and respond to none."""
     with _one_of(world, SERVERS) as server:
         await world.blocking(
             world.put_server_faults,
@@ -106,53 +106,53 @@
         await world.blocking(world.put_server_faults, server, {})
 
 
-def _relays(world: World) -> list[Relay]:
+def _proxies(world: World) -> list[Relay]:
     return [
-        *world.side_relays.values(),
-        *world.server_relays.values(),
-        *world.platform_relays.values(),
+        *world.side_proxies.values(),
+        *world.server_proxies.values(),
+        *world.platform_proxies.values(),
     ]
 
 
 async def link_cut(world: World, seconds: float) -> None:
-    """Reset all connections of a link, and refuse others."""
-    relay = world.random.choice(_relays(world))
-    await relay.cut()
+    """Close all connections of a link, and refuse new ones."""
+    proxy = world.random.choice(_proxies(world))
+    await proxy.cut()
     await anyio.sleep(seconds)
-    await relay.restore()
+    await proxy.restore()
 
 
 async def link_reset(world: World, seconds: float) -> None:
-    """Reset all connections of the sides' links, again and again."""
+    """Close all connections of a random side's link, repeatedly."""
     until = anyio.current_time() + seconds
     while anyio.current_time() < until:
-        relay = world.random.choice(list(world.side_relays.values()))
-        await relay.cut()
-        await relay.restore()
+        proxy = world.random.choice(list(world.side_proxies.values()))
+        await proxy.cut()
+        await proxy.restore()
         await anyio.sleep(seconds / 10)
 
 
 async def link_frozen(world: World, seconds: float) -> None:
-    """Hold all bytes of some links."""
-    relays = world.random.sample(_relays(world), 5)
-    for relay in relays:
-        relay.freeze()
+    """Withhold all bytes of some links."""
+    proxies = world.random.sample(_proxies(world), 5)
+    for proxy in proxies:
+        proxy.freeze()
     await anyio.sleep(seconds)
-    for relay in relays:
-        relay.thaw()
+    for proxy in proxies:
+        proxy.thaw()
 
 
 async def delay(world: World, seconds: float) -> None:
-    """Delay everything."""
-    for relay in _relays(world):
-        relay.delay_seconds = _DELAY_SECONDS * world.random.random()
+    """Delay all bytes of all links."""
+    for proxy in _proxies(world):
+        proxy.delay_seconds = _DELAY_SECONDS * world.random.random()
     await anyio.sleep(seconds)
-    for relay in _relays(world):
-        relay.delay_seconds = 0
+    for proxy in _proxies(world):
+        proxy.delay_seconds = 0
 
 
 async def catalogue_edits(world: World, seconds: float) -> None:
-    """Change the slots, and change them back."""
+    """Change the number of slots, and change it back."""
     await world.blocking(world.put_pools, SLOTS // 2)
     await anyio.sleep(seconds)
     await world.blocking(world.put_pools, SLOTS)
@@ -163,7 +163,7 @@
     world: World,
     seconds: float,
 ) -> None:
-    """Let the platform do something wrong."""
+    """Inject faults into the platform."""
     await world.blocking(partial(world.fleet.faults, **faults))
     await anyio.sleep(seconds)
     await world.blocking(world.fleet.faults)
@@ -173,8 +173,8 @@
     {
         'entry killed': entry_killed,
         'side killed': side_killed,
-        'paused': paused,
-        'platform paused': platform_paused,
+        'paused': suspended,
+        'platform paused': platform_suspended,
         'server crashes': server_crashes,
         'server frozen': server_frozen,
         'link cut': link_cut,
--- a/benchmarks/chaos/processes/run.py
+++ b/benchmarks/chaos/processes/run.py
@@ -1,4 +1,4 @@
-"""One seed of the run across processes."""
+"""One seed of the run with real processes."""
 
 from __future__ import annotations
 
@@ -10,27 +10,32 @@
 import anyio
 import httpcore
 
-from benchmarks.chaos.asked import Asked
-from benchmarks.chaos.play import LONGEST_SECONDS, Fault, NotTakenError, Play
+from benchmarks.chaos.base import (
+    MAX_RESPONSE_SECONDS,
+    ChaosRun,
+    Fault,
+    NotAcceptedError,
+)
+from benchmarks.chaos.checker import Received, Verdicts
 from benchmarks.chaos.processes.faults import FAULTS
 from benchmarks.chaos.processes.world import (
     ENTRIES,
     SERVERS,
     SLOTS,
-    RelayedFleet,
+    ProxiedFleet,
     World,
 )
-from benchmarks.chaos.referee import Received, Verdicts
+from benchmarks.chaos.submission import Submission
 
-_KEPT_SECONDS: Final = 5.0
+_KEEP_ALIVE_SECONDS: Final = 5.0
 _CONNECT_SECONDS: Final = 2.0
-_REST_SECONDS: Final = 15.0
+_SETTLE_SECONDS: Final = 15.0
 _NOT_SENT: Final = (httpcore.ConnectError, httpcore.ConnectTimeout)
-_BROKEN: Final = (httpcore.NetworkError, httpcore.ProtocolError)
+_INTERRUPTED: Final = (httpcore.NetworkError, httpcore.ProtocolError)
 
 
-class RealPlay(Play):
-    """The run on the real fleet; callers keep and share connections."""
+class ProcessRun(ChaosRun):
+    """The run on real processes; callers share keep-alive connections."""
 
     requests_per_second = 25.0
 
@@ -40,49 +45,55 @@
         requests: int,
         pool: httpcore.AsyncConnectionPool,
     ) -> None:
-        """Prepare."""
+        """Build a run.
+
+        :param requests: number of submissions; copies may exceed it slightly.
+        :param pool: the callers' connections.
+        """
         super().__init__(world.random, requests)
         self._world = world
         self._pool = pool
 
-    async def call(self, asked: Asked) -> Received:
-        """Submit a request to an entry that the balancer offers."""
-        offered = [name for name in ENTRIES if name not in self._world.down]
-        if not offered:
-            raise NotTakenError
-        entry = self.random.choice(offered)
+    async def call(self, submission: Submission) -> Received:
+        """Submit a request to an entry that is in service."""
+        available = [
+            name for name in ENTRIES if name not in self._world.out_of_service
+        ]
+        if not available:
+            raise NotAcceptedError
+        entry = self.random.choice(available)
         pid = self._world.process(entry).pid
         url = self._world.fleet.url(entry)
         call = partial(
             self._pool.stream,
-            asked.method,
-            f'{url}{asked.path}',
-            headers=asked.headers,
-            content=asked.body,
+            submission.method,
+            f'{url}{submission.path}',
+            headers=submission.headers,
+            content=submission.body,
             extensions={'timeout': _timeout()},
         )
         try:
             async with call() as response:
                 return await self._read(response, pid)
         except _NOT_SENT as unsent:
-            raise NotTakenError from unsent
-        except _BROKEN:
+            raise NotAcceptedError from unsent
+        except _INTERRUPTED:
             return Received(excused=pid in self._world.killed)
 
     def faults(self) -> Mapping[str, Fault]:
-        """List what can go wrong."""
+        """Return the faults by name."""
         found: dict[str, Fault] = {
             name: partial(fault, self._world) for name, fault in FAULTS.items()
         }
-        return {**found, 'callers vanish': self.callers_vanish}
+        return {**found, 'callers vanish': self.callers_disconnect}
 
     async def settle(self) -> None:
-        """Wait until every side is in use again, then a while longer."""
-        await self._world.all_linked()
-        await anyio.sleep(_REST_SECONDS)
+        """Wait until every entry uses every side, then some more time."""
+        await self._world.wait_all_linked()
+        await anyio.sleep(_SETTLE_SECONDS)
 
-    async def started(self) -> Mapping[str, int]:
-        """Ask all stand-ins."""
+    async def execution_counts(self) -> Mapping[str, int]:
+        """Query all stand-ins."""
         counts: dict[str, int] = {}
         for server in SERVERS:
             found = await self._world.blocking(self._world.executions, server)
@@ -90,40 +101,40 @@
                 counts[key] = counts.get(key, 0) + own['started']
         return counts
 
-    async def left_behind(self) -> list[str]:
-        """Ask all daemons."""
+    async def leaks(self) -> list[str]:
+        """Query all daemons."""
         return [
-            *await self._world.blocking(_held_by_entries, self._world),
-            *await self._world.blocking(_held_by_sides, self._world),
+            *await self._world.blocking(_entry_leaks, self._world),
+            *await self._world.blocking(_side_leaks, self._world),
         ]
 
     async def _read(self, response: httpcore.Response, pid: int) -> Received:
-        pieces: list[bytes] = []
-        whole = True
+        body_chunks: list[bytes] = []
+        complete = True
         try:
-            async for piece in response.aiter_stream():
-                pieces.append(piece)
-        except _BROKEN:
-            whole = False
+            async for chunk in response.aiter_stream():
+                body_chunks.append(chunk)
+        except _INTERRUPTED:
+            complete = False
         return Received(
             response.status,
             {
                 key.decode().lower(): text.decode('latin-1')
                 for key, text in response.headers
             },
-            b''.join(pieces),
-            whole=whole,
+            b''.join(body_chunks),
+            complete=complete,
             excused=pid in self._world.killed,
         )
 
 
 def _timeout() -> dict[str, float]:
-    longest = 2 * LONGEST_SECONDS
+    max_seconds = 2 * MAX_RESPONSE_SECONDS
     return {
         'connect': _CONNECT_SECONDS,
-        'read': longest,
-        'write': longest,
-        'pool': longest,
+        'read': max_seconds,
+        'write': max_seconds,
+        'pool': max_seconds,
     }
 
 
@@ -131,7 +142,7 @@
     return world.fleet.operator(name, '/status').json()
 
 
-def _held_by_entries(world: World) -> list[str]:
+def _entry_leaks(world: World) -> list[str]:
     found = []
     for entry in ENTRIES:
         status = _status(world, entry)
@@ -145,7 +156,7 @@
     return found
 
 
-def _held_by_sides(world: World) -> list[str]:
+def _side_leaks(world: World) -> list[str]:
     found = []
     for server in SERVERS:
         load = _status(world, f'side-{server}')['load']
@@ -156,24 +167,24 @@
 
 async def _main(seed: int, requests: int) -> Verdicts:
     async with AsyncExitStack() as stack:
-        fleet = stack.enter_context(RelayedFleet())
+        fleet = stack.enter_context(ProxiedFleet())
         world = World(seed, fleet)
         await world.start(stack)
-        await world.all_linked()
+        await world.wait_all_linked()
         pool = await stack.enter_async_context(
             httpcore.AsyncConnectionPool(
                 max_connections=None,
-                keepalive_expiry=_KEPT_SECONDS,
+                keepalive_expiry=_KEEP_ALIVE_SECONDS,
             ),
         )
-        return await RealPlay(world, requests, pool).play()
+        return await ProcessRun(world, requests, pool).run()
 
 
 def run_seed(seed: int, requests: int) -> Verdicts:
     """Run one seed.
 
-    :param seed: of everything drawn.
-    :param requests: how many submissions, a few more for copies.
+    :param seed: seed of everything drawn.
+    :param requests: number of submissions; copies may exceed it slightly.
     :return: the figures.
     """
     try:
--- a/benchmarks/chaos/processes/world.py
+++ b/benchmarks/chaos/processes/world.py
@@ -1,4 +1,4 @@
-"""The real fleet: platform, stand-ins, sides, entries, relays between."""
+"""The fleet of processes: platform, stand-ins, sides, entries, proxies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import anyio
 import httpcore
 
-from benchmarks.chaos.asked import MODEL, SERVICE, WORKSPACES, token_of
+from benchmarks.chaos.submission import MODEL, SERVICE, WORKSPACES, token_of
 from sardinetrack.standin.relay import Relay, relaying
 from support.fleet import PLATFORM_TOKEN, Fleet, eventually
 from support.process import Process
@@ -34,122 +34,125 @@
 )
 _RATES: Final = MappingProxyType({'base_token_seconds': 0.04})
 _RUN_SECONDS: Final = 30.0
-_UNHEARD: Final = (
+_CALL_FAILURES: Final = (
     AssertionError,
     httpcore.NetworkError,
     httpcore.ProtocolError,
 )
 
 
-class RelayedFleet(Fleet):
-    """Lists relays instead of the sides behind them; waits for the platform."""
+class ProxiedFleet(Fleet):
+    """Lists proxies in place of the sides; retries calls on the platform."""
 
     def __init__(self) -> None:
-        """Start empty."""
         super().__init__()
-        self.relays: dict[str, str] = {}
-        """Addresses by instance."""
+        self.proxies: dict[str, str] = {}
+        """Addresses of the proxies by instance."""
 
     def list_instance(self, name: str, **row: Any) -> None:
-        """Tell the platform's list of an instance, once it can be told."""
-        address = self.relays.get(name, row['address'])
-        told = {**row, 'address': address}
-        listing = partial(super().list_instance, name, **told)
-        eventually(partial(_is_done, listing))
+        """List an instance at the platform; retry until the call succeeds."""
+        address = self.proxies.get(name, row['address'])
+        listed = {**row, 'address': address}
+        listing = partial(super().list_instance, name, **listed)
+        eventually(partial(_succeeds, listing))
 
 
-def _is_done(call: Callable[[], Any]) -> bool:
-    """Tell whether the platform took a call of an operator or scheduler."""
+def _succeeds(call: Callable[[], Any]) -> bool:
+    """Return whether a call of an operator or scheduler succeeded."""
     try:
         call()
-    except _UNHEARD:
+    except _CALL_FAILURES:
         return False
     return True
 
 
 class World:
-    """Processes by name and the relays before them.
+    """Processes by name and the proxies in front of them.
 
-    Entries reach a side through one relay, a side its backend server through
+    Entries reach a side through one proxy, a side its backend server through
     another, and an entry the platform through a third.
     """
 
-    def __init__(self, seed: int, fleet: RelayedFleet) -> None:
-        """Prepare."""
+    def __init__(self, seed: int, fleet: ProxiedFleet) -> None:
+        """Build a world whose processes are not started yet.
+
+        :param seed: seed of everything drawn.
+        :param fleet: starts the processes.
+        """
         self.random = Random(seed)
         self.fleet = fleet
-        self.side_relays: dict[str, Relay] = {}
-        self.server_relays: dict[str, Relay] = {}
-        self.platform_relays: dict[str, Relay] = {}
+        self.side_proxies: dict[str, Relay] = {}
+        self.server_proxies: dict[str, Relay] = {}
+        self.platform_proxies: dict[str, Relay] = {}
         self.server_urls: dict[str, str] = {}
         self.killed: set[int] = set()
-        """Ids of entry processes that were killed."""
-        self.down: set[str] = set()
-        """Entries to which the balancer sends nobody."""
-        self.disturbed: set[str] = set()
-        """Processes that a fault has to itself."""
+        """Process ids of the processes that were killed."""
+        self.out_of_service: set[str] = set()
+        """Entries to which the balancer sends no callers."""
+        self.under_fault: set[str] = set()
+        """Processes that a fault affects now."""
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Start everything; the relays live as long as the stack."""
+        """Start everything; the proxies run until the stack is closed."""
         await self.blocking(self.fleet.start_platform)
         await self.blocking(self._put_catalogue)
         async with anyio.create_task_group() as tasks:
             for server in SERVERS:
                 tasks.start_soon(self._start_server, server)
         for server in SERVERS:
-            relay = await _relay(stack, self.server_urls[server])
-            self.server_relays[server] = relay
+            proxy = await _open_proxy(stack, self.server_urls[server])
+            self.server_proxies[server] = proxy
         async with anyio.create_task_group() as tasks:
             for server in SERVERS:
                 tasks.start_soon(self.start_side, server, 0)
         for server in SERVERS:
-            await self._relay_side(stack, server)
+            await self._proxy_side(stack, server)
         for entry in ENTRIES:
-            relay = await _relay(stack, self.fleet.platform_url)
-            self.platform_relays[entry] = relay
+            proxy = await _open_proxy(stack, self.fleet.platform_url)
+            self.platform_proxies[entry] = proxy
         async with anyio.create_task_group() as tasks:
             for entry in ENTRIES:
                 tasks.start_soon(self.start_entry, entry)
 
     async def blocking(self, call: Callable[..., Any], *arguments: Any) -> Any:
-        """Call something that blocks."""
+        """Call a blocking function in a worker thread."""
         return await anyio.to_thread.run_sync(call, *arguments)
 
     async def start_side(self, server: str, port: int) -> None:
-        """Start a side at a port, 0 for any."""
-        relay = self.server_relays[server]
+        """Start a side at a port; 0 lets the system choose."""
+        proxy = self.server_proxies[server]
         start = partial(
             self.fleet.start_side,
             MODEL if server in ENGINES else SERVICE,
             server,
-            f'http://{_IP}:{relay.port}',
+            f'http://{_IP}:{proxy.port}',
             peer={'port': port},
         )
         await self.blocking(start)
 
     async def start_entry(self, entry: str) -> None:
         """Start an entry and wait until it is ready and linked."""
-        relay = self.platform_relays[entry]
+        proxy = self.platform_proxies[entry]
         start = partial(
             self.fleet.start_entry,
             entry,
             platform={
-                'url': f'http://{_IP}:{relay.port}',
+                'url': f'http://{_IP}:{proxy.port}',
                 'token': {'value': PLATFORM_TOKEN},
             },
             bounds={'wait_seconds': WAIT_SECONDS},
         )
         await self.blocking(start)
         await self.blocking(self.fleet.wait_ready, entry)
-        self.down.discard(entry)
+        self.out_of_service.discard(entry)
 
-    async def all_linked(self) -> None:
+    async def wait_all_linked(self) -> None:
         """Wait until every entry uses every side."""
         for entry in ENTRIES:
             await self.blocking(self.fleet.wait_linked, entry, len(SERVERS))
 
     def process(self, name: str) -> Process:
-        """Look up a process in its present life."""
+        """Return the current process of a name."""
         return self.fleet.processes[name]
 
     def kill(self, name: str) -> None:
@@ -159,21 +162,21 @@
         process.kill()
 
     def peer_port(self, name: str) -> int:
-        """Tell where a daemon listens for peers."""
+        """Return the port where a daemon listens for peers."""
         address = str(self.process(name).ready['peer_address'])
         return int(address.rpartition(':')[2])
 
     def put_server_faults(self, server: str, faults: dict[str, Any]) -> None:
         """Replace a stand-in's faults."""
-        answer = self.fleet.platform.call(
+        response = self.fleet.platform.call(
             'PUT',
             f'{self.server_urls[server]}/standin/faults',
             json.dumps(faults).encode(),
         )
-        assert answer.status < 300, answer
+        assert response.status < 300, response
 
     def executions(self, server: str) -> dict[str, dict[str, int]]:
-        """Read the counts of a stand-in."""
+        """Return the execution counts of a stand-in."""
         url = f'{self.server_urls[server]}/standin/executions'
         found: dict[str, dict[str, int]]
         found = self.fleet.platform.call('GET', url).json()
@@ -184,9 +187,9 @@
         limits = {'slots_per_server': slots, 'max_run_seconds': _RUN_SECONDS}
         reads = [{'method': 'GET', 'path_prefix': '/'}]
         model = partial(self.fleet.model_pool, MODEL, MODEL, **limits)
-        eventually(partial(_is_done, model))
+        eventually(partial(_succeeds, model))
         service = partial(self.fleet.service_pool, SERVICE, reads, **limits)
-        eventually(partial(_is_done, service))
+        eventually(partial(_succeeds, service))
 
     def _put_catalogue(self) -> None:
         for workspace in WORKSPACES:
@@ -204,11 +207,11 @@
             )
         self.server_urls[server] = await self.blocking(start)
 
-    async def _relay_side(self, stack: AsyncExitStack, server: str) -> None:
+    async def _proxy_side(self, stack: AsyncExitStack, server: str) -> None:
         name = f'side-{server}'
-        relay = await _relay(stack, f'http://{_IP}:{self.peer_port(name)}')
-        self.side_relays[server] = relay
-        self.fleet.relays[name] = f'{_IP}:{relay.port}'
+        proxy = await _open_proxy(stack, f'http://{_IP}:{self.peer_port(name)}')
+        self.side_proxies[server] = proxy
+        self.fleet.proxies[name] = f'{_IP}:{proxy.port}'
         listing = partial(
             self.fleet.list_instance,
             name,
@@ -220,6 +223,6 @@
         await self.blocking(listing)
 
 
-async def _relay(stack: AsyncExitStack, url: str) -> Relay:
+async def _open_proxy(stack: AsyncExitStack, url: str) -> Relay:
     port = int(url.rpartition(':')[2])
     return await stack.enter_async_context(relaying(_IP, port))
--- a/benchmarks/chaos/asked.py
+++ b/benchmarks/chaos/submission.py
@@ -1,4 +1,4 @@
-"""Requests of the run, and the answers that are due to them."""
+"""Requests of the run, and the responses expected for them."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 MODEL: Final = 'ice-llm'
 SERVICE: Final = 'chart-api'
 WORKSPACES: Final = ('pilot', 'agent', 'fleet')
-_MOST_TOKENS: Final = 6
+_MAX_TOKENS: Final = 6
 _TOKEN_SECONDS: Final = 0.04
-_MOST_COPIES: Final = 3
+_MAX_COPIES: Final = 3
 _CHAT_PATH: Final = '/v1/chat/completions'
 _DONE: Final = '[DONE]'
 
@@ -25,7 +25,7 @@
 
 
 class Kind(StrEnum):
-    """What a caller asks for."""
+    """The kind of a request."""
 
     PLAIN = 'plain'
     STREAM = 'stream'
@@ -37,8 +37,12 @@
 
 _CHATS: Final = frozenset((Kind.PLAIN, Kind.STREAM, Kind.KEYED_PLAIN))
 _KEYED: Final = frozenset((Kind.KEYED_ORDER, Kind.KEYED_PLAIN))
-_SHARES: Final = ((Kind.PLAIN, 25), (Kind.STREAM, 25), (Kind.LOOKUP, 20))
-_ONCE_SHARES: Final = (
+_REPEATABLE_WEIGHTS: Final = (
+    (Kind.PLAIN, 25),
+    (Kind.STREAM, 25),
+    (Kind.LOOKUP, 20),
+)
+_AT_MOST_ONCE_WEIGHTS: Final = (
     (Kind.ORDER, 10),
     (Kind.KEYED_ORDER, 12),
     (Kind.KEYED_PLAIN, 8),
@@ -46,13 +50,13 @@
 
 
 def token_of(workspace: str) -> str:
-    """Name the bearer token of a workspace."""
+    """Return the bearer token of a workspace."""
     return f'{workspace}-token'
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """One submission; copies of a keyed request share a group."""
+class Submission:
+    """One submission of a request; copies of a keyed request share a group."""
 
     group: str
     copy: int
@@ -62,7 +66,7 @@
 
     @property
     def name(self) -> str:
-        """What the submission is called in notes."""
+        """The name of the submission in notes."""
         return f'{self.group}.{self.copy}'
 
     @property
@@ -72,14 +76,14 @@
 
     @property
     def at_most_once(self) -> bool:
-        """Whether it may never run twice."""
+        """Whether it must not run twice."""
         return self.kind in _KEYED or self.kind is Kind.ORDER
 
     @property
     def execution_key(self) -> str:
-        """Under which the stand-ins count it.
+        """The key under which the stand-ins count it.
 
-        A service counts each copy by itself; an engine reads the key in the
+        A service counts each copy separately; an engine reads the key in the
         body, which all copies share.
         """
         return self.group if self.is_chat else self.name
@@ -99,9 +103,9 @@
     @property
     def service_path(self) -> str:
         """Path and query at the service."""
-        word = 'lookup' if self.kind is Kind.LOOKUP else 'orders'
+        segment = 'lookup' if self.kind is Kind.LOOKUP else 'orders'
         seconds = self.tokens * _TOKEN_SECONDS
-        return f'/{word}/{self.group}?delay_seconds={seconds:.2f}'
+        return f'/{segment}/{self.group}?delay_seconds={seconds:.2f}'
 
     @property
     def headers(self) -> Headers:
@@ -129,20 +133,20 @@
             content['stream'] = True
         return json.dumps(content).encode()
 
-    def is_answered_by(self, body: bytes) -> bool:
-        """Tell whether a whole body is exactly this request's answer."""
+    def is_expected_body(self, body: bytes) -> bool:
+        """Return whether a complete body is exactly the expected one."""
         try:
             return self._matches(body)
         except (ValueError, LookupError, TypeError):
             return False
 
     def _matches(self, body: bytes) -> bool:
-        due = expected_text(self.group, self.tokens)
+        expected = expected_text(self.group, self.tokens)
         if self.kind is Kind.STREAM:
-            return streamed_text(body) == due
+            return streamed_text(body) == expected
         found = json.loads(body)
         if self.is_chat:
-            return bool(found['choices'][0]['message']['content'] == due)
+            return bool(found['choices'][0]['message']['content'] == expected)
         digest = sha256(self.body).hexdigest()
         return bool(
             found['target'] == self.service_path
@@ -153,7 +157,7 @@
 
 
 def streamed_text(body: bytes) -> str | None:
-    """Read the text of a stream that looks complete; ``None`` if it isn't."""
+    """Return the text of a stream, ``None`` if the stream is incomplete."""
     events = [
         block.removeprefix('data: ')
         for block in body.decode().split('\n\n')
@@ -169,16 +173,16 @@
     return ''.join(choice['delta'].get('content') or '' for choice in choices)
 
 
-def draw(random: Random, number: int) -> list[Asked]:
-    """Draw a request with the copies that its caller will send."""
-    shares = (*_SHARES, *_ONCE_SHARES)
-    kinds = [kind for kind, _ in shares]
-    weights = [weight for _, weight in shares]
+def draw_submissions(random: Random, number: int) -> list[Submission]:
+    """Draw a request and the copies that its caller will send."""
+    weighted_kinds = (*_REPEATABLE_WEIGHTS, *_AT_MOST_ONCE_WEIGHTS)
+    kinds = [kind for kind, _ in weighted_kinds]
+    weights = [weight for _, weight in weighted_kinds]
     kind = random.choices(kinds, weights)[0]
     workspace = random.choice(WORKSPACES)
-    tokens = random.randint(1, _MOST_TOKENS)
-    copies = random.randint(1, _MOST_COPIES) if kind in _KEYED else 1
+    tokens = random.randint(1, _MAX_TOKENS)
+    copies = random.randint(1, _MAX_COPIES) if kind in _KEYED else 1
     return [
-        Asked(f'r{number}', copy, kind, workspace, tokens)
+        Submission(f'r{number}', copy, kind, workspace, tokens)
         for copy in range(copies)
     ]
--- a/benchmarks/chaos/virtual/__init__.py
+++ b/benchmarks/chaos/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""The whole path in one process: virtual time, fake connections."""
+"""All daemons in one process, in virtual time, with fake connections."""
--- a/benchmarks/chaos/virtual/catalogue.py
+++ b/benchmarks/chaos/virtual/catalogue.py
@@ -6,19 +6,19 @@
 from hashlib import sha256
 from typing import Any, Final
 
-from benchmarks.chaos.asked import MODEL, SERVICE, WORKSPACES, token_of
+from benchmarks.chaos.submission import MODEL, SERVICE, WORKSPACES, token_of
 from sardinetrack.store.api import Platform
 
 SLOTS: Final = 4
-_HUGE: Final = 100_000
+_UNLIMITED: Final = 100_000
 _RUN_SECONDS: Final = 30.0
 
 
 class Catalogue:
-    """Writes entries as an operator would."""
+    """Writes catalogue objects as an operator would."""
 
     def __init__(self, platform: Platform) -> None:
-        """Write into a platform."""
+        """Build a writer for a platform's store."""
         self._platform = platform
 
     async def put_all(self) -> None:
@@ -32,9 +32,9 @@
         digest = sha256(token_of(name).encode()).hexdigest()
         limits = {
             'weight': weight,
-            'concurrency': _HUGE,
-            'rate_per_second': _HUGE,
-            'waiting': _HUGE,
+            'concurrency': _UNLIMITED,
+            'rate_per_second': _UNLIMITED,
+            'waiting': _UNLIMITED,
         }
         content = {'token_hashes': [digest], 'limits': limits}
         await self._put('workspace', name, content)
--- a/benchmarks/chaos/virtual/client.py
+++ b/benchmarks/chaos/virtual/client.py
@@ -1,4 +1,4 @@
-"""The client's end of a fake connection, for HTTP and for links."""
+"""The client's side of a fake connection, for HTTP and for links."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     RefusedError,
 )
 from benchmarks.chaos.virtual.pipe import Pipe, PipeBrokenError
-from benchmarks.chaos.virtual.serve import Head, RawHeaders
+from benchmarks.chaos.virtual.serve import RawHeaders, VirtualRequest
 from sardinetrack.http.client import (
     BrokenError,
     HttpClient,
@@ -28,10 +28,10 @@
 )
 from sardinetrack.messages.run import RUN_PATH
 
-_LONGEST_LATE_SECONDS: Final = 8.0
-_GHOST_SECONDS: Final = 3.0
-_COPIED_PART: Final = 0.5
-"""Of the late orders, those that also arrived in time."""
+_MAX_DELAY_SECONDS: Final = 8.0
+_LATE_CONNECTION_SECONDS: Final = 3.0
+_DUPLICATED_FRACTION: Final = 0.5
+"""Fraction of the late run requests that also arrive in time."""
 _SCHEME: Final = '://'
 
 
@@ -39,7 +39,7 @@
     """Calls over fake connections, one for each call."""
 
     def __init__(self, network: Network) -> None:
-        """Use a network instead of sockets."""
+        """Build a client for a virtual network."""
         super().__init__()
         self._network = network
 
@@ -53,56 +53,58 @@
         body: bytes = b'',
         read_seconds: float | None = None,
     ) -> AsyncIterator[StreamedReply]:
-        """Send a request and hand out its answer while it arrives."""
+        """Send a request and yield its response while it arrives."""
         address, target = _split(url)
         pairs = [*headers, ('host', address)]
         if body or method != 'GET':
             pairs.append(('content-length', str(len(body))))
-        head = Head(method, target, _encoded(pairs), body)
+        request = VirtualRequest(method, target, _encoded(pairs), body)
         try:
             connection = await self._network.connect(address)
         except RefusedError as error:
             raise NotSentError(str(error)) from error
         with self._network.connected(connection):
-            if target != RUN_PATH or not self._goes_astray(connection, head):
-                connection.there.send(head)
-            yield StreamedReply(await _response(connection.back))
+            if target != RUN_PATH or not self._diverts(connection, request):
+                connection.forward.send(request)
+            yield StreamedReply(await _response(connection.backward))
 
-    def _goes_astray(self, connection: Connection, head: Head) -> bool:
-        """Let some orders arrive late, answering nobody.
+    def _diverts(self, connection: Connection, request: VirtualRequest) -> bool:
+        """Let some run requests arrive late, their responses being discarded.
 
-        :return: whether the order does not arrive in time, and its
-            connection breaks instead.
+        :return: whether the run request does not arrive in time and its
+            connection is reset instead.
         """
         random = self._network.random
-        if random.random() >= self._network.astray:
+        if random.random() >= self._network.late_fraction:
             return False
         loop = asyncio.get_running_loop()
-        late = partial(self._arrive_late, connection, head)
-        loop.call_later(random.random() * _LONGEST_LATE_SECONDS, late)
-        if random.random() < _COPIED_PART:
+        late = partial(self._deliver_late, connection, request)
+        loop.call_later(random.random() * _MAX_DELAY_SECONDS, late)
+        if random.random() < _DUPLICATED_FRACTION:
             return False
-        loop.call_later(random.random(), connection.cut)
+        loop.call_later(random.random(), connection.reset)
         return True
 
-    def _arrive_late(self, first: Connection, head: Head) -> None:
-        node = self._network.nodes.get(first.target)
-        if node is None or not node.listens:
+    def _deliver_late(
+        self, original: Connection, request: VirtualRequest
+    ) -> None:
+        node = self._network.nodes.get(original.target)
+        if node is None or not node.is_listening:
             return
-        ends = (first.caller, first.target)
-        ghost = Connection(
-            *ends,
-            Pipe(self._network, *ends),
-            Pipe(self._network, *reversed(ends)),
+        endpoints = (original.caller, original.target)
+        duplicate = Connection(
+            *endpoints,
+            Pipe(self._network, *endpoints),
+            Pipe(self._network, *reversed(endpoints)),
         )
-        ghost.there.send(head)
-        node.take(ghost)
-        end = ghost.there.end
-        asyncio.get_running_loop().call_later(_GHOST_SECONDS, end)
+        duplicate.forward.send(request)
+        node.accept(duplicate)
+        end = duplicate.forward.end
+        asyncio.get_running_loop().call_later(_LATE_CONNECTION_SECONDS, end)
 
 
 class _WebSocket:
-    """As much of the library's connection as a dialer uses."""
+    """The part of the library's connection interface that a dialer uses."""
 
     def __init__(self, connection: Connection, headers: RawHeaders) -> None:
         self._connection = connection
@@ -114,25 +116,25 @@
 
     async def send(self, frame: bytes, *, text: bool) -> None:
         """Send a frame."""
-        if self._connection.back.ended:
+        if self._connection.backward.ended:
             raise ConnectionClosedError(None, None)
-        self._connection.there.send(frame)
+        self._connection.forward.send(frame)
 
     async def recv(self, *, decode: bool) -> bytes:
         """Wait for a frame."""
         try:
-            return bytes(await self._connection.back.receive())
+            return bytes(await self._connection.backward.receive())
         except PipeBrokenError as error:
             raise ConnectionClosedError(None, None) from error
 
     def abort(self) -> None:
-        """Drop the connection."""
-        self._connection.there.end()
-        self._connection.back.cut()
+        """Abort the connection."""
+        self._connection.forward.end()
+        self._connection.backward.reset()
 
 
-class _Seams:
-    """Stands where the daemons call a library to open a connection."""
+class _LibraryPatches:
+    """Replaces the library functions with which daemons open connections."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
@@ -147,12 +149,14 @@
     ) -> _WebSocket:
         """Open a link."""
         address, target = _split(uri)
-        head = Head('GET', target, _encoded(additional_headers), is_link=True)
+        request = VirtualRequest(
+            'GET', target, _encoded(additional_headers), is_link=True
+        )
         with anyio.fail_after(open_timeout):
-            connection = await self._opened(address)
-            connection.there.send(head)
+            connection = await self._open(address)
+            connection.forward.send(request)
             try:
-                accepted = await connection.back.receive()
+                accepted = await connection.backward.receive()
             except PipeBrokenError as error:
                 raise OSError('no handshake') from error
         if accepted['type'] != 'websocket.accept':
@@ -160,10 +164,10 @@
         return _WebSocket(connection, accepted['headers'])
 
     async def connect_tcp(self, ip: str, port: int) -> _Probe:
-        """Open a connection that only probes."""
-        return _Probe(await self._opened(f'{ip}:{port}'))
+        """Open a connection that is only a probe."""
+        return _Probe(await self._open(f'{ip}:{port}'))
 
-    async def _opened(self, address: str) -> Connection:
+    async def _open(self, address: str) -> Connection:
         try:
             return await self._network.connect(address)
         except RefusedError as error:
@@ -171,12 +175,12 @@
 
 
 @contextmanager
-def library_seams(network: Network) -> Iterator[None]:
-    """Put fake connections beneath the links and the services' probes."""
-    seams = _Seams(network)
+def patch_libraries(network: Network) -> Iterator[None]:
+    """Use fake connections for the links and the services' probes."""
+    patches = _LibraryPatches(network)
     with (
-        patch('sardinetrack.links.client.connect', seams.connect),
-        patch('anyio.connect_tcp', seams.connect_tcp),
+        patch('sardinetrack.links.client.connect', patches.connect),
+        patch('anyio.connect_tcp', patches.connect_tcp),
     ):
         yield
 
@@ -186,27 +190,27 @@
         self._connection = connection
 
     async def aclose(self) -> None:
-        """Close."""
-        self._connection.there.end()
+        """Close the connection."""
+        self._connection.forward.end()
 
 
-async def _response(back: Pipe) -> httpcore.Response:
+async def _response(backward: Pipe) -> httpcore.Response:
     try:
-        start = await back.receive()
+        start = await backward.receive()
     except PipeBrokenError as error:
         raise BrokenError('cut') from error
     return httpcore.Response(
         start['status'],
         headers=start['headers'],
-        content=_content(back),
+        content=_content(backward),
     )
 
 
-async def _content(back: Pipe) -> AsyncIterator[bytes]:
+async def _content(backward: Pipe) -> AsyncIterator[bytes]:
     more = True
     while more:
         try:
-            message = await back.receive()
+            message = await backward.receive()
         except PipeBrokenError as error:
             raise httpcore.ReadError('cut') from error
         more = message.get('more_body', False)
--- a/benchmarks/chaos/virtual/clock.py
+++ b/benchmarks/chaos/virtual/clock.py
@@ -9,23 +9,22 @@
 
 import anyio
 
-_BEGIN_SECONDS: Final = 1000.0
+_START_SECONDS: Final = 1000.0
 
 
 class StalledError(Exception):
-    """Nothing can ever happen any more."""
+    """The loop has neither timers nor ready events, so it can't continue."""
 
 
 class _InstantSelector(selectors.DefaultSelector):
-    """Adds the time that a real selector would have waited."""
+    """Adds the time that a real selector would have waited to the clock."""
 
     def __init__(self) -> None:
-        """Start the clock."""
         super().__init__()
-        self.now = _BEGIN_SECONDS
+        self.now = _START_SECONDS
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Jump to the next timer."""
+        """Advance the clock to the next timer instead of waiting."""
         found = super().select(0)
         if found or timeout == 0:
             return found
@@ -36,15 +35,14 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs as fast as it can; all durations are virtual."""
+    """Event loop in virtual time, which never waits."""
 
     def __init__(self) -> None:
-        """Build a loop."""
         self._virtual = _InstantSelector()
         super().__init__(self._virtual)
 
     def time(self) -> float:
-        """Tell the virtual time."""
+        """Return the virtual time."""
         return self._virtual.now
 
 
--- a/benchmarks/chaos/virtual/entry.py
+++ b/benchmarks/chaos/virtual/entry.py
@@ -1,4 +1,4 @@
-"""An entry as a node of the fake fleet, made of the daemon's own objects."""
+"""An entry as a node of the fake fleet, built from the daemon's objects."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from benchmarks.chaos.virtual.client import VirtualHttp
 from benchmarks.chaos.virtual.network import Network
 from benchmarks.chaos.virtual.node import Node
-from benchmarks.chaos.virtual.platform import PlatformFaults, ReachedPlatform
-from benchmarks.chaos.virtual.settings import entry_parts
+from benchmarks.chaos.virtual.platform import NodePlatform, PlatformFaults
+from benchmarks.chaos.virtual.settings import entry_dependencies
 from sardinetrack.entry.applications import HttpApplication
 from sardinetrack.entry.callers import caller_border
 from sardinetrack.entry.control import Control
@@ -20,7 +20,7 @@
 
 
 class _Listeners:
-    """Callers' and peers' listeners at one address."""
+    """Serves callers and peers at one address."""
 
     def __init__(self, peers: Application, callers: Application) -> None:
         self._peers = peers
@@ -32,14 +32,14 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Hand on a call."""
+        """Pass a call to the application for its path."""
         is_peer = scope['path'].startswith('/peer/')
         application = self._peers if is_peer else self._callers
         await application(scope, receive, send)
 
 
 class EntryNode(Node):
-    """An entry without its listeners."""
+    """An entry without its real listeners."""
 
     def __init__(
         self,
@@ -49,27 +49,27 @@
         store: MemoryPlatform,
         faults: PlatformFaults,
     ) -> None:
-        """Prepare one life of the entry."""
+        """Build one start of the entry."""
         super().__init__(network, address)
         self.name = name
         self.core: EntryCore
-        self._platform = ReachedPlatform(store, self, faults)
+        self._platform = NodePlatform(store, self, faults)
 
     async def work(self, tasks: TaskGroup) -> None:
-        """Wire the entry as its composition root does."""
+        """Build the entry as its composition root does, and serve."""
         clock = anyio.current_time
         async with ShardedClaims(self._platform, wall_clock=clock) as claims:
-            parts = entry_parts(
+            dependencies = entry_dependencies(
                 self.name,
                 self.network.random,
                 self._platform,
                 claims,
             )
-            self.core = EntryCore(parts, VirtualHttp(self.network))
+            self.core = EntryCore(dependencies, VirtualHttp(self.network))
             control = Control(self.core, tasks)
             control.start()
             self.application = _Listeners(
                 control.peer_application(),
                 HttpApplication(caller_border(self.core).handle),
             )
-            await self.opened()
+            await self.accept_connections()
--- a/benchmarks/chaos/virtual/faults.py
+++ b/benchmarks/chaos/virtual/faults.py
@@ -16,25 +16,25 @@
 Fault = Callable[[World, float], Awaitable[None]]
 
 _DELAY_SECONDS: Final = 0.3
-_COPIES: Final = 0.1
+_LATE_FRACTION: Final = 0.1
 
 
 async def entry_restarts(world: World, seconds: float) -> None:
-    """Kill an entry; the next one starts empty."""
+    """Kill an entry; the next one starts with no state."""
     address = world.random.choice(list(world.entries))
-    last = world.entries[address]
-    last.kill()
+    previous = world.entries[address]
+    previous.kill()
     await anyio.sleep(seconds)
-    world.start_entry(address, last.name)
+    world.start_entry(address, previous.name)
 
 
 async def side_restarts(world: World, seconds: float) -> None:
-    """Kill a side; the next one starts empty."""
+    """Kill a side; the next one starts with no state."""
     address = world.random.choice(list(world.sides))
-    last = world.sides[address]
-    last.kill()
+    previous = world.sides[address]
+    previous.kill()
     await anyio.sleep(seconds / 2)
-    world.start_side(address, last)
+    world.start_side(address, previous)
 
 
 async def server_crashes(world: World, seconds: float) -> None:
@@ -46,40 +46,42 @@
 
 
 async def link_cut(world: World, seconds: float) -> None:
-    """Reset the connections of an entry and a side, and refuse others."""
+    """Reset the connections of an entry and a side, and refuse new ones."""
     entry = world.random.choice(list(world.entries))
     side = world.random.choice(list(world.sides))
-    await _cut(world, entry, side, seconds)
+    await _disconnect(world, entry, side, seconds)
 
 
 async def server_cut(world: World, seconds: float) -> None:
-    """Reset the connections of a side and its backend server."""
+    """Reset the connections of a side and its server, and refuse new ones."""
     side = world.random.choice(list(world.sides))
-    await _cut(world, side, world.sides[side].backend, seconds)
+    await _disconnect(world, side, world.sides[side].backend, seconds)
 
 
-async def _cut(world: World, one: str, other: str, seconds: float) -> None:
+async def _disconnect(
+    world: World, one: str, other: str, seconds: float
+) -> None:
     ends = frozenset((one, other))
     world.network.refused.add(ends)
-    world.network.cut(one, other)
+    world.network.reset(one, other)
     await anyio.sleep(seconds)
     world.network.refused.discard(ends)
 
 
 async def partition(world: World, seconds: float) -> None:
-    """Hold all bytes between two random halves."""
-    halves = world.network.halves
+    """Withhold all bytes between two random groups of nodes."""
+    partition_groups = world.network.partition_groups
     for address in (*world.entries, *world.sides, ADDRESS):
-        halves[address] = world.random.randint(0, 1)
+        partition_groups[address] = world.random.randint(0, 1)
     for address, side in world.sides.items():
-        halves[side.backend] = halves[address]
+        partition_groups[side.backend] = partition_groups[address]
     await anyio.sleep(seconds)
-    halves.clear()
+    partition_groups.clear()
     world.network.release()
 
 
 async def frozen(world: World, seconds: float) -> None:
-    """Hold all bytes of a side, a server or an entry."""
+    """Withhold all bytes of a side, a server or an entry."""
     names = (*world.entries, *world.sides, *world.servers)
     address = world.random.choice(names)
     world.network.frozen.add(address)
@@ -89,24 +91,24 @@
 
 
 async def delay(world: World, seconds: float) -> None:
-    """Delay everything."""
+    """Delay all bytes."""
     world.network.added_seconds = _DELAY_SECONDS
     await anyio.sleep(seconds)
     world.network.added_seconds = 0
 
 
 async def loss(world: World, seconds: float) -> None:
-    """Lose packets, which are sent again."""
+    """Lose packets, which are retransmitted."""
     world.network.loss = True
     await anyio.sleep(seconds)
     world.network.loss = False
 
 
-async def late_orders(world: World, seconds: float) -> None:
-    """Let some orders arrive late, and some of these twice."""
-    world.network.astray = _COPIES
+async def late_run_requests(world: World, seconds: float) -> None:
+    """Let some run requests arrive late, and some of these twice."""
+    world.network.late_fraction = _LATE_FRACTION
     await anyio.sleep(seconds)
-    world.network.astray = 0
+    world.network.late_fraction = 0
 
 
 async def catalogue_edits(world: World, seconds: float) -> None:
@@ -119,7 +121,7 @@
 
 
 async def platform(name: str, world: World, seconds: float) -> None:
-    """Let the platform do something wrong."""
+    """Inject one fault into the platform."""
     setattr(world.platform_faults, name, True)
     await anyio.sleep(seconds)
     setattr(world.platform_faults, name, False)
@@ -136,7 +138,7 @@
         'frozen': frozen,
         'delay': delay,
         'loss': loss,
-        'late orders': late_orders,
+        'late orders': late_run_requests,
         'catalogue edits': catalogue_edits,
         'platform outage': partial(platform, 'outage'),
         'platform loses replies': partial(platform, 'lose_replies'),
--- a/benchmarks/chaos/virtual/network.py
+++ b/benchmarks/chaos/virtual/network.py
@@ -1,4 +1,4 @@
-"""Nodes by address, connections between them, and what goes wrong there."""
+"""Nodes by address, the connections between them, and network faults."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 HOP_SECONDS: Final = 0.001
 _CONNECT_SECONDS: Final = 2.0
-_LOSS: Final = 0.05
-_RESEND_SECONDS: Final = 0.4
+_LOSS_PROBABILITY: Final = 0.05
+_RETRANSMISSION_SECONDS: Final = 0.4
 
 CURRENT: ContextVar[Node] = ContextVar('node')
-"""The node whose task runs."""
+"""The node to which the running task belongs."""
 
 
 class RefusedError(Exception):
-    """No connection: not one byte left."""
+    """The connection was refused; no bytes were sent."""
 
 
 @dataclass(eq=False)
@@ -35,75 +35,75 @@
 
     caller: str
     target: str
-    there: Pipe
-    back: Pipe
+    forward: Pipe
+    backward: Pipe
 
-    def cut(self) -> None:
-        """Reset it at both ends, at once."""
-        self.there.cut()
-        self.back.cut()
+    def reset(self) -> None:
+        """Reset both directions immediately."""
+        self.forward.reset()
+        self.backward.reset()
 
 
 @dataclass
 class Network:
-    """Delays, cuts, holds and losses."""
+    """Nodes and connections, with delays, resets, partitions and losses."""
 
     random: Random
     nodes: dict[str, Node] = field(default_factory=dict)
     connections: set[Connection] = field(default_factory=set)
     added_seconds: float = 0
     loss: bool = False
-    astray: float = 0
-    """Part of the orders that arrive late, whether in time too or not."""
+    late_fraction: float = 0
+    """Fraction of the run requests that arrive late, or late and in time."""
     refused: set[frozenset[str]] = field(default_factory=set)
-    halves: dict[str, int] = field(default_factory=dict)
-    """Set during a partition; a node in none reaches all others."""
+    partition_groups: dict[str, int] = field(default_factory=dict)
+    """Set during a partition; a node in no group reaches all others."""
     frozen: set[str] = field(default_factory=set)
-    _parked: set[Pipe] = field(default_factory=set)
+    _withheld_pipes: set[Pipe] = field(default_factory=set)
 
     def delay(self) -> float:
-        """Draw the delay of one hop; a lost packet is sent again later."""
+        """Draw the delay of one hop; a lost packet is retransmitted later."""
         seconds = HOP_SECONDS * self.random.uniform(0.5, 1.5)
-        if self.loss and self.random.random() < _LOSS:
-            seconds += _RESEND_SECONDS * self.random.random()
+        if self.loss and self.random.random() < _LOSS_PROBABILITY:
+            seconds += _RETRANSMISSION_SECONDS * self.random.random()
         return seconds + self.added_seconds * self.random.random()
 
-    def holds(self, one: str, other: str) -> bool:
-        """Whether bytes between two nodes stay under way."""
+    def withholds(self, one: str, other: str) -> bool:
+        """Whether bytes between two nodes are withheld."""
         if one in self.frozen or other in self.frozen:
             return True
-        return self._apart(one, other)
+        return self._is_partitioned(one, other)
 
-    def park(self, pipe: Pipe) -> None:
-        """Remember a pipe that holds something."""
-        self._parked.add(pipe)
+    def add_withheld(self, pipe: Pipe) -> None:
+        """Add a pipe that withholds something."""
+        self._withheld_pipes.add(pipe)
 
     def release(self) -> None:
-        """Deliver what nothing holds any more."""
-        parked = tuple(self._parked)
-        self._parked.clear()
-        for pipe in parked:
+        """Deliver everything that was withheld."""
+        pipes = tuple(self._withheld_pipes)
+        self._withheld_pipes.clear()
+        for pipe in pipes:
             pipe.flush()
 
     @contextmanager
     def connected(self, connection: Connection) -> Iterator[Connection]:
-        """Hold a connection; the other end sees it close."""
+        """Close the client's end of a connection when the context ends."""
         try:
             yield connection
         finally:
-            connection.there.end()
+            connection.forward.end()
 
     async def connect(self, target: str) -> Connection:
         """Open a connection from the running node.
 
-        :raises RefusedError: there is none.
+        :raises RefusedError: the target does not accept it.
         """
         caller = CURRENT.get().address
         await anyio.sleep(2 * self.delay())
-        if self._apart(caller, target):
+        if self._is_partitioned(caller, target):
             await anyio.sleep(_CONNECT_SECONDS)
         node = self.nodes.get(target)
-        if node is None or not self._opens(caller, node):
+        if node is None or not self._accepts(caller, node):
             raise RefusedError(target)
         connection = Connection(
             caller,
@@ -112,32 +112,38 @@
             Pipe(self, target, caller),
         )
         self.connections.add(connection)
-        node.take(connection)
+        node.accept(connection)
         return connection
 
-    def cut(self, one: str, other: str) -> None:
+    def reset(self, one: str, other: str) -> None:
         """Reset all connections between two nodes."""
         for connection in tuple(self.connections):
             if {connection.caller, connection.target} == {one, other}:
-                connection.cut()
+                connection.reset()
 
-    def bury(self, name: str) -> None:
-        """Let all peers of a dead node learn, unless they are cut off."""
+    def close_connections(self, name: str) -> None:
+        """Close all connections of a stopped node at their other ends."""
         for connection in tuple(self.connections):
             if connection.caller == name:
-                connection.there.end()
-                connection.back.cut()
+                connection.forward.end()
+                connection.backward.reset()
             elif connection.target == name:
-                connection.back.end()
-                connection.there.cut()
+                connection.backward.end()
+                connection.forward.reset()
 
-    def _opens(self, caller: str, node: Node) -> bool:
-        if not node.listens or not CURRENT.get().alive:
+    def _accepts(self, caller: str, node: Node) -> bool:
+        if not node.is_listening or not CURRENT.get().is_running:
             return False
-        if self._apart(caller, node.address):
+        if self._is_partitioned(caller, node.address):
             return False
         return frozenset((caller, node.address)) not in self.refused
 
-    def _apart(self, one: str, other: str) -> bool:
-        halves = (self.halves.get(one), self.halves.get(other))
-        return None not in halves and halves[0] != halves[1]
+    def _is_partitioned(self, one: str, other: str) -> bool:
+        partition_groups = (
+            self.partition_groups.get(one),
+            self.partition_groups.get(other),
+        )
+        return (
+            None not in partition_groups
+            and partition_groups[0] != partition_groups[1]
+        )
--- a/benchmarks/chaos/virtual/node.py
+++ b/benchmarks/chaos/virtual/node.py
@@ -1,4 +1,4 @@
-"""A process of the fake fleet: it serves, dies, and is followed by another."""
+"""A process of the fake fleet, from its start until it is killed."""
 
 from __future__ import annotations
 
@@ -11,37 +11,41 @@
 
 from benchmarks.chaos.virtual.network import CURRENT, Connection, Network
 from benchmarks.chaos.virtual.pipe import PipeBrokenError
-from benchmarks.chaos.virtual.serve import Head, serve_http, serve_websocket
+from benchmarks.chaos.virtual.serve import (
+    VirtualRequest,
+    serve_http,
+    serve_websocket,
+)
 from sardinetrack.http.asgi import Application
 
-_NUMBERS: Final = itertools.count(1)
+_CONNECTION_NUMBERS: Final = itertools.count(1)
 
 
 class Node(ABC):
-    """One life of one process."""
+    """One start of one process."""
 
     application: Application
 
     def __init__(self, network: Network, address: str) -> None:
-        """Prepare; ``run`` makes it live."""
+        """Build a process that is not started; ``run`` starts it."""
         self.network = network
         self.address = address
-        self.alive = True
-        self.listens = False
+        self.is_running = True
+        self.is_listening = False
         self._scope = anyio.CancelScope()
         self._tasks: TaskGroup
 
     @abstractmethod
     async def work(self, tasks: TaskGroup) -> None:
-        """Start the tasks, call ``opened``, and never return."""
+        """Start the tasks, call ``accept_connections``, and never return."""
 
-    async def opened(self) -> None:
-        """Take connections from now on."""
-        self.listens = True
+    async def accept_connections(self) -> None:
+        """Accept connections from now on; never returns."""
+        self.is_listening = True
         await anyio.sleep_forever()
 
     async def run(self) -> None:
-        """Live until killed."""
+        """Run until killed."""
         CURRENT.set(self)
         self.network.nodes[self.address] = self
         with self._scope:
@@ -50,25 +54,27 @@
                 await self.work(tasks)
 
     def kill(self) -> None:
-        """Die at once, without a word."""
-        self.alive = False
-        self.listens = False
-        self.network.bury(self.address)
+        """Stop immediately, without a graceful shutdown."""
+        self.is_running = False
+        self.is_listening = False
+        self.network.close_connections(self.address)
         self._scope.cancel()
 
-    def take(self, connection: Connection) -> None:
+    def accept(self, connection: Connection) -> None:
         """Serve a new connection."""
         self._tasks.start_soon(self._serve, connection)
 
     async def _serve(self, connection: Connection) -> None:
         CURRENT.set(self)
         try:
-            head: Head = await connection.there.receive()
+            request: VirtualRequest = await connection.forward.receive()
         except PipeBrokenError:
             return
-        serve: Any = serve_websocket if head.is_link else serve_http
+        serve: Any = serve_websocket if request.is_link else serve_http
         try:
-            await serve(self.application, connection, head, next(_NUMBERS))
+            await serve(
+                self.application, connection, request, next(_CONNECTION_NUMBERS)
+            )
         finally:
-            connection.back.end()
+            connection.backward.end()
             self.network.connections.discard(connection)
--- a/benchmarks/chaos/virtual/outside.py
+++ b/benchmarks/chaos/virtual/outside.py
@@ -11,7 +11,7 @@
 
 
 class ServerNode(Node):
-    """A stand-in for a backend server; its counts outlive its crashes."""
+    """A stand-in for a backend server; its counts survive its crashes."""
 
     def __init__(
         self,
@@ -19,24 +19,24 @@
         address: str,
         standin: StandIn,
     ) -> None:
-        """Prepare one life of the server."""
+        """Build one start of the server."""
         super().__init__(network, address)
         self.standin = standin
         self.application = standin
 
     async def work(self, tasks: TaskGroup) -> None:
-        """Serve."""
-        await self.opened()
+        """Serve until killed."""
+        await self.accept_connections()
 
     def kill(self) -> None:
-        """Crash: all that runs is cut."""
+        """Crash and interrupt all executions."""
         self.standin.executions.interrupt_all()
         super().kill()
 
 
 class CallersNode(Node):
-    """Where all callers are; it only calls."""
+    """The node of all callers, which accepts no connections."""
 
     async def work(self, tasks: TaskGroup) -> None:
-        """Take no calls."""
+        """Do nothing until killed."""
         await anyio.sleep_forever()
--- a/benchmarks/chaos/virtual/platform.py
+++ b/benchmarks/chaos/virtual/platform.py
@@ -1,4 +1,4 @@
-"""The platform as one node reaches it, with what goes wrong on the way."""
+"""The platform as one node reaches it, with the faults of the calls."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 ADDRESS: Final = '10.0.0.2:80'
 _Found = TypeVar('_Found')
 _CALL_SECONDS: Final = 2.0
-_MOST_LATE_SECONDS: Final = 8.0
-_PART: Final = 0.4
+_MAX_DELAY_SECONDS: Final = 8.0
+_FAULT_PROBABILITY: Final = 0.4
 _RETRY_SECONDS: Final = 0.5
 
 
 @dataclass
 class PlatformFaults:
-    """What goes wrong now."""
+    """The active faults of platform calls."""
 
     outage: bool = False
     lose_replies: bool = False
@@ -42,8 +42,8 @@
     throttle: bool = False
 
 
-class ReachedPlatform(Platform):
-    """Calls of one process on the platform's store."""
+class NodePlatform(Platform):
+    """The platform's store as one node calls it."""
 
     def __init__(
         self,
@@ -51,11 +51,11 @@
         node: Node,
         faults: PlatformFaults,
     ) -> None:
-        """Remember whose calls these are."""
+        """Build the client of one node, with the platform's faults."""
         self._store = store
         self._node = node
         self._faults = faults
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_writes: set[asyncio.Task[None]] = set()
 
     async def get(self, key: str) -> StoredObject | None:
         """Read one object."""
@@ -95,12 +95,12 @@
         )
 
     async def instances(self) -> tuple[ListedInstance, ...]:
-        """Read the lagging list of instances."""
+        """Read the instance list, which may lag."""
         return await self._read(self._store.instances)
 
     async def _read(self, call: Callable[[], Awaitable[_Found]]) -> _Found:
-        await self._enter()
-        if self._cut_off:
+        await self._admit()
+        if self._is_unreachable:
             await anyio.sleep(_CALL_SECONDS)
             raise UncertainError('no reply')
         found = await call()
@@ -109,40 +109,42 @@
         return found
 
     async def _write(self, call: Callable[[], Awaitable[_Found]]) -> _Found:
-        await self._enter()
-        if self._cut_off or (self._faults.late_writes and self._chance()):
-            if self._chance():
+        await self._admit()
+        if self._is_unreachable or (
+            self._faults.late_writes and self._happens()
+        ):
+            if self._happens():
                 self._apply_late(call)
             await anyio.sleep(_CALL_SECONDS)
             raise UncertainError('no reply')
         found = await call()
-        if self._faults.lose_replies and self._chance():
+        if self._faults.lose_replies and self._happens():
             raise UncertainError('reply lost')
         return found
 
-    async def _enter(self) -> None:
+    async def _admit(self) -> None:
         await anyio.sleep(self._node.network.delay())
-        if not self._node.alive:
+        if not self._node.is_running:
             raise UnavailableError('dead')
         if self._faults.outage:
             raise UnavailableError('outage')
-        if self._faults.throttle and self._chance():
+        if self._faults.throttle and self._happens():
             raise ThrottledError(_RETRY_SECONDS)
 
     @property
-    def _cut_off(self) -> bool:
-        return self._node.network.holds(self._node.address, ADDRESS)
+    def _is_unreachable(self) -> bool:
+        return self._node.network.withholds(self._node.address, ADDRESS)
 
-    def _chance(self) -> bool:
-        return self._node.network.random.random() < _PART
+    def _happens(self) -> bool:
+        return self._node.network.random.random() < _FAULT_PROBABILITY
 
     def _apply_late(self, call: Callable[[], Awaitable[Any]]) -> None:
-        task = asyncio.create_task(self._late_write(call))
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        task = asyncio.create_task(self._write_late(call))
+        self._late_writes.add(task)
+        task.add_done_callback(self._late_writes.discard)
 
-    async def _late_write(self, call: Callable[[], Awaitable[Any]]) -> None:
-        seconds = self._node.network.random.random() * _MOST_LATE_SECONDS
+    async def _write_late(self, call: Callable[[], Awaitable[Any]]) -> None:
+        seconds = self._node.network.random.random() * _MAX_DELAY_SECONDS
         await asyncio.sleep(seconds)
         with suppress(PlatformError):
             await call()
--- a/benchmarks/chaos/virtual/run.py
+++ b/benchmarks/chaos/virtual/run.py
@@ -8,10 +8,10 @@
 
 import anyio
 
-from benchmarks.chaos.asked import Asked
-from benchmarks.chaos.play import Fault, NotTakenError, Play
-from benchmarks.chaos.referee import Received, Verdicts
-from benchmarks.chaos.virtual.client import VirtualHttp, library_seams
+from benchmarks.chaos.base import ChaosRun, Fault, NotAcceptedError
+from benchmarks.chaos.checker import Received, Verdicts
+from benchmarks.chaos.submission import Submission
+from benchmarks.chaos.virtual.client import VirtualHttp, patch_libraries
 from benchmarks.chaos.virtual.clock import run_virtually
 from benchmarks.chaos.virtual.entry import EntryNode
 from benchmarks.chaos.virtual.faults import FAULTS
@@ -19,87 +19,90 @@
 from benchmarks.chaos.virtual.world import World
 from sardinetrack.http.client import BrokenError, NotSentError, StreamedReply
 
-_WARM_SECONDS: Final = 5.0
+_WARM_UP_SECONDS: Final = 5.0
 _SETTLE_SECONDS: Final = 60.0
 
 
-class VirtualPlay(Play):
+class VirtualRun(ChaosRun):
     """The run on the fake fleet."""
 
     requests_per_second = 40.0
 
     def __init__(self, world: World, requests: int) -> None:
-        """Prepare."""
+        """Build a run.
+
+        :param requests: number of submissions; copies may exceed it slightly.
+        """
         super().__init__(world.random, requests)
         self._world = world
         self._http = VirtualHttp(world.network)
 
-    async def call(self, asked: Asked) -> Received:
+    async def call(self, submission: Submission) -> Received:
         """Submit a request to an entry that is ready."""
         entries = self._world.ready_entries()
         if not entries:
-            raise NotTakenError
+            raise NotAcceptedError
         entry = self.random.choice(entries)
         call = partial(
             self._http.stream,
-            asked.method,
-            f'http://{entry.address}{asked.path}',
-            headers=asked.headers,
-            body=asked.body,
+            submission.method,
+            f'http://{entry.address}{submission.path}',
+            headers=submission.headers,
+            body=submission.body,
         )
         try:
-            async with call() as reply:
-                return await _read(reply, entry)
+            async with call() as response:
+                return await _read(response, entry)
         except NotSentError as unsent:
-            raise NotTakenError from unsent
+            raise NotAcceptedError from unsent
         except BrokenError:
-            return Received(excused=not entry.alive)
+            return Received(excused=not entry.is_running)
 
     def faults(self) -> Mapping[str, Fault]:
-        """List what can go wrong."""
+        """Return the faults by name."""
         found: dict[str, Fault] = {
             name: partial(fault, self._world) for name, fault in FAULTS.items()
         }
-        return {**found, 'callers vanish': self.callers_vanish}
+        return {**found, 'callers vanish': self.callers_disconnect}
 
     async def settle(self) -> None:
-        """Let everything time out."""
+        """Wait until every timeout has passed."""
         await anyio.sleep(_SETTLE_SECONDS)
 
-    async def started(self) -> Mapping[str, int]:
-        """Count executions by key."""
-        return self._world.started()
+    async def execution_counts(self) -> Mapping[str, int]:
+        """Return the number of executions by key."""
+        return self._world.execution_counts()
 
-    async def left_behind(self) -> list[str]:
-        """Look at the decisions' own books."""
-        return self._world.left_behind()
+    async def leaks(self) -> list[str]:
+        """Describe what the daemons still hold for requests."""
+        return self._world.leaks()
 
 
-async def _read(reply: StreamedReply, entry: EntryNode) -> Received:
-    pieces: list[bytes] = []
-    whole = True
+async def _read(response: StreamedReply, entry: EntryNode) -> Received:
+    body_chunks: list[bytes] = []
+    complete = True
     try:
-        async for piece in reply.chunks():
-            pieces.append(piece)
+        async for chunk in response.chunks():
+            body_chunks.append(chunk)
     except BrokenError:
-        whole = False
+        complete = False
     return Received(
-        reply.status,
-        dict(reply.headers),
-        b''.join(pieces),
-        whole=whole,
-        excused=not entry.alive,
+        response.status,
+        dict(response.headers),
+        b''.join(body_chunks),
+        complete=complete,
+        excused=not entry.is_running,
     )
 
 
 async def _main(seed: int, requests: int) -> Verdicts:
     async with anyio.create_task_group() as tasks:
         world = World(seed, tasks)
-        with library_seams(world.network):
+        with patch_libraries(world.network):
             await world.start()
-            await anyio.sleep(_WARM_SECONDS)
+            await anyio.sleep(_WARM_UP_SECONDS)
             CURRENT.set(world.callers)
-            verdicts = await VirtualPlay(world, requests).play()
+            verdicts = await VirtualRun(world, requests).run()
         tasks.cancel_scope.cancel()
     return verdicts
 
@@ -107,8 +110,8 @@
 def run_seed(seed: int, requests: int) -> Verdicts:
     """Run one seed.
 
-    :param seed: of everything drawn.
-    :param requests: how many submissions, a few more for copies.
+    :param seed: seed of everything drawn.
+    :param requests: number of submissions; copies may exceed it slightly.
     :return: the figures.
     """
     verdicts: Verdicts = run_virtually(_main, seed, requests)
--- a/benchmarks/chaos/virtual/serve.py
+++ b/benchmarks/chaos/virtual/serve.py
@@ -1,4 +1,4 @@
-"""The server's end of a fake connection: one ASGI call."""
+"""The server's side of a fake connection: one ASGI call."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    """The first item on a connection: a whole request."""
+class VirtualRequest:
+    """The first item on a connection: a complete request."""
 
     method: str
     target: str
@@ -30,7 +30,7 @@
     is_link: bool = False
 
     def scope(self, connection: Connection, number: int) -> Scope:
-        """Build what a server hands to its application."""
+        """Build the ASGI scope that a server passes to its application."""
         path, _, query = self.target.partition('?')
         return {
             _TYPE: 'websocket' if self.is_link else 'http',
@@ -46,26 +46,26 @@
 
 
 class _Transport:
-    """What an entry uses to cut off a caller."""
+    """The transport with which an entry closes a caller's connection."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection = connection
 
     def close(self) -> None:
-        """End behind what was written."""
-        self._connection.back.end()
+        """Close after everything that was written."""
+        self._connection.backward.end()
 
     def get_write_buffer_size(self) -> int:
-        """Tell what waits to be sent: fake connections take all at once."""
+        """Return 0: fake connections buffer nothing."""
         return 0
 
     def abort(self) -> None:
-        """End at once."""
-        self._connection.cut()
+        """Close immediately."""
+        self._connection.reset()
 
 
 class _Server:
-    """The two callables of an ASGI call."""
+    """The ``receive`` and ``send`` callables of an ASGI call."""
 
     def __init__(self, connection: Connection, body: bytes) -> None:
         self._connection = connection
@@ -74,38 +74,39 @@
         self.finished = False
 
     async def receive(self) -> Message:
-        """Hand out the body, then the end of the connection."""
+        """Return the body, then wait for the end of the connection."""
         if self._body is not None:
             body = self._body
             self._body = None
             return {_TYPE: 'http.request', 'body': body, 'more_body': False}
         try:
-            await self._connection.there.receive()
+            await self._connection.forward.receive()
         except PipeBrokenError:
             return {_TYPE: 'http.disconnect'}
-        raise AssertionError('one request a connection')
+        raise AssertionError('a connection carries only one request')
 
     async def send(self, message: Message) -> None:
-        """Send a part of the answer."""
+        """Send a part of the response."""
         self.started = True
         if message[_TYPE] == 'http.response.body':
             self.finished = not message.get('more_body', False)
-        self._connection.back.send(message)
+        self._connection.backward.send(message)
 
 
 async def serve_http(
     application: Application,
     connection: Connection,
-    head: Head,
+    request: VirtualRequest,
     number: int,
 ) -> None:
-    """Answer one request, as uvicorn would."""
-    server = _Server(connection, head.body)
-    scope = head.scope(connection, number)
+    """Serve one request, as uvicorn would."""
+    server = _Server(connection, request.body)
+    scope = request.scope(connection, number)
     try:
         await application(scope, server.receive, server.send)
     except Exception:
-        # uvicorn logs it, and closes; the peer sees a broken answer.
+        # uvicorn logs the error and closes; the client sees an interrupted
+        # response.
         _LOG.debug('chaos: the application failed', exc_info=True)
         if not server.started:
             start = {_TYPE: 'http.response.start', 'status': _ERROR}
@@ -114,38 +115,38 @@
 
 
 class _LinkServer:
-    """The two callables of an ASGI WebSocket."""
+    """The ``receive`` and ``send`` callables of an ASGI WebSocket."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection = connection
         self._opened = False
 
     async def receive(self) -> Message:
-        """Hand out the next frame."""
+        """Return the next frame."""
         if not self._opened:
             self._opened = True
             return {_TYPE: 'websocket.connect'}
         try:
-            frame = await self._connection.there.receive()
+            frame = await self._connection.forward.receive()
         except PipeBrokenError:
             return {_TYPE: 'websocket.disconnect'}
         return {_TYPE: 'websocket.receive', 'bytes': frame}
 
     async def send(self, message: Message) -> None:
-        """Send the handshake's answer or a frame."""
-        found: Any = message
+        """Send the handshake's response or a frame."""
+        item: Any = message
         if message[_TYPE] == 'websocket.send':
-            found = message['text'].encode()
-        self._connection.back.send(found)
+            item = message['text'].encode()
+        self._connection.backward.send(item)
 
 
 async def serve_websocket(
     application: Application,
     connection: Connection,
-    head: Head,
+    request: VirtualRequest,
     number: int,
 ) -> None:
     """Carry the frames of one link."""
     server = _LinkServer(connection)
-    scope = head.scope(connection, number)
+    scope = request.scope(connection, number)
     await application(scope, server.receive, server.send)
--- a/benchmarks/chaos/virtual/settings.py
+++ b/benchmarks/chaos/virtual/settings.py
@@ -1,4 +1,4 @@
-"""What all daemons of the fake fleet are told."""
+"""Settings of the daemons of the fake fleet."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def draw_incarnation(random: Random) -> str:
-    """Name a life of a process."""
+    """Draw the incarnation of one start of a process."""
     return hex(random.getrandbits(_INCARNATION_BITS))
 
 
@@ -36,24 +36,24 @@
     }
 
 
-def entry_parts(
+def entry_dependencies(
     name: str,
     random: Random,
     platform: Platform,
     claims: Claims,
 ) -> EntryParts:
-    """Build what an entry's composition root hands to it."""
+    """Build the dependencies that an entry's composition root passes to it."""
     incarnation = draw_incarnation(random)
     bounds = {'wait_seconds': WAIT_SECONDS}
     settings = EntrySettings.model_validate(
         {**common_settings(name), 'bounds': bounds},
     )
-    chance = Random(random.random())
+    rng = Random(random.random())
     return EntryParts(
         settings=settings,
         peer_secret=PeerSecret(SECRET),
         incarnation=incarnation,
-        routing=Router(Identity(name, incarnation), chance),
+        routing=Router(Identity(name, incarnation), rng),
         platform=platform,
         claims=claims,
     )
--- a/benchmarks/chaos/virtual/side.py
+++ b/benchmarks/chaos/virtual/side.py
@@ -1,4 +1,4 @@
-"""A side as a node of the fake fleet, made of the daemon's own objects."""
+"""A side as a node of the fake fleet, built from the daemon's objects."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SideNode(Node):
-    """A side without its listeners."""
+    """A side without its real listeners."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         pool: str,
         backend: str,
     ) -> None:
-        """Prepare one life of the side.
+        """Build one start of the side.
 
         :param backend: address of the backend server.
         """
@@ -42,7 +42,7 @@
         self.admission: SlotAdmission
 
     async def work(self, tasks: TaskGroup) -> None:
-        """Wire the side as its composition root does."""
+        """Build the side as its composition root does, and serve."""
         incarnation = draw_incarnation(self.network.random)
         settings = SideSettings.model_validate(
             {
@@ -53,7 +53,7 @@
             },
         )
         self.admission = SlotAdmission(incarnation, 0)
-        wiring = Wiring(
+        components = Wiring(
             SideParts(
                 settings=settings,
                 peer_secret=PeerSecret(SECRET),
@@ -63,7 +63,7 @@
             ),
             VirtualHttp(self.network),
         )
-        tasks.start_soon(wiring.owner.run)
-        tasks.start_soon(wiring.watch.run)
-        self.application = wiring.peer_application()
-        await self.opened()
+        tasks.start_soon(components.owner.run)
+        tasks.start_soon(components.watch.run)
+        self.application = components.peer_application()
+        await self.accept_connections()
--- a/benchmarks/chaos/virtual/world.py
+++ b/benchmarks/chaos/virtual/world.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from benchmarks.chaos.asked import MODEL, SERVICE
+from benchmarks.chaos.submission import MODEL, SERVICE
 from benchmarks.chaos.virtual.catalogue import SLOTS, Catalogue
 from benchmarks.chaos.virtual.entry import EntryNode
 from benchmarks.chaos.virtual.network import Network
@@ -32,10 +32,14 @@
 
 
 class World:
-    """All nodes; each dead one is followed by another at its address."""
+    """All nodes; a node that was killed is replaced at the same address."""
 
     def __init__(self, seed: int, tasks: TaskGroup) -> None:
-        """Build a fleet; ``start`` runs it."""
+        """Build a fleet that is not started; ``start`` starts it.
+
+        :param seed: seed of everything drawn.
+        :param tasks: runs the nodes.
+        """
         self.random = Random(seed)
         self.network = Network(self.random)
         self.store = MemoryPlatform(clock=anyio.current_time)
@@ -60,7 +64,7 @@
             self.start_entry(address, name)
 
     def start_entry(self, address: str, name: str) -> None:
-        """Start an entry that knows nothing."""
+        """Start an entry with no state."""
         node = EntryNode(
             self.network,
             address,
@@ -71,56 +75,56 @@
         self.entries[address] = node
         self._run(node)
 
-    def start_side(self, address: str, last: SideNode) -> None:
-        """Start a side's next life."""
+    def start_side(self, address: str, previous: SideNode) -> None:
+        """Start a side again, with no state."""
         node = SideNode(
             self.network,
             address,
-            last.name,
-            last.pool,
-            last.backend,
+            previous.name,
+            previous.pool,
+            previous.backend,
         )
         self.sides[address] = node
         self._run(node)
 
     def start_server(self, address: str) -> None:
-        """Start a backend server's next life."""
+        """Start a backend server again; its counts stay."""
         standin = self.standins[address]
         node = ServerNode(self.network, address, standin)
         self.servers[address] = node
         self._run(node)
 
     def ready_entries(self) -> list[EntryNode]:
-        """List the entries to which the balancer sends callers."""
+        """Return the entries to which the balancer sends callers."""
         return [
             node
             for node in self.entries.values()
-            if node.listens and not node.core.status.read().not_ready
+            if node.is_listening and not node.core.status.read().not_ready
         ]
 
-    def started(self) -> dict[str, int]:
-        """Count executions by key over all stand-ins."""
+    def execution_counts(self) -> dict[str, int]:
+        """Return the number of executions by key over all stand-ins."""
         counts: dict[str, int] = {}
         for standin in self.standins.values():
             for key, found in standin.executions.counts.items():
                 counts[key] = counts.get(key, 0) + found.started
         return counts
 
-    def left_behind(self) -> list[str]:
-        """Tell what is held for requests though none is under way."""
+    def leaks(self) -> list[str]:
+        """Describe what is still occupied though no request is under way."""
         found = []
         for entry in self.entries.values():
             core = entry.core
             if core.dispatcher.open_requests() or core.gate.inside:
                 found.append(f'{entry.name} has open requests')
-            found.extend(self._held_by(entry))
+            found.extend(self._entry_leaks(entry))
         for side in self.sides.values():
             load = side.admission.load()
             if load.running or load.free != SLOTS:
                 found.append(' '.join((side.name, repr(load))))
         return found
 
-    def _held_by(self, entry: EntryNode) -> list[str]:
+    def _entry_leaks(self, entry: EntryNode) -> list[str]:
         status = entry.core.status.read()
         waits = [pool for pool in status.pools if pool.waiting or pool.running]
         found = [' '.join((entry.name, repr(pool))) for pool in waits]
--- a/tests/chaos/environment.py
+++ b/tests/chaos/environment.py
@@ -1,4 +1,4 @@
-"""Make the benchmarks importable."""
+"""Make the benchmarks importable from the steps."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 
 def before_all(context):
-    """Keep the expected warnings of a disturbed fleet out of the output."""
+    """Disable the warnings that the injected faults cause."""
     logging.disable(logging.WARNING)
--- a/tests/chaos/steps/virtual_steps.py
+++ b/tests/chaos/steps/virtual_steps.py
@@ -15,43 +15,43 @@
 _SEED = 5
 
 
-@given('each key counts as free')
+@given('each idempotency key counts as free')
 def given_no_claims(context: Any) -> None:
-    _plant(context, Draft, '_is_free', lambda *_: True)
+    _patch(context, Draft, '_is_free', lambda *_: True)
 
 
-@given('every {part:d}th end is forgotten')
-def given_leak(context: Any, part: int) -> None:
+@given('every {nth:d}th end of a request is dropped')
+def given_lost_ends(context: Any, nth: int) -> None:
     finished = SlotAdmission.finished
     numbers = count(1)
 
-    def wrong(self: Any, *positional: Any, **named: Any) -> Any:
-        if next(numbers) % part:
+    def faulty(self: Any, *positional: Any, **named: Any) -> Any:
+        if next(numbers) % nth:
             return finished(self, *positional, **named)
         return ()
 
-    _plant(context, SlotAdmission, 'finished', wrong)
+    _patch(context, SlotAdmission, 'finished', faulty)
 
 
-def _plant(context: Any, owner: type, name: str, wrong: Any) -> None:
-    planted = patch.object(owner, name, wrong)
-    planted.start()
-    context.add_cleanup(planted.stop)
+def _patch(context: Any, owner: type, name: str, faulty: Any) -> None:
+    patcher = patch.object(owner, name, faulty)
+    patcher.start()
+    context.add_cleanup(patcher.stop)
 
 
-@when('{requests:d} requests meet pairs of faults')
+@when('{requests:d} requests run under pairs of faults')
 def when_run(context: Any, requests: int) -> None:
     context.verdicts = run_seed(_SEED, requests)
 
 
-@then('no promise is broken')
+@then('no guarantee is violated')
 def then_clean(context: Any) -> None:
     verdicts = context.verdicts
     assert verdicts.faults.total() > 1, verdicts
     assert verdicts.answers['whole'] > 200, verdicts
-    assert not verdicts.broken, verdicts
+    assert not verdicts.has_violations, verdicts
 
 
-@then('the run reports {figure}')
+@then('the run reports violations of kind {figure}')
 def then_found(context: Any, figure: str) -> None:
     assert getattr(context.verdicts, figure), context.verdicts
--- a/tests/chaos/virtual.feature
+++ b/tests/chaos/virtual.feature
@@ -1,21 +1,21 @@
-Feature: the long run finds broken promises
+Feature: The chaos run detects violated guarantees
 
-  The run itself is a command (python -m benchmarks.chaos); here a short one
-  shows that it is clean, and that it sees a fault that is planted.
+  The run itself is a command (python -m benchmarks.chaos). Here a short run
+  shows that nothing is violated, and that the run detects an injected defect.
 
-  Scenario: a short run is clean
-    When 400 requests meet pairs of faults
-    Then no promise is broken
+  Scenario: A short run violates nothing
+    When 400 requests run under pairs of faults
+    Then no guarantee is violated
 
-  Scenario: claims that are not respected
-    Two submissions with one key both run: a claim that stands already doesn't
-    keep the second one out.
-    Given each key counts as free
-    When 400 requests meet pairs of faults
-    Then the run reports doubled
+  Scenario: Claims that are not respected
+    Two submissions with the same idempotency key both run, because an existing
+    claim doesn't stop the second one.
+    Given each idempotency key counts as free
+    When 400 requests run under pairs of faults
+    Then the run reports violations of kind doubled
 
-  Scenario: slots that are lost
-    Now and then the end of a request does not free its slot.
-    Given every 50th end is forgotten
-    When 400 requests meet pairs of faults
-    Then the run reports leaked
+  Scenario: Slots that are lost
+    From time to time the end of a request does not free its slot.
+    Given every 50th end of a request is dropped
+    When 400 requests run under pairs of faults
+    Then the run reports violations of kind leaked
