--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: the real programs as processes, faults from outside."""
+"""Soak test: real processes under faults that are injected from outside."""
--- a/benchmarks/soak/engine.py
+++ b/benchmarks/soak/engine.py
@@ -1,4 +1,4 @@
-"""A backend server that takes its time, dies and comes back as another."""
+"""A slow backend server that crashes and restarts under a new id."""
 
 from __future__ import annotations
 
@@ -12,28 +12,33 @@
 
 
 class SoakServer(ScriptedServer):
-    """Counts what it runs, over all its lives."""
+    """Counts its runs over all its starts."""
 
     def __init__(self, ip: str, pool: str, runs: Counter[str]) -> None:
-        """Serve at an address of its own."""
+        """Build a server that is not started.
+
+        :param ip: its own IP address.
+        :param pool: its pool.
+        :param runs: counts the runs by request, for all servers.
+        """
         super().__init__('')
         self.ip = ip
         self.pool = pool
         self.runs = runs
-        self.lives = 0
-        self.changing = asyncio.Lock()
-        """Held while it dies and comes back; faults overlap."""
-        self.keys: list[tuple[float, str]] = []
-        """When a request of which workspace began to run."""
+        self.starts = 0
+        self.restart_lock = asyncio.Lock()
+        """Held during a crash and the restart, because faults overlap."""
+        self.run_starts: list[tuple[float, str]] = []
+        """Start time and workspace of each run."""
 
     async def start(self) -> None:
-        """Begin a new life under a new id."""
-        self.lives += 1
-        self.instance = f'i-{self.ip}-{self.lives}'
+        """Start, or start again, under a new id."""
+        self.starts += 1
+        self.instance = f'i-{self.ip}-{self.starts}'
         await self.open(self.ip)
 
     async def crash(self) -> None:
-        """End at once, with everything under way."""
+        """Stop immediately and abort all connections."""
         await self.close()
         for writer in list(self.writers):
             writer.transport.abort()
@@ -45,7 +50,7 @@
             return
         self.runs[fields['x-sardinetrack-request-id']] += 1
         workspace = fields.get('x-sardinetrack-tenant', '')
-        self.keys.append((asyncio.get_running_loop().time(), workspace))
+        self.run_starts.append((asyncio.get_running_loop().time(), workspace))
         if 'x-sardinetrack-token-count' not in fields:
             await asyncio.sleep(EVENT_SECONDS)
             self._whole(fields, writer, '200 OK', self._mark(fields))
@@ -62,6 +67,6 @@
         )
 
     def _mark(self, fields):
-        # Who resumes a stream does so under another id of its own.
+        # A request that resumes a stream has another request id.
         name = fields.get('x-mark', fields['x-sardinetrack-request-id'])
         return name.encode()
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -1,4 +1,4 @@
-"""The processes of the soak, and the stand-ins around them."""
+"""The processes of the soak test, and the stand-ins around them."""
 
 from __future__ import annotations
 
@@ -32,28 +32,29 @@
 
 
 def free_net(first: int) -> int:
-    """Find a second number of addresses that no other run uses now.
+    """Return a second octet of loopback addresses that no other run uses.
 
-    Two runs of the same seed at the same time would else take each other's
-    addresses, and the one that came second would fail.
+    Otherwise two concurrent runs of the same seed would use the same
+    addresses, and the second one would fail.
 
-    :param first: where to begin to look.
+    :param first: where the search starts.
     """
     for offset in range(_NETS):
         net = (first + offset) % _NETS + 1
         with socket.socket() as probe, suppress(OSError):
             probe.bind((f'127.{net}.0.1', _STORE_PORT))
             return net
-    raise RuntimeError('every address of the soak is taken')
+    raise RuntimeError('all address ranges of the soak test are in use')
 
 
 class Process:
-    """One program, started again whenever it ends."""
+    """One program, restarted whenever it ends."""
 
     def __init__(self, role: str, ip: str, store_ip: str, folder: str) -> None:
-        """Write its settings.
+        """Write the program's settings.
 
-        :param store_ip: of its own way to the store, which can be harmed.
+        :param store_ip: IP address of its own proxy to the store, into which
+            faults can be injected.
         """
         self.role = role
         self.ip = ip
@@ -65,7 +66,7 @@
         self._settings.write_text(_settings(role, ip, store_ip))
 
     async def start(self) -> None:
-        """Run the program; its lines go to a file."""
+        """Start the program, with its output appended to a log file."""
         with self._log.open('ab') as log:
             self.running = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -76,8 +77,8 @@
                 env={**os.environ, 'SARDINETRACK_BOOT': str(self._settings)},
             )
 
-    async def keep(self) -> None:
-        """Start it anew a moment after each end."""
+    async def keep_running(self) -> None:
+        """Restart it shortly after each end."""
         while True:
             await self.start()
             if self.running is not None:
@@ -101,17 +102,21 @@
         models: int,
         plain: int,
     ) -> None:
-        """Plan the addresses.
+        """Assign the addresses.
 
-        :param net: second number of the addresses, all on the loopback
-            range; runs with different ones don't meet.
+        :param net: second octet of the loopback addresses; runs with
+            different ones don't interfere.
+        :param entries: number of entries.
+        :param models: number of model servers, each with a side.
+        :param plain: number of plain servers.
         """
         self._net = net
         self._store_ip = f'127.{net}.0.1'
-        self.ways: list[Relay] = []
-        """Each process's own way to the store."""
+        self.store_proxies: list[Relay] = []
+        """The proxies to the store, one for each process."""
         self.revoked: list[tuple[float, float, str]] = []
-        """From when until when no request of a workspace may begin."""
+        """Start and end of the times in which a workspace's requests must not
+        begin to run."""
         self.runs: Counter[str] = Counter()
         self.store = ObjectStore()
         self.store.port = _STORE_PORT
@@ -135,22 +140,22 @@
             await server.start()
             self.list_server(server)
         for process in (*self.entries, *self.sides):
-            await self._open_way(process)
-            task = asyncio.create_task(process.keep())
+            await self._open_proxy(process)
+            task = asyncio.create_task(process.keep_running())
             self._tasks.append(task)
         return self
 
-    async def _open_way(self, process: Process) -> None:
-        way = relaying(
+    async def _open_proxy(self, process: Process) -> None:
+        proxy = relaying(
             self._store_ip,
             _STORE_PORT,
             ip=process.store_ip,
             port=_STORE_PORT,
         )
-        self.ways.append(await self._stack.enter_async_context(way))
+        self.store_proxies.append(await self._stack.enter_async_context(proxy))
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop the processes that were started here."""
+        """Stop the processes and servers that were started here."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -164,21 +169,21 @@
         await self._stack.aclose()
         await self.store.close()
 
-    def late_runs(self) -> list[str]:
-        """List what began to run with a key that was taken away before."""
+    def runs_after_revocation(self) -> list[str]:
+        """Describe the runs that began with a key that was revoked before."""
         late: list[str] = []
         for since, until, workspace in self.revoked:
-            began = [
+            delays = [
                 at - since
                 for server in self.servers
-                for at, ran in server.keys
+                for at, ran in server.run_starts
                 if ran == workspace and since < at < until
             ]
-            late.extend(f'{workspace} ran, {one:.1f} s late' for one in began)
+            late.extend(f'{workspace} ran, {one:.1f} s late' for one in delays)
         return late
 
     def configure(self) -> None:
-        """Put a new version of the configuration into the store."""
+        """Write a new version of the configuration to the store."""
         self.version += 1
         tenants = [
             {'name': name, 'apiKeys': [key]} for key, name in self.keys.items()
@@ -206,7 +211,7 @@
         )
 
     def list_server(self, server: SoakServer, state: str = 'ready') -> None:
-        """Write a server's entry as it does itself."""
+        """Write a server's object to the store, as servers do themselves."""
         self.store.put(
             'servers',
             server.instance,
@@ -223,12 +228,12 @@
         )
 
     def _processes(self, role: str, net: str, count: int) -> list[Process]:
-        way = 4 if role == 'entry' else 5
+        third = 4 if role == 'entry' else 5
         return [
             Process(
                 role,
                 f'{net}.{number}',
-                f'127.{self._net}.{way}.{number}',
+                f'127.{self._net}.{third}.{number}',
                 self.folder.name,
             )
             for number in range(1, count + 1)
@@ -242,7 +247,7 @@
 
 
 def address(entry: Process) -> tuple[str, int]:
-    """Tell where callers reach an entry."""
+    """Return the address where callers reach an entry."""
     return entry.ip, _CALLERS_PORT
 
 
--- a/tests/soak/soak.feature
+++ b/tests/soak/soak.feature
@@ -1,12 +1,12 @@
-Feature: The relay's programs under faults from outside
+Feature: Entries and sides under faults from outside
 
-  Real processes before stand-ins, killed, suspended, stopped and restarted
-  while servers die, the store goes away and the configuration changes. What
-  callers are told is held against what the servers ran.
+  Real processes in front of stand-ins are killed, suspended, stopped and
+  restarted while servers crash, the store is unreachable and the configuration
+  changes. The responses to callers are compared with what the servers ran.
 
-  Scenario Outline: Nothing that was promised is broken, seed <seed>
-    When the soak plays seed <seed> for 6 seconds
-    Then no promise is broken
+  Scenario Outline: No guarantee is violated, seed <seed>
+    When the soak test runs seed <seed> for 6 seconds
+    Then no guarantee is violated
 
     Examples:
       | seed |
--- a/tests/soak/steps/soak_steps.py
+++ b/tests/soak/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a short soak."""
+"""Steps for a short soak test."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from benchmarks.soak.__main__ import soak
 
 
-@when('the soak plays seed {seed:d} for {seconds:d} seconds')
-def play(context, seed, seconds):
-    context.broken = asyncio.run(soak(seed, seconds))
+@when('the soak test runs seed {seed:d} for {seconds:d} seconds')
+def run_soak(context, seed, seconds):
+    context.violations = asyncio.run(soak(seed, seconds))
 
 
-@then('no promise is broken')
-def none_broken(context):
-    assert not context.broken, context.broken
+@then('no guarantee is violated')
+def no_violations(context):
+    assert not context.violations, context.violations
