--- a/benchmarks/once/__init__.py
+++ b/benchmarks/once/__init__.py
@@ -1,3 +1,3 @@
-"""What claims of idempotency keys cost in calls on the platform."""
+"""Cost of claims of idempotency keys, in calls on the platform's store."""
 
 from __future__ import annotations
--- a/benchmarks/once/__main__.py
+++ b/benchmarks/once/__main__.py
@@ -1,7 +1,7 @@
-"""Print calls for each claim by rate and number of entries.
+"""Print the calls for each claim by rate and number of entries.
 
-``python -m benchmarks.once`` from the root of the repository; virtual time,
-so that it takes moments and gives the same figures again.
+Run ``python -m benchmarks.once`` from the root of the repository. It uses
+virtual time, so that it is fast and its figures are reproducible.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 _RATES = (1, 10, 100)
 _ENTRIES = (1, 2, 4, 8)
 _CLAIMS = 3000
-_LEAST_SECONDS = 30
-_MOST_SECONDS = 600
+_MIN_SECONDS = 30
+_MAX_SECONDS = 600
 _RUN_SECONDS = 5
 _LATENCY_SECONDS = 0.005
 _SEED = 11
@@ -39,44 +39,46 @@
 
 @dataclass
 class Load:
-    """Callers of one shard, spread over entries."""
+    """Load on one shard from callers that are spread over entries."""
 
     rate: int
     entries: int
-    road: Road = field(default_factory=Road)
-    chance: random.Random = field(default_factory=lambda: random.Random(_SEED))
+    store: Road = field(default_factory=Road)
+    rng: random.Random = field(default_factory=lambda: random.Random(_SEED))
     waited_seconds: list[float] = field(default_factory=list)
     refused: int = 0
 
     async def run(self) -> None:
-        """Let callers come for a while."""
+        """Send claims and count the calls."""
         async with anyio.create_task_group() as tasks:
-            opened = [await tasks.start(self._entry) for _ in self._each()]
-            await self._call(opened)
+            claim_stores = [
+                await tasks.start(self._entry) for _ in self._entry_numbers()
+            ]
+            await self._send_claims(claim_stores)
             tasks.cancel_scope.cancel()
 
-    def _each(self) -> range:
+    def _entry_numbers(self) -> range:
         return range(self.entries)
 
-    async def _call(self, opened: list[Claims]) -> None:
+    async def _send_claims(self, claim_stores: list[Claims]) -> None:
         async with anyio.create_task_group() as callers:
-            for number in range(self._claims()):
-                entry = self.chance.choice(opened)
+            for number in range(self._claim_count()):
+                entry = self.rng.choice(claim_stores)
                 callers.start_soon(self._caller, entry, number)
-                await anyio.sleep(self.chance.expovariate(self.rate))
+                await anyio.sleep(self.rng.expovariate(self.rate))
 
-    def _claims(self) -> int:
-        least, most = self.rate * _LEAST_SECONDS, self.rate * _MOST_SECONDS
-        return min(max(_CLAIMS, least), most)
+    def _claim_count(self) -> int:
+        minimum, maximum = self.rate * _MIN_SECONDS, self.rate * _MAX_SECONDS
+        return min(max(_CLAIMS, minimum), maximum)
 
     async def _entry(self, *, task_status: anyio.abc.TaskStatus) -> None:
-        odds = Odds(latency_seconds=_LATENCY_SECONDS)
-        platform = ShakyPlatform(self.road, odds, self.chance)
+        rates = Odds(latency_seconds=_LATENCY_SECONDS)
+        platform = ShakyPlatform(self.store, rates, self.rng)
         async with ShardedClaims(
             platform,
             ClaimSettings(shards=1),
             wall_clock=anyio.current_time,
-            chance=self.chance,
+            chance=self.rng,
         ) as claims:
             task_status.started(claims)
             await anyio.sleep_forever()
@@ -91,7 +93,7 @@
             return
         assert isinstance(claimed, Claimed), claimed
         self.waited_seconds.append(anyio.current_time() - began)
-        await anyio.sleep(self.chance.expovariate(1 / _RUN_SECONDS))
+        await anyio.sleep(self.rng.expovariate(1 / _RUN_SECONDS))
         await claims.finish(claimed, ClaimEnd.FINISHED)
 
 
@@ -108,7 +110,7 @@
 def _line(load: Load) -> str:
     waited = sorted(load.waited_seconds)
     claims = len(waited)
-    calls = load.road.calls
+    calls = load.store.calls
     mean_ms = sum(waited) / claims * _MILLISECONDS
     late_ms = waited[int(claims * _PERCENTILE)] * _MILLISECONDS
     figures = (
