--- a/benchmarks/policy/__init__.py
+++ b/benchmarks/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the admission and routing decisions under fake clocks and links."""
+"""Measures admission and routing decisions with a fake clock and fake links."""
--- a/benchmarks/policy/__main__.py
+++ b/benchmarks/policy/__main__.py
@@ -1,4 +1,4 @@
-"""Command: measure the policy and the naive versions, print a table.
+"""Command: measure the policy and naive policies, and print a table.
 
 Run ``python -m benchmarks.policy --help`` at the root of the repository.
 """
@@ -62,21 +62,21 @@
     return run_case(job.shape, POLICIES[job.policy](), job.case, job.seed)
 
 
-def part(waits: Sequence[float], share: float) -> float:
-    """Find a percentile."""
+def percentile(waits: Sequence[float], fraction: float) -> float:
+    """Return a percentile of some waits, given as a fraction."""
     ordered = sorted(waits)
     if not ordered:
         return float('nan')
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def mean(values: Sequence[float]) -> float:
-    """Average."""
+    """Return the mean."""
     return sum(values) / len(values)
 
 
 def line(job: Job, figures: Sequence[Figures]) -> str:
-    """Write one row: worst gap over the seeds, means of the rest."""
+    """Format one row: the worst gaps over the seeds, means of the rest."""
     waits = [wait for one in figures for wait in one.pilot_waits]
     numbers = (
         max(one.gap for one in figures),
@@ -86,9 +86,9 @@
         mean([one.messages for one in figures]),
         mean([one.message_bytes for one in figures]),
         mean([one.decision_microseconds for one in figures]),
-        part(waits, 0.5),
-        part(waits, 0.95),
-        part(waits, 0.99),
+        percentile(waits, 0.5),
+        percentile(waits, 0.95),
+        percentile(waits, 0.99),
         100 * mean([one.busy for one in figures]),
     )
     cells = [f'{number:.2f}' for number in numbers]
@@ -96,13 +96,13 @@
 
 
 def row(cells: Sequence[str]) -> str:
-    """Write one row of a Markdown table."""
+    """Format one row of a Markdown table."""
     text = ' | '.join(cells)
     return f'| {text} |'
 
 
 def selected(options: argparse.Namespace) -> list[tuple[Shape, str, str]]:
-    """List the rows that were asked for."""
+    """Return the selected rows: shape, case and policy."""
     shapes = [one for one in SHAPES if one.pool in options.pool]
     naive_cases = () if options.fair else NAIVE_CASES
     return [
@@ -113,7 +113,7 @@
 
 
 def parse() -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog='python -m benchmarks.policy')
     parser.add_argument('--seeds', type=int, default=20)
     parser.add_argument('--jobs', type=int, default=4)
@@ -125,7 +125,7 @@
 
 
 def main() -> None:
-    """Run everything and print as rows get ready."""
+    """Run everything and print each row when it is complete."""
     options = parse()
     print(f'{options.seeds} seeds; gap, after and idle are of the worst one.')
     print('Gaps in largest costs; waits of the lone pilot in mean run times.')
--- a/benchmarks/policy/carrier.py
+++ b/benchmarks/policy/carrier.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of decisions: orders, answers, control messages."""
+"""Applies the effects of decisions: run requests, responses, messages."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class Carrier:
-    """Hands effects of one node to others, after their delay."""
+    """Delivers the effects of one node to others, after their delays."""
 
     def __init__(self, world: World) -> None:
-        """Act on a world."""
+        """Build a carrier for the nodes of a world."""
         self._world = world
 
     def from_entry(self, node: EntryNode, effect: EntryEffect) -> None:
-        """Carry out an entry's effect."""
+        """Apply an entry's effect."""
         if isinstance(effect, Dispatch):
             self._dispatch(node, effect)
         elif isinstance(effect, Reject):
@@ -50,7 +50,7 @@
             self._to_entries(node, effect)
 
     def from_side(self, side: SideNode, effect: SideEffect) -> None:
-        """Carry out a side's effect."""
+        """Apply a side's effect."""
         if isinstance(effect, Start):
             self.start(side, effect.attempt_id)
         elif isinstance(effect, Refuse):
@@ -67,9 +67,9 @@
         end: AttemptEnd,
         cost: float,
     ) -> None:
-        """Tell an entry, once, how an attempt ended."""
-        found = node.attempts.pop(attempt_id, None)
-        if found is None:
+        """Report the outcome of an attempt to its entry, once only."""
+        attempt = node.attempts.pop(attempt_id, None)
+        if attempt is None:
             return
         self._world.at_entry(
             node,
@@ -103,19 +103,19 @@
         )
         links = self._world.links
         if links.cut(node.name, side.name):
-            lost = partial(
+            not_started = partial(
                 self.end,
                 node,
                 effect.attempt_id,
                 AttemptEnd.NOT_STARTED,
                 0,
             )
-            self._world.events.after(DETECT_SECONDS, lost)
+            self._world.events.after(DETECT_SECONDS, not_started)
             return
-        arrive = partial(self._arrive, side, side.epoch, arrival, bids)
-        self._world.events.after(links.delay(), arrive)
+        deliver = partial(self._deliver, side, side.epoch, arrival, bids)
+        self._world.events.after(links.delay(), deliver)
 
-    def _arrive(
+    def _deliver(
         self,
         side: SideNode,
         epoch: int,
@@ -123,13 +123,13 @@
         bids: Bids,
     ) -> None:
         node = self._world.entries[arrival.entry]
-        found = node.attempts.get(arrival.attempt_id)
-        if found is None:
+        attempt = node.attempts.get(arrival.attempt_id)
+        if attempt is None:
             return
         if side.epoch != epoch or side.name in self._world.links.down:
             self.end(node, arrival.attempt_id, AttemptEnd.NOT_STARTED, 0)
             return
-        side.orders[arrival.attempt_id] = found[1]
+        side.run_requests[arrival.attempt_id] = attempt[1]
         admission = side.admission
         world = self._world
         world.at_side(side, epoch, admission.bids, arrival.entry, bids)
@@ -161,12 +161,12 @@
             links.control(node.name, other.name, message, action)
 
     def _refuse(self, side: SideNode, effect: Refuse) -> None:
-        request = side.orders.pop(effect.attempt_id, None)
+        request = side.run_requests.pop(effect.attempt_id, None)
         if request is None:
             return
         reason = effect.reason.value
         self._world.meter.counts[f'refused {reason}'] += 1
-        self._answer(
+        self._respond(
             side,
             request,
             effect.attempt_id,
@@ -190,8 +190,8 @@
         if side.announcing:
             return
         side.announcing = True
-        later = partial(self._announce, side)
-        self._world.events.after(BATCH_SECONDS, later)
+        announce = partial(self._announce, side)
+        self._world.events.after(BATCH_SECONDS, announce)
 
     def _announce(self, side: SideNode) -> None:
         side.announcing = False
@@ -209,8 +209,8 @@
             self._world.links.control(side.name, node.name, load, action)
 
     def start(self, side: SideNode, attempt_id: str) -> None:
-        """Let a request take a slot."""
-        request = side.orders.pop(attempt_id)
+        """Start a request on a slot."""
+        request = side.run_requests.pop(attempt_id)
         demand = request.demand
         now = self._world.events.now
         if request.waits:
@@ -219,7 +219,7 @@
         self._world.stop_waiting(request)
         running = Running(request, attempt_id, now)
         side.running[attempt_id] = running
-        self._world.meter.hold(demand.workspace)
+        self._world.meter.occupy_slot(demand.workspace)
         self._world.events.after(
             demand.cost * self._world.unit_seconds,
             partial(self._finish, side, running),
@@ -230,7 +230,7 @@
             return
         self._world.stop(side, running, whole=True)
         self._world.meter.counts['whole'] += 1
-        self._answer(
+        self._respond(
             side,
             running.request,
             running.attempt_id,
@@ -238,7 +238,7 @@
             running.request.demand.cost,
         )
 
-    def _answer(
+    def _respond(
         self,
         side: SideNode,
         request: Request,
--- a/benchmarks/policy/fair.py
+++ b/benchmarks/policy/fair.py
@@ -1,4 +1,4 @@
-"""The product's own decisions as a policy under measurement."""
+"""The project's own decisions as a policy under measurement."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FairPolicy:
-    """What the daemons run."""
+    """The policy that the daemons use."""
 
     def routing(self, identity: Identity, random: Random) -> Routing:
         """Build an entry's decisions."""
--- a/benchmarks/policy/faults.py
+++ b/benchmarks/policy/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a run can meet."""
+"""Faults to inject into a run."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def none(world: World) -> None:
-    """Meet no fault."""
+    """Inject no fault."""
 
 
 def loss(world: World) -> None:
@@ -33,7 +33,7 @@
 
 
 def partition(world: World) -> None:
-    """Cut the fleet into halves for a minute."""
+    """Partition the fleet into halves for a minute."""
     world.events.after(FAULT_SECONDS, partial(cut, world))
     healed_seconds = FAULT_SECONDS + PARTITION_SECONDS
     world.events.after(healed_seconds, partial(heal, world))
@@ -44,14 +44,14 @@
     world.account()
     domains = world.shape.domains
     for side in world.sides.values():
-        world.links.half[side.name] = domains.index(side.domain) % 2
+        world.links.groups[side.name] = domains.index(side.domain) % 2
     for number, name in enumerate(world.entries):
-        world.links.half[name] = number % 2
-    world.events.after(DETECT_SECONDS, partial(notice, world))
+        world.links.groups[name] = number % 2
+    world.events.after(DETECT_SECONDS, partial(detect_cut, world))
 
 
-def notice(world: World) -> None:
-    """Let both ends of all cut links notice."""
+def detect_cut(world: World) -> None:
+    """Let both ends of all cut links detect the cut."""
     for node in list(world.entries.values()):
         for side in world.sides.values():
             if world.links.cut(node.name, side.name):
@@ -62,16 +62,16 @@
 
 
 def break_link(world: World, node: EntryNode, side: SideNode) -> None:
-    """Let an entry and a side notice that their link broke."""
+    """Close the link of an entry and a side, and settle their attempts."""
     world.at_entry(node, node.routing.side_down, side.name)
-    _forget_entry(world, node, side)
+    _disconnect_entry(world, node, side)
     costs = _stop_all(world, node, side)
     for attempt_id, (name, _) in list(node.attempts.items()):
         if name != side.name:
             continue
         cost = costs.get(attempt_id)
         if cost is None:
-            world.ask_side(side, attempt_id)
+            world.query_side(side, attempt_id)
             world.carrier.end(node, attempt_id, AttemptEnd.NOT_STARTED, 0)
         else:
             world.carrier.end(node, attempt_id, AttemptEnd.UNKNOWN, cost)
@@ -89,13 +89,13 @@
     }
 
 
-def _forget_entry(world: World, node: EntryNode, side: SideNode) -> None:
-    lost = side.admission.entry_lost
-    world.at_side(side, side.epoch, lost, node.name)
+def _disconnect_entry(world: World, node: EntryNode, side: SideNode) -> None:
+    disconnect = side.admission.entry_lost
+    world.at_side(side, side.epoch, disconnect, node.name)
 
 
 def heal(world: World) -> None:
-    """Mend all cut links."""
+    """Restore all cut links."""
     cut = [
         (node, side)
         for node in world.entries.values()
@@ -103,13 +103,13 @@
         if world.links.cut(node.name, side.name)
     ]
     world.account()
-    world.links.half.clear()
+    world.links.groups.clear()
     for node, side in cut:
-        world.link_up(node, side)
+        world.connect(node, side)
 
 
 def entry_restarts(world: World) -> None:
-    """Replace an entry by one that starts empty."""
+    """Restart an entry with no state."""
     world.events.after(FAULT_SECONDS, partial(kill_entry, world))
     world.events.after(
         FAULT_SECONDS + RESTART_SECONDS,
@@ -118,16 +118,16 @@
 
 
 def entry_lost(world: World) -> None:
-    """Lose an entry, and what only its ledger held, for good."""
+    """Lose an entry permanently, with the part of the ledger only it had."""
     world.events.after(FAULT_SECONDS, partial(kill_entry, world))
 
 
 def kill_entry(world: World, name: str = 'e1') -> None:
-    """End an entry with all that only it knew."""
+    """Stop an entry; its state is lost."""
     node = world.entries[name]
     node.attempts.clear()
     for side in world.sides.values():
-        _forget_entry(world, node, side)
+        _disconnect_entry(world, node, side)
         _stop_all(world, node, side)
     world.links.down.add(node.name)
     for request in world.requests.values():
@@ -139,13 +139,13 @@
 
 
 def revive_entry(world: World, name: str = 'e1', epoch: int = 1) -> None:
-    """Start an entry that knows nothing."""
+    """Start an entry with no state."""
     world.links.down.discard(name)
     world.add_entry(name, epoch)
 
 
 def side_restarts(world: World) -> None:
-    """Restart a side with an empty memory."""
+    """Restart a side with no state."""
     world.events.after(FAULT_SECONDS, partial(kill_side, world))
     world.events.after(
         FAULT_SECONDS + RESTART_SECONDS,
@@ -154,7 +154,7 @@
 
 
 def kill_side(world: World, name: str = 's1') -> None:
-    """End a side and what runs at it."""
+    """Stop a side and its running requests."""
     side = world.sides[name]
     world.account()
     world.links.down.add(side.name)
@@ -163,18 +163,18 @@
 
 
 def revive_side(world: World, name: str = 's1') -> None:
-    """Start a side that knows nothing."""
+    """Start a side with no state."""
     side = world.sides[name]
     world.account()
     world.links.down.discard(side.name)
     side.epoch += 1
-    side.orders.clear()
+    side.run_requests.clear()
     side.admission = world.policy.admission(
         f'{name}.{side.epoch}',
         world.shape.slots,
     )
     for node in list(world.entries.values()):
-        world.link_up(node, side)
+        world.connect(node, side)
 
 
 FAULTS = MappingProxyType(
--- a/benchmarks/policy/links.py
+++ b/benchmarks/policy/links.py
@@ -18,13 +18,13 @@
     """A deterministic event queue; it is also the clock."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Build an empty queue at time 0."""
         self.now = float(0)
         self._heap: list[_Event] = []
         self._count = 0
 
     def after(self, seconds: float, action: Action) -> None:
-        """Call later."""
+        """Schedule an action."""
         self._count += 1
         heapq.heappush(self._heap, (self.now + seconds, self._count, action))
 
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Links:
-    """Delays, losses and cuts between nodes, with counts of control."""
+    """Delays, losses and cuts between nodes, with counts of messages."""
 
     events: Events
     random: Random
@@ -48,22 +48,22 @@
     added_seconds: float = 0
     messages: dict[str, int] = field(default_factory=dict)
     sent_bytes: int = 0
-    half: dict[str, int] = field(default_factory=dict)
-    """Set during a partition: the half that a node is in."""
+    groups: dict[str, int] = field(default_factory=dict)
+    """Set during a partition: the group that a node is in."""
     down: set[str] = field(default_factory=set)
 
     def cut(self, one: str, other: str) -> bool:
-        """Whether two nodes can't reach each other."""
+        """Return whether two nodes can't reach each other."""
         if one in self.down or other in self.down:
             return True
-        return self.half_of(one) != self.half_of(other)
+        return self.group_of(one) != self.group_of(other)
 
-    def half_of(self, node: str) -> int:
-        """Tell the half that a node is in; all in one while none is cut."""
-        return self.half.get(node, 0)
+    def group_of(self, node: str) -> int:
+        """Return the group of a node; 0 for all nodes without a partition."""
+        return self.groups.get(node, 0)
 
     def delay(self) -> float:
-        """Draw a delay of one hop."""
+        """Draw the delay of one hop."""
         jitter = self.random.uniform(0.5, 1.5)
         return self.hop_seconds * jitter + self.added_seconds
 
@@ -76,7 +76,7 @@
     ) -> None:
         """Send a control message, which may be lost.
 
-        Over a cut link nothing is sent, so nothing is counted.
+        Nothing is sent or counted over a cut link.
         """
         if self.cut(source, target):
             return
--- a/benchmarks/policy/meter.py
+++ b/benchmarks/policy/meter.py
@@ -1,4 +1,4 @@
-"""Measures service, waits and idle slots from outside the decisions."""
+"""Measures service, waits and idle slots outside the decision objects."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Figures of one run."""
 
     def __init__(self, tenants: tuple[Tenant, ...]) -> None:
-        """Start at zero."""
+        """Build a meter with all figures at zero."""
         self.tenants = tenants
         self.counts: Counter[str] = Counter()
         self.waits: defaultdict[str, list[float]] = defaultdict(list)
@@ -23,54 +23,54 @@
         self.busy_seconds: float = 0
         self.slot_seconds: float = 0
         self.peak: Counter[str] = Counter()
-        """Most slots that each workspace held at once."""
+        """Maximum number of slots that each workspace occupied."""
         self._service = _Gaps()
         self._waiting: Counter[str] = Counter()
-        self._held: Counter[str] = Counter()
-        self._largest: float = 0
-        self._accounted: float = 0
+        self._occupied: Counter[str] = Counter()
+        self._largest_cost: float = 0
+        self._accounted_until: float = 0
 
-    def enter(self, demand: Demand, entry: str) -> None:
-        """Note waiting work."""
+    def add_waiting(self, demand: Demand, entry: str) -> None:
+        """Count a request that starts to wait."""
         self.counts['submitted'] += 1
-        self._largest = max(self._largest, demand.cost)
+        self._largest_cost = max(self._largest_cost, demand.cost)
         self._waiting[demand.workspace] += 1
         self.waiting_at[entry] += 1
 
-    def leave(self, workspace: str, entry: str) -> None:
-        """Note that work waits no longer."""
+    def remove_waiting(self, workspace: str, entry: str) -> None:
+        """Count a request that stops waiting."""
         self.waiting_at[entry] -= 1
         self._waiting[workspace] -= 1
         if not self._waiting[workspace]:
             self._service.emptied.add(workspace)
 
-    def hold(self, workspace: str) -> None:
-        """Note a slot taken."""
-        self._held[workspace] += 1
+    def occupy_slot(self, workspace: str) -> None:
+        """Count a slot that becomes occupied."""
+        self._occupied[workspace] += 1
         self.peak[workspace] = max(
             self.peak[workspace],
-            self._held[workspace],
+            self._occupied[workspace],
         )
 
-    def release(self, workspace: str, cost: float) -> None:
-        """Note a slot freed, and what it delivered."""
-        self._held[workspace] -= 1
+    def free_slot(self, workspace: str, cost: float) -> None:
+        """Count a slot that becomes free, and the service delivered."""
+        self._occupied[workspace] -= 1
         self.delivered[workspace] += cost
 
-    def elapsed(self, now: float) -> float:
-        """Tell the time since the last call."""
-        seconds = now - self._accounted
-        self._accounted = now
+    def seconds_since_last(self, now: float) -> float:
+        """Return the time since the last call."""
+        seconds = now - self._accounted_until
+        self._accounted_until = now
         return seconds
 
-    def idle(
+    def count_slot_time(
         self,
         seconds: float,
         slots: int,
         busy: int,
         waiting: int,
     ) -> None:
-        """Count slot-time, and the part idle while work waited."""
+        """Count slot time, and how much was idle while requests waited."""
         self.slot_seconds += slots * seconds
         self.busy_seconds += busy * seconds
         self.idle_seconds += min(slots - busy, waiting) * seconds
@@ -90,25 +90,29 @@
         self._service.sample(now, service)
 
     def bound(self, stale_units: float) -> float:
-        """Compute the promised gap in units of the largest request.
+        """Return the guaranteed bound of the gap, in largest request costs.
 
         A workspace may be ahead by one largest request for each slot that it
-        holds, and by what it gets there before others hear of it.
+        occupies, and by the service it receives there before the other
+        entries receive a report of it.
 
-        :param stale_units: service of one slot in the staleness of ledgers.
-        :return: the bound for the slots that were held in this run.
+        :param stale_units: service of one slot during the maximum age of the
+            ledgers.
+        :return: the bound for the slots that were occupied in this run.
         """
         slots = max(self.peak[one.name] / one.weight for one in self.tenants)
-        return slots * (self._largest + stale_units) / self._largest
+        return slots * (self._largest_cost + stale_units) / self._largest_cost
 
     def reset_pairs(self) -> None:
-        """Start all intervals anew, to see the gap after a fault."""
+        """Start all intervals again, to measure the gap after a fault."""
         self._service.pairs = {}
 
     def gap(self, since: float, until: float) -> float:
-        """Largest gap in units of the largest request."""
-        seen = [gap for at, gap in self._service.gaps if since <= at <= until]
-        return max(seen, default=0) / self._largest
+        """Return the largest gap of a time span, in largest request costs."""
+        in_span = [
+            gap for at, gap in self._service.gaps if since <= at <= until
+        ]
+        return max(in_span, default=0) / self._largest_cost
 
 
 class _Gaps:
@@ -120,15 +124,15 @@
         self.gaps: list[tuple[float, float]] = []
 
     def sample(self, now: float, service: Mapping[str, float]) -> None:
-        fresh: dict[tuple[str, str], tuple[float, float]] = {}
+        ranges: dict[tuple[str, str], tuple[float, float]] = {}
         names = sorted(service)
         for index, one in enumerate(names):
             for other in names[index + 1 :]:
                 difference = service[one] - service[other]
-                fresh[(one, other)] = self._range((one, other), difference)
-        self.pairs = fresh
+                ranges[(one, other)] = self._range((one, other), difference)
+        self.pairs = ranges
         self.emptied.clear()
-        gap = max((high - low for low, high in fresh.values()), default=0)
+        gap = max((high - low for low, high in ranges.values()), default=0)
         self.gaps.append((now, gap))
 
     def _range(
@@ -136,7 +140,7 @@
         pair: tuple[str, str],
         difference: float,
     ) -> tuple[float, float]:
-        known = self.pairs.get(pair)
-        if known is None or not self.emptied.isdisjoint(pair):
+        previous = self.pairs.get(pair)
+        if previous is None or not self.emptied.isdisjoint(pair):
             return difference, difference
-        return min(known[0], difference), max(known[1], difference)
+        return min(previous[0], difference), max(previous[1], difference)
--- a/benchmarks/policy/nodes.py
+++ b/benchmarks/policy/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of the fake fleet and what they hold."""
+"""Nodes of the fake fleet and their state."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A caller's request with what became of it."""
+    """A caller's request and its state."""
 
     request_id: str
     demand: Demand
@@ -43,13 +43,13 @@
 
     @property
     def entry(self) -> str:
-        """Who sent it."""
+        """The entry that sent it."""
         return self.request.entry
 
 
 @dataclass(slots=True)
 class EntryNode:
-    """An entry with the attempts it watches, by attempt: side and request."""
+    """An entry and its attempts: side and request by attempt id."""
 
     name: str
     routing: Routing
@@ -58,12 +58,12 @@
 
 @dataclass(slots=True)
 class SideNode:
-    """A side with its backend server's slots."""
+    """A side and the slots of its backend server."""
 
     name: str
     domain: str
     admission: Admission
     running: dict[str, Running] = field(default_factory=dict)
-    orders: dict[str, Request] = field(default_factory=dict)
+    run_requests: dict[str, Request] = field(default_factory=dict)
     announcing: bool = False
     epoch: int = 0
--- a/benchmarks/policy/run.py
+++ b/benchmarks/policy/run.py
@@ -25,16 +25,16 @@
 from benchmarks.policy.world import World
 from sardinetrack.fairness.invariant import ensure
 
-WARM_SECONDS: Final = 5.0
-STALE_SECONDS: Final = 2.0
-"""Longest time between reports of an entry."""
+RECOVERY_SECONDS: Final = 5.0
+MAX_REPORT_AGE_SECONDS: Final = 2.0
+"""Maximum time between reports of an entry."""
 BOUNDED_CASES: Final = ('none', 'delay', 'flood', 'same minute')
-"""Cases in which the promised bound is asserted."""
+"""Cases in which the guaranteed bound is asserted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What one run showed."""
+    """The figures of one run."""
 
     gap: float
     gap_after: float
@@ -60,36 +60,36 @@
     :param shape: pool and load.
     :param policy: decisions under measurement.
     :param case: a fault, ``flood`` or ``same minute``.
-    :param seed: of everything drawn.
+    :param seed: seed of everything drawn.
     :return: the figures.
     """
     random = Random(f'{shape.pool} {case} {seed}')
-    several = tenants(shape, random)
+    all_tenants = tenants(shape, random)
     if case == 'flood':
-        several = flood(several, shape.entries)
-    demands = demand(shape, several, random)
+        all_tenants = flood(all_tenants, shape.entries)
+    demands = demand(shape, all_tenants, random)
     if case == 'same minute':
-        demands = _same_minute(shape, several, random)
-    world = World(shape, several, policy, seed)
+        demands = _same_minute(shape, all_tenants, random)
+    world = World(shape, all_tenants, policy, seed)
     FAULTS.get(case, FAULTS['none'])(world)
     healed = FAULT_SECONDS + PARTITION_SECONDS
-    world.events.after(healed + WARM_SECONDS, world.meter.reset_pairs)
+    world.events.after(healed + RECOVERY_SECONDS, world.meter.reset_pairs)
     world.run(demands)
-    figures = _figures(world, healed + WARM_SECONDS)
+    figures = _figures(world, healed + RECOVERY_SECONDS)
     if isinstance(policy, FairPolicy) and case in BOUNDED_CASES:
-        ensure(figures.gap <= figures.bound, 'the gap keeps its bound')
+        ensure(figures.gap <= figures.bound, 'the gap is within its bound')
     return figures
 
 
 def _same_minute(
     shape: Shape,
-    several: tuple,
+    all_tenants: tuple,
     random: Random,
 ) -> list[Demand]:
-    """Let everybody arrive within some seconds, then ask for little."""
-    quiet = demand(shape, several, random, until_seconds=1.0)
-    for tenant in several:
-        for _ in range(4 * shape.servers * shape.slots // len(several)):
+    """Draw a burst of all workspaces within seconds, and little else."""
+    quiet = demand(shape, all_tenants, random, until_seconds=1.0)
+    for tenant in all_tenants:
+        for _ in range(4 * shape.servers * shape.slots // len(all_tenants)):
             at_seconds = 10 + random.random() * 5
             entry = random.choices(range(shape.entries), tenant.spread)[0]
             cost = draw_cost(random)
@@ -101,7 +101,7 @@
 def _figures(world: World, healed: float) -> Figures:
     meter = world.meter
     requests = max(1, meter.counts['whole'])
-    stale_seconds = STALE_SECONDS + 2 * world.links.added_seconds
+    stale_seconds = MAX_REPORT_AGE_SECONDS + 2 * world.links.added_seconds
     mean = world.shape.mean_run_seconds
     return Figures(
         gap=meter.gap(0, healed),
--- a/benchmarks/policy/shapes.py
+++ b/benchmarks/policy/shapes.py
@@ -1,4 +1,4 @@
-"""The two deployments: pools, entries, workspaces, demand."""
+"""The two deployments: pools, entries, workspaces and their demand."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 PILOT: Final = 'pilot'
 FLOODER: Final = 'w0'
-_HUGE: Final = 1_000_000
-_TAIL: Final = 1.5
-_SKEW: Final = 1.5
+_UNLIMITED: Final = 1_000_000
+_PARETO_SHAPE: Final = 1.5
+_SPREAD_SKEW: Final = 1.5
 LARGE_WEIGHTS: Final = MappingProxyType({0: 4.0, 1: 2.0, 2: 2.0})
-_LARGEST: Final = 50.0
+_MAX_COST: Final = 50.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
     @property
     def capacity(self) -> float:
-        """Requests that the pool can end in a second."""
+        """Requests that the pool can finish in a second."""
         return self.servers * self.slots / self.mean_run_seconds
 
 
@@ -68,9 +68,9 @@
     name: str
     weight: float
     load: float
-    """Offered load in parts of the pool's capacity."""
+    """Offered load as a fraction of the pool's capacity."""
     spread: tuple[float, ...]
-    """Parts of its demand at each entry."""
+    """Fraction of its demand at each entry."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
 
 
 def tenants(shape: Shape, random: Random) -> tuple[Tenant, ...]:
-    """Draw sixteen workspaces: three large, a lone pilot, others small."""
+    """Draw sixteen workspaces: three large, one pilot, the rest small."""
     loads = [0.6, 0.5, 0.4, 0.12, 0.12, 0.12, 0.1, 0.1, 0.1]
     loads += [0.04, 0.04, 0.04, 0.03, 0.03, 0.03]
     drawn = [
@@ -97,41 +97,45 @@
         )
         for number, load in enumerate(loads)
     ]
-    home = random.randrange(shape.entries)
-    one_entry = [float(entry == home) for entry in range(shape.entries)]
+    pilot_entry = random.randrange(shape.entries)
+    one_entry = [float(entry == pilot_entry) for entry in range(shape.entries)]
     load = 0.2 / shape.capacity / shape.mean_run_seconds
     return (*drawn, Tenant(PILOT, 1.0, load, tuple(one_entry)))
 
 
 def _spread(shape: Shape, random: Random) -> tuple[float, ...]:
-    parts = [(rank + 1) ** -_SKEW for rank in range(shape.entries)]
-    random.shuffle(parts)
-    whole = sum(parts)
-    return tuple(part / whole for part in parts)
+    weights = [(rank + 1) ** -_SPREAD_SKEW for rank in range(shape.entries)]
+    random.shuffle(weights)
+    total = sum(weights)
+    return tuple(part / total for part in weights)
 
 
 def draw_cost(random: Random) -> float:
-    """Draw from a bounded Pareto distribution, 1 to 50."""
-    low = _LARGEST ** (-_TAIL)
-    return (low + random.random() * (1 - low)) ** (-1 / _TAIL)
+    """Draw a cost from a bounded Pareto distribution, 1 to 50."""
+    low = _MAX_COST ** (-_PARETO_SHAPE)
+    return (low + random.random() * (1 - low)) ** (-1 / _PARETO_SHAPE)
 
 
 def mean_cost() -> float:
-    """Tell the mean of ``draw_cost``."""
-    top = _TAIL / (_TAIL - 1) * (1 - _LARGEST ** (1 - _TAIL))
-    return top / (1 - _LARGEST**-_TAIL)
+    """Return the mean of ``draw_cost``."""
+    top = (
+        _PARETO_SHAPE
+        / (_PARETO_SHAPE - 1)
+        * (1 - _MAX_COST ** (1 - _PARETO_SHAPE))
+    )
+    return top / (1 - _MAX_COST**-_PARETO_SHAPE)
 
 
 def demand(
     shape: Shape,
-    several: tuple[Tenant, ...],
+    all_tenants: tuple[Tenant, ...],
     random: Random,
     until_seconds: float | None = None,
 ) -> list[Demand]:
     """Draw Poisson arrivals of all workspaces."""
     drawn: list[Demand] = []
     until = shape.seconds if until_seconds is None else until_seconds
-    for tenant in several:
+    for tenant in all_tenants:
         rate = tenant.load * shape.capacity
         at_seconds = random.expovariate(rate)
         while at_seconds < until:
@@ -154,36 +158,38 @@
     return Demand(at_seconds, tenant.name, entry, cost, cost * factor)
 
 
-def flood(several: tuple[Tenant, ...], entries: int) -> tuple[Tenant, ...]:
-    """Let one workspace flood every entry tenfold."""
+def flood(all_tenants: tuple[Tenant, ...], entries: int) -> tuple[Tenant, ...]:
+    """Let one workspace send tenfold, evenly to every entry."""
     even = tuple(1 / entries for _ in range(entries))
     return tuple(
         replace(one, load=one.load * 10, spread=even)
         if one.name == FLOODER
         else one
-        for one in several
+        for one in all_tenants
     )
 
 
 def workspaces(
-    several: tuple[Tenant, ...],
+    all_tenants: tuple[Tenant, ...],
     shape: Shape,
 ) -> list[Workspace]:
-    """Write the catalogue's side of the workspaces."""
+    """Return the workspaces as catalogue objects."""
     return [
         Workspace(
             one.name,
             'owner',
             ServiceClass.STANDARD,
-            WorkspaceLimits(one.weight, _HUGE, float(_HUGE), shape.waiting),
+            WorkspaceLimits(
+                one.weight, _UNLIMITED, float(_UNLIMITED), shape.waiting
+            ),
             frozenset(),
         )
-        for one in several
+        for one in all_tenants
     ]
 
 
 def catalogue_pool(shape: Shape) -> Pool:
-    """Write the catalogue's side of the pool."""
+    """Return the pool as a catalogue object."""
     return Pool(
         shape.pool,
         'owner',
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -1,4 +1,4 @@
-"""Drives the decision objects of a whole fleet through fake links."""
+"""Runs the decision objects of a complete fleet over fake links."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 TICK_SECONDS = 0.1
 PROGRESS_SECONDS = 0.5
 SAMPLE_SECONDS = 0.25
-PATIENCE_SECONDS = 600.0
+MAX_WAIT_SECONDS = 600.0
 
 
 class World:
@@ -65,10 +65,10 @@
         self.events.after(SAMPLE_SECONDS, self._sample)
 
     def add_entry(self, name: str, epoch: int) -> None:
-        """Start an entry that knows nothing."""
+        """Start an entry with no state and connect it to all sides."""
         identity = Identity(name, f'i{epoch}')
-        chance = Random(self.random.random())
-        node = EntryNode(name, self.policy.routing(identity, chance))
+        rng = Random(self.random.random())
+        node = EntryNode(name, self.policy.routing(identity, rng))
         self.entries[name] = node
         self.at_entry(
             node,
@@ -77,14 +77,14 @@
             [catalogue_pool(self.shape)],
         )
         for side in self.sides.values():
-            self.link_up(node, side)
+            self.connect(node, side)
         self.events.after(
             self.random.random() * TICK_SECONDS,
             partial(self._tick_entry, node, 0),
         )
 
-    def link_up(self, node: EntryNode, side: SideNode) -> None:
-        """Link an entry to a side, which tells its load."""
+    def connect(self, node: EntryNode, side: SideNode) -> None:
+        """Connect an entry to a side, which reports its load."""
         info = SideInfo(
             side.name,
             self.shape.pool,
@@ -97,7 +97,7 @@
         self.at_entry(node, node.routing.load, side.name, load)
 
     def live_entries(self) -> list[EntryNode]:
-        """List the entries that are up."""
+        """Return the entries that are running."""
         return [
             node
             for node in self.entries.values()
@@ -111,7 +111,7 @@
         *args: Any,
         **named: Any,
     ) -> None:
-        """Call an entry's decisions and carry out the effects."""
+        """Call an entry's decisions and apply the effects."""
         if self.entries.get(node.name) is not node:
             return
         if node.name in self.links.down:
@@ -127,25 +127,25 @@
         *args: Any,
         **named: Any,
     ) -> None:
-        """Call a side's decisions and carry out the effects."""
+        """Call a side's decisions and apply the effects."""
         if side.epoch != epoch or side.name in self.links.down:
             return
         self.account()
         for effect in self._timed(call, *args, **named):
             self.carrier.from_side(side, effect)
 
-    def ask_side(self, side: SideNode, attempt_id: str) -> None:
-        """Ask for an attempt that is not running, so that it never will."""
-        side.orders.pop(attempt_id, None)
+    def query_side(self, side: SideNode, attempt_id: str) -> None:
+        """Query and cancel an attempt that is not running, so it never runs."""
+        side.run_requests.pop(attempt_id, None)
         self._timed(side.admission.query, attempt_id, cancel=True)
 
     def stop(self, side: SideNode, running: Running, *, whole: bool) -> float:
-        """Free a slot, and count what it delivered."""
+        """Free a slot and count the service that it delivered."""
         self.account()
         running.ended = True
         side.running.pop(running.attempt_id)
         cost = self.cost_so_far(running)
-        self.meter.release(running.request.demand.workspace, cost)
+        self.meter.free_slot(running.request.demand.workspace, cost)
         self.at_side(
             side,
             side.epoch,
@@ -157,48 +157,48 @@
         return cost
 
     def stop_waiting(self, request: Request) -> None:
-        """Note that a request started or was given up."""
+        """Count a request that started or was given up."""
         if request.waits:
             self.account()
             request.waits = False
-            self.meter.leave(request.demand.workspace, request.entry)
+            self.meter.remove_waiting(request.demand.workspace, request.entry)
 
     def cost_so_far(self, running: Running) -> float:
-        """Cost units that an attempt has received."""
+        """Return the cost units that an attempt has received."""
         elapsed = self.events.now - running.since_seconds
         return min(elapsed / self.unit_seconds, running.request.demand.cost)
 
     def submit(self, demand: Demand) -> None:
-        """Let a caller send a request, to a live entry."""
+        """Send a caller's request to a running entry."""
         name = f'e{demand.entry}'
         if name in self.links.down:
             name = self.live_entries()[0].name
         request = Request(f'r{len(self.requests)}', demand, name)
         self.requests[request.request_id] = request
         self.account()
-        self.meter.enter(demand, name)
+        self.meter.add_waiting(demand, name)
         work = Work(
             request.request_id,
             demand.workspace,
             self.shape.pool,
             demand.hint,
-            self.events.now + PATIENCE_SECONDS,
+            self.events.now + MAX_WAIT_SECONDS,
             idempotent=True,
         )
         node = self.entries[name]
         self.at_entry(node, node.routing.submit, work)
 
     def account(self) -> None:
-        """Count idle slot-time since the last change."""
-        seconds = self.meter.elapsed(self.events.now)
+        """Count slot time since the last change."""
+        seconds = self.meter.seconds_since_last(self.events.now)
         if seconds <= 0:
             return
-        halves = {self.links.half_of(name) for name in self.sides}
-        for half in halves:
-            self._account_half(half, seconds)
+        groups = {self.links.group_of(name) for name in self.sides}
+        for group in groups:
+            self._account_group(group, seconds)
 
     def run(self, demands: Sequence[Demand]) -> None:
-        """Send all demands and run to the end of the shape's time."""
+        """Send all demands and run until the end of the shape's time."""
         for demand in demands:
             self.events.after(
                 demand.at_seconds,
@@ -233,13 +233,13 @@
         self.at_side(side, side.epoch, side.admission.tick)
         self.events.after(TICK_SECONDS, partial(self._tick_side, name))
 
-    def _tick_entry(self, node: EntryNode, progressed: float) -> None:
+    def _tick_entry(self, node: EntryNode, last_progress: float) -> None:
         now = self.events.now
-        if now - progressed >= PROGRESS_SECONDS:
-            progressed = now
+        if now - last_progress >= PROGRESS_SECONDS:
+            last_progress = now
             self._progress(node)
         self.at_entry(node, node.routing.tick)
-        again = partial(self._tick_entry, node, progressed)
+        again = partial(self._tick_entry, node, last_progress)
         self.events.after(TICK_SECONDS, again)
 
     def _progress(self, node: EntryNode) -> None:
@@ -251,20 +251,20 @@
             cost = self.cost_so_far(running)
             self.at_entry(node, node.routing.progress, attempt_id, cost)
 
-    def _account_half(self, half: int, seconds: float) -> None:
+    def _account_group(self, group: int, seconds: float) -> None:
         busy = [
             len(side.running)
             for side in self.sides.values()
             if side.name not in self.links.down
-            and self.links.half_of(side.name) == half
+            and self.links.group_of(side.name) == group
         ]
         waiting = [
             count
             for name, count in self.meter.waiting_at.items()
-            if self.links.half_of(name) == half
+            if self.links.group_of(name) == group
         ]
         slots = len(busy) * self.shape.slots
-        self.meter.idle(seconds, slots, sum(busy), sum(waiting))
+        self.meter.count_slot_time(seconds, slots, sum(busy), sum(waiting))
 
     def _sample(self) -> None:
         service: dict[str, float] = {}
