--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Costs that grow with the size of the fleet, one module a subject."""
+"""Costs that grow with the size of the fleet, one module for each subject."""
--- a/benchmarks/slopes/catalogue.py
+++ b/benchmarks/slopes/catalogue.py
@@ -1,4 +1,4 @@
-"""What the catalogue and the list of instances cost a node."""
+"""Cost of the catalogue and the instance list at an instance."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
             'apply a snapshot',
             size,
             'us',
-            once_us(partial(_first, count)),
+            once_us(partial(_snapshot, count)),
         )
         yield Figure(
             'apply one change',
@@ -61,23 +61,23 @@
         'read the list, no news',
         size,
         'us',
-        processor_us(partial(_read_list, view, text)),
+        processor_us(partial(_decode_list, view, text)),
     )
 
 
-def _read_list(view: MembershipView, text: bytes) -> object:
+def _decode_list(view: MembershipView, text: bytes) -> object:
     listed = msgspec.json.decode(text, type=tuple[ListedInstance, ...])
     return view.update(listed)
 
 
 def full_view(count: int) -> CatalogueView:
-    """Build a view that holds a whole catalogue."""
+    """Build a view of a complete catalogue."""
     view = CatalogueView()
     view.apply(samples.snapshot(count))
     return view
 
 
-def _first(count: int) -> Callable[[], object]:
+def _snapshot(count: int) -> Callable[[], object]:
     return partial(CatalogueView().apply, samples.snapshot(count))
 
 
--- a/benchmarks/slopes/entry.py
+++ b/benchmarks/slopes/entry.py
@@ -19,20 +19,21 @@
 KNOWN: Final = (16, 850, 8500)
 SIDES: Final = (1, 20, 200)
 WAITING: Final = (1, 85, 850)
-HEARD: Final = (425, 850, 1700)
+REPORT_ROWS: Final = (425, 850, 1700)
 _CALLS: Final = 50
 _FREE: Final = 100_000
 _MICROSECOND: Final = 0.000001
 
 
-class Desk:
-    """A router with workspaces that peers told it of, and sides."""
+class LoadedRouter:
+    """A router with workspaces reported by peers, and sides."""
 
     def __init__(self, known: int, sides: int, free: int) -> None:
         """Build the state.
 
-        :param known: workspaces in the ledger.
-        :param free: slots that each side says it has.
+        :param known: number of workspaces in the ledger.
+        :param sides: number of connected sides.
+        :param free: number of free slots that each side reports.
         """
         self.router = Router(
             Identity('entry-1', samples.INCARNATION),
@@ -52,7 +53,7 @@
             self.router.load(self.now, info.side, samples.load(free))
 
     def submit(self, workspace: int = 0) -> list[Dispatch]:
-        """Hand in one request; return what it dispatched."""
+        """Submit one request; return the dispatches that follow."""
         self._requests += 1
         self.now += _MICROSECOND
         work = samples.work(self._requests, workspace)
@@ -60,7 +61,7 @@
         return [one for one in effects if isinstance(one, Dispatch)]
 
     def queue(self, workspaces: int) -> None:
-        """Let one request wait in each of so many workspaces."""
+        """Queue one request in each of a number of workspaces."""
         for number in range(workspaces):
             self.submit(number)
 
@@ -76,12 +77,12 @@
 
 
 @cache
-def _built(known: int, sides: int, free: int) -> Desk:
-    return Desk(known, sides, free)
+def _built(known: int, sides: int, free: int) -> LoadedRouter:
+    return LoadedRouter(known, sides, free)
 
 
-def _desk(known: int, sides: int, free: int) -> Desk:
-    """Copy a desk: to hear of 8500 workspaces takes a ledger seconds."""
+def _copy(known: int, sides: int, free: int) -> LoadedRouter:
+    """Copy a built state, as a report of 8500 workspaces takes seconds."""
     return deepcopy(_built(known, sides, free))
 
 
@@ -89,99 +90,99 @@
     """Measure all decisions."""
     for known in KNOWN:
         size = f'{known} known, 20 sides'
-        yield from _of_requests(size, known, 20)
+        yield from _measure_requests(size, known, 20)
     for sides in SIDES:
-        yield from _of_requests(f'850 known, {sides} sides', 850, sides)
+        yield from _measure_requests(f'850 known, {sides} sides', 850, sides)
     for waiting in WAITING:
-        yield from _of_waiting(waiting)
+        yield from _measure_waiting(waiting)
     for known in KNOWN:
-        yield from _of_ticks(known)
-    for known in HEARD:
-        heard = once_us(partial(partial, Desk, known, 20, 0))
-        yield Figure('first report heard', f'{known} rows', 'us', heard)
+        yield from _measure_ticks(known)
+    for known in REPORT_ROWS:
+        spread = once_us(partial(partial, LoadedRouter, known, 20, 0))
+        yield Figure('first report heard', f'{known} rows', 'us', spread)
 
 
-def _of_requests(size: str, known: int, sides: int) -> Iterator[Figure]:
+def _measure_requests(size: str, known: int, sides: int) -> Iterator[Figure]:
     yield Figure(
         'submit, free slot',
         size,
         'us',
-        once_us(partial(_submits, known, sides), _CALLS),
+        once_us(partial(_prepare_submits, known, sides), _CALLS),
     )
     yield Figure(
         'ended',
         size,
         'us',
-        once_us(partial(_ends, known, sides), _CALLS),
+        once_us(partial(_prepare_ends, known, sides), _CALLS),
     )
-    desk = _desk(known, sides, _FREE)
-    attempt_id = desk.submit()[0].attempt_id
+    loaded = _copy(known, sides, _FREE)
+    attempt_id = loaded.submit()[0].attempt_id
     yield Figure(
         'progress',
         size,
         'us',
         processor_us(
-            partial(desk.router.progress, desk.now, attempt_id, 200.0),
+            partial(loaded.router.progress, loaded.now, attempt_id, 200.0),
         ),
     )
 
 
-def _submits(known: int, sides: int) -> Callable[[], object]:
-    desk = _desk(known, sides, _FREE)
-    return lambda: [desk.submit(number % known) for number in range(_CALLS)]
+def _prepare_submits(known: int, sides: int) -> Callable[[], object]:
+    loaded = _copy(known, sides, _FREE)
+    return lambda: [loaded.submit(number % known) for number in range(_CALLS)]
 
 
-def _ends(known: int, sides: int) -> Callable[[], object]:
-    desk = _desk(known, sides, _FREE)
-    running = [desk.submit(number % known)[0] for number in range(_CALLS)]
-    return lambda: [desk.end(dispatch) for dispatch in running]
+def _prepare_ends(known: int, sides: int) -> Callable[[], object]:
+    loaded = _copy(known, sides, _FREE)
+    running = [loaded.submit(number % known)[0] for number in range(_CALLS)]
+    return lambda: [loaded.end(dispatch) for dispatch in running]
 
 
-def _of_waiting(waiting: int) -> Iterator[Figure]:
+def _measure_waiting(waiting: int) -> Iterator[Figure]:
     size = f'{waiting} waiting, 20 sides'
     yield Figure(
         'submit, no slot',
         size,
         'us',
-        once_us(partial(_queued, waiting), _CALLS),
+        once_us(partial(_prepare_queued, waiting), _CALLS),
     )
-    yield Figure('grant', size, 'us', once_us(partial(_grants, waiting)))
-    desk = _desk(850, 20, 0)
-    desk.queue(waiting)
+    yield Figure('grant', size, 'us', once_us(partial(_prepare_grant, waiting)))
+    loaded = _copy(850, 20, 0)
+    loaded.queue(waiting)
     yield Figure(
         'bids_for',
         size,
         'us',
-        processor_us(partial(desk.router.bids_for, 'side-0')),
+        processor_us(partial(loaded.router.bids_for, 'side-0')),
     )
-    yield Figure('tick', size, 'us', _tick_us(desk))
+    yield Figure('tick', size, 'us', _tick_us(loaded))
 
 
-def _tick_us(desk: Desk) -> Spread:
-    return processor_us(partial(desk.router.tick, desk.now))
+def _tick_us(loaded: LoadedRouter) -> Spread:
+    return processor_us(partial(loaded.router.tick, loaded.now))
 
 
-def _queued(waiting: int) -> Callable[[], object]:
-    desk = _desk(850, 20, 0)
-    desk.queue(waiting)
-    return lambda: [desk.submit(850 + number) for number in range(_CALLS)]
+def _prepare_queued(waiting: int) -> Callable[[], object]:
+    loaded = _copy(850, 20, 0)
+    loaded.queue(waiting)
+    return lambda: [loaded.submit(850 + number) for number in range(_CALLS)]
 
 
-def _grants(waiting: int) -> Callable[[], object]:
-    desk = _desk(850, 20, 0)
-    desk.queue(waiting)
-    return partial(desk.router.grant, desk.now, 'side-0', Grant(1, 1.0))
+def _prepare_grant(waiting: int) -> Callable[[], object]:
+    loaded = _copy(850, 20, 0)
+    loaded.queue(waiting)
+    return partial(loaded.router.grant, loaded.now, 'side-0', Grant(1, 1.0))
 
 
-def _of_ticks(known: int) -> Iterator[Figure]:
+def _measure_ticks(known: int) -> Iterator[Figure]:
     size = f'{known} known, 20 sides'
-    desk = _desk(known, 20, 0)
-    yield Figure('tick, nothing waits', size, 'us', _tick_us(desk))
-    heard = samples.report(known, 'entry-2')
-    desk.router.peer_service(desk.now, heard)
+    loaded = _copy(known, 20, 0)
+    yield Figure('tick, nothing waits', size, 'us', _tick_us(loaded))
+    message = samples.report(known, 'entry-2')
+    loaded.router.peer_service(loaded.now, message)
     yield Figure(
         'peer_service',
         f'{known} rows',
         'us',
-        processor_us(partial(desk.router.peer_service, desk.now, heard)),
+        processor_us(partial(loaded.router.peer_service, loaded.now, message)),
     )
--- a/benchmarks/slopes/figure.py
+++ b/benchmarks/slopes/figure.py
@@ -1,4 +1,4 @@
-"""One measured figure, and the stopwatch that takes it."""
+"""Measured figures, and functions that measure them."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from benchmarks.probe.table import Spread
 
 RUNS: Final = 5
-_LEAST_SECONDS: Final = 0.02
+_MIN_SECONDS: Final = 0.02
 _MICROSECONDS: Final = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A cost at one size."""
+    """The cost of a subject at one size."""
 
     subject: str
     size: str
@@ -30,10 +30,10 @@
     """Measure the processor time of an action that may be repeated.
 
     :param action: repeated until the clock's resolution doesn't matter.
-    :return: microseconds a call, over several runs.
+    :return: microseconds for each call, over several runs.
     """
     repeats = 1
-    while _seconds(action, repeats) < _LEAST_SECONDS:
+    while _seconds(action, repeats) < _MIN_SECONDS:
         repeats *= 2
     return Spread.of(
         _seconds(action, repeats) / repeats * _MICROSECONDS for _ in range(RUNS)
@@ -44,11 +44,11 @@
     prepare: Callable[[], Callable[[], object]],
     calls: int = 1,
 ) -> Spread:
-    """Measure an action that changes its state, prepared afresh each run.
+    """Measure an action that changes its state, built again for each run.
 
     :param prepare: builds the state and returns the action.
-    :param calls: how many calls the action makes.
-    :return: microseconds a call.
+    :param calls: number of calls that the action makes.
+    :return: microseconds for each call.
     """
     return Spread.of(
         _seconds(prepare(), 1) / calls * _MICROSECONDS for _ in range(RUNS)
@@ -56,11 +56,11 @@
 
 
 def allocated_bytes(build: Callable[[], object], parts: int = 1) -> Spread:
-    """Measure the memory that stays allocated.
+    """Measure the memory of an object.
 
-    :param build: returns what is to stay.
-    :param parts: how many alike parts it has.
-    :return: bytes a part.
+    :param build: returns the object.
+    :param parts: number of equal parts of the object.
+    :return: bytes for each part.
     """
     return Spread.of(_allocated(build) / parts for _ in range(RUNS))
 
@@ -69,11 +69,11 @@
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    held = [build()]
+    kept = [build()]
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    held.clear()
+    kept.clear()
     return after - before
 
 
--- a/benchmarks/slopes/links.py
+++ b/benchmarks/slopes/links.py
@@ -1,7 +1,7 @@
-"""What a control link costs at each of its two ends.
+"""Cost of a control link at each of its two ends.
 
-The two ends run in two threads with event loops of their own, so that the
-kernel tells the processor time of each apart.
+The two ends run in two threads with separate event loops, so that the kernel
+counts the processor time of each separately.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
 MESSAGES: Final = 1000
 IDLE_SECONDS: Final = 4.0
 RUNS: Final = 3
-_PAUSE_SECONDS: Final = 0.001
+_SEND_INTERVAL_SECONDS: Final = 0.001
 _IP: Final = '127.0.0.1'
 _SECRET: Final = PeerSecret('benchmark')
 _MICROSECONDS: Final = 1_000_000
-_EVENTS: Final = 4096
+_MAX_EVENTS: Final = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
     acceptor: float
 
     def since(self, earlier: Ends) -> Ends:
-        """Subtract an earlier reading."""
+        """Return the difference to an earlier measurement."""
         return Ends(
             self.dialer - earlier.dialer,
             self.acceptor - earlier.acceptor,
@@ -61,10 +61,10 @@
 
 
 class Acceptor:
-    """A thread that accepts links and throws away what arrives."""
+    """A thread that accepts links and discards the messages that arrive."""
 
     def __init__(self) -> None:
-        """Start to serve."""
+        """Start the thread and wait until it listens."""
         self.address = ''
         self.received = 0
         self._listening = threading.Event()
@@ -74,17 +74,19 @@
         self._listening.wait()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._stop.set()
         self._thread.join()
 
     def seconds(self) -> float:
-        """Tell the thread's processor time."""
+        """Return the thread's processor time."""
         ident = self._thread.ident or 0
         return time.clock_gettime(time.pthread_getcpuclockid(ident))
 
     async def _run(self) -> None:
-        send, receive = anyio.create_memory_object_stream[LinkEvent](_EVENTS)
+        send, receive = anyio.create_memory_object_stream[LinkEvent](
+            _MAX_EVENTS
+        )
         acceptor = LinkAcceptor(_hello(0), _SECRET, send)
         async with serving(acceptor, _IP, 0) as server:
             self.address = server.address
@@ -100,31 +102,33 @@
 
 
 def measure() -> Iterator[Figure]:
-    """Measure a message's cost and the standing cost of idle links."""
-    with _accepting() as acceptor:
+    """Measure the costs of messages and of idle links."""
+    with _running_acceptor() as acceptor:
         for name, size, message in _messages():
             runs = [anyio.run(_send, acceptor, message) for _ in range(RUNS)]
-            yield from _both(name, size, 'us', runs, MESSAGES)
+            yield from _both_ends(name, size, 'us', runs, MESSAGES)
         empty = anyio.run(_idle, acceptor, 0)
         for links in LINKS:
-            yield _held(acceptor, links)
-            yield from _standing(acceptor, links, empty)
+            yield _memory(acceptor, links)
+            yield from _idle_cost(acceptor, links, empty)
 
 
-def _held(acceptor: Acceptor, links: int) -> Figure:
-    held = Spread.of([anyio.run(_resident, acceptor, links)])
-    return Figure('link, both ends', f'{links} links', 'bytes resident', held)
+def _memory(acceptor: Acceptor, links: int) -> Figure:
+    memory = Spread.of([anyio.run(_resident, acceptor, links)])
+    return Figure('link, both ends', f'{links} links', 'bytes resident', memory)
 
 
-def _standing(
+def _idle_cost(
     acceptor: Acceptor,
     links: int,
     empty: Ends,
 ) -> Iterator[Figure]:
     idle = [anyio.run(_idle, acceptor, links) for _ in range(RUNS)]
     runs = [one.since(empty) for one in idle]
-    shares = links * IDLE_SECONDS
-    yield from _both('idle link', f'{links} links', 'us/s', runs, shares)
+    link_seconds = links * IDLE_SECONDS
+    yield from _both_ends(
+        'idle link', f'{links} links', 'us/s', runs, link_seconds
+    )
 
 
 def _messages() -> Iterator[tuple[str, str, LinkMessage]]:
@@ -134,7 +138,7 @@
     yield 'link message', 'ServiceReport, 850 rows', samples.report(850)
 
 
-def _both(
+def _both_ends(
     name: str,
     size: str,
     unit: str,
@@ -148,30 +152,30 @@
 
 
 async def _send(acceptor: Acceptor, message: LinkMessage) -> Ends:
-    """Send messages one by one, as they are sent in the fleet."""
+    """Send messages one by one, as the daemons do."""
     async with _links(acceptor, 1) as links:
-        before = _reading(acceptor)
+        before = _read(acceptor)
         target = acceptor.received + MESSAGES
         for _ in range(MESSAGES):
             links[0].post(message)
-            await anyio.sleep(_PAUSE_SECONDS)
-        await _received(acceptor, target)
-        return _reading(acceptor).since(before)
+            await anyio.sleep(_SEND_INTERVAL_SECONDS)
+        await _wait_received(acceptor, target)
+        return _read(acceptor).since(before)
 
 
-async def _received(acceptor: Acceptor, target: int) -> None:
+async def _wait_received(acceptor: Acceptor, target: int) -> None:
     for _ in range(MESSAGES):
         if acceptor.received >= target:
             return
-        await anyio.sleep(_PAUSE_SECONDS)
+        await anyio.sleep(_SEND_INTERVAL_SECONDS)
     raise TimeoutError(acceptor.received)
 
 
 async def _idle(acceptor: Acceptor, count: int) -> Ends:
     async with _links(acceptor, count):
-        before = _reading(acceptor)
+        before = _read(acceptor)
         await anyio.sleep(IDLE_SECONDS)
-        return _reading(acceptor).since(before)
+        return _read(acceptor).since(before)
 
 
 async def _resident(acceptor: Acceptor, count: int) -> float:
@@ -182,7 +186,7 @@
 
 @asynccontextmanager
 async def _links(acceptor: Acceptor, count: int) -> AsyncIterator[list[Link]]:
-    send, receive = anyio.create_memory_object_stream[LinkEvent](_EVENTS)
+    send, receive = anyio.create_memory_object_stream[LinkEvent](_MAX_EVENTS)
     links: list[Link] = []
     async with anyio.create_task_group() as tasks:
         for number in range(count):
@@ -201,12 +205,12 @@
         tasks.cancel_scope.cancel()
 
 
-def _reading(acceptor: Acceptor) -> Ends:
+def _read(acceptor: Acceptor) -> Ends:
     return Ends(time.thread_time(), acceptor.seconds())
 
 
 @contextmanager
-def _accepting() -> Iterator[Acceptor]:
+def _running_acceptor() -> Iterator[Acceptor]:
     acceptor = Acceptor()
     try:
         yield acceptor
--- a/benchmarks/slopes/memory.py
+++ b/benchmarks/slopes/memory.py
@@ -1,4 +1,4 @@
-"""Memory of the decision objects; ``tracemalloc`` counts it."""
+"""Memory of the decision objects, measured by ``tracemalloc``."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from benchmarks.probe.table import Spread
 from benchmarks.slopes import samples
-from benchmarks.slopes.entry import Desk
+from benchmarks.slopes.entry import LoadedRouter
 from benchmarks.slopes.figure import Figure, allocated_bytes
-from benchmarks.slopes.side import Counter
+from benchmarks.slopes.side import LoadedAdmission
 from sardinetrack.fairness.ledger import Ledger
 
 KNOWN: Final = (16, 850, 1700)
@@ -38,14 +38,14 @@
             'admission',
             f'{entries} entries x 100 rows',
             'bytes',
-            allocated_bytes(partial(Counter, entries, 100)),
+            allocated_bytes(partial(LoadedAdmission, entries, 100)),
         )
 
 
 def _router(known: int) -> Figure:
-    built = partial(Desk, known, 20, 0)
+    build = partial(LoadedRouter, known, 20, 0)
     size = f'{known} known, 20 sides'
-    return Figure('router', size, 'bytes', allocated_bytes(built))
+    return Figure('router', size, 'bytes', allocated_bytes(build))
 
 
 def _ledger(peers: int) -> Ledger:
@@ -56,17 +56,17 @@
 
 
 def _requests(name: str, requests: int, free: int) -> Figure:
-    empty = allocated_bytes(partial(_desk, 0, free)).median
-    filled = allocated_bytes(partial(_desk, requests, free))
-    part = [
+    empty = allocated_bytes(partial(_router_with, 0, free)).median
+    filled = allocated_bytes(partial(_router_with, requests, free))
+    each = [
         (one - empty) / requests
         for one in (filled.lowest, filled.median, filled.highest)
     ]
-    return Figure(name, f'{requests} requests', 'bytes each', Spread.of(part))
+    return Figure(name, f'{requests} requests', 'bytes each', Spread.of(each))
 
 
-def _desk(requests: int, free: int) -> Desk:
-    desk = Desk(850, 20, free)
+def _router_with(requests: int, free: int) -> LoadedRouter:
+    loaded = LoadedRouter(850, 20, free)
     for number in range(requests):
-        desk.submit(number % 20)
-    return desk
+        loaded.submit(number % 20)
+    return loaded
--- a/benchmarks/slopes/messages.py
+++ b/benchmarks/slopes/messages.py
@@ -1,4 +1,4 @@
-"""Bytes of each message, and what encoding and decoding it costs."""
+"""Size of each message, and the cost of encoding and decoding it."""
 
 from __future__ import annotations
 
--- a/benchmarks/slopes/samples.py
+++ b/benchmarks/slopes/samples.py
@@ -1,4 +1,4 @@
-"""Names and messages of the sizes that the slopes are taken at."""
+"""Names and messages of the sizes that are measured."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 POOL: Final = 'model-0'
 INCARNATION: Final = 'a1b2c3d4e5f60718'
-PLENTY: Final = 1_000_000
+UNLIMITED: Final = 1_000_000
 
 
 def workspace_name(number: int) -> str:
-    """Name a workspace as long as an operator would."""
+    """Return a workspace name of realistic length."""
     digits = str(number).zfill(5)
     return f'workspace-{digits}'
 
 
 def workspaces(count: int) -> list[Workspace]:
-    """Describe workspaces whose limits stop nothing."""
-    limits = WorkspaceLimits(1.0, PLENTY, PLENTY, PLENTY)
+    """Return workspaces without effective limits."""
+    limits = WorkspaceLimits(1.0, UNLIMITED, UNLIMITED, UNLIMITED)
     return [
         Workspace(
             workspace_name(number),
@@ -54,13 +54,13 @@
 
 
 def pool() -> Pool:
-    """Describe the pool."""
+    """Return the pool."""
     return Pool(
         POOL,
         'owner',
         PoolClass.MODEL,
         8,
-        PLENTY,
+        UNLIMITED,
         60.0,
         ('model',),
         (),
@@ -70,20 +70,20 @@
 
 
 def work(number: int, workspace: int) -> Work:
-    """Describe one request."""
+    """Return one request."""
     return Work(
         f'request-{number}',
         workspace_name(workspace),
         POOL,
         450.0,
-        PLENTY,
+        UNLIMITED,
         idempotent=True,
         fingerprint=format(number, '064x'),
     )
 
 
 def side_info(number: int) -> SideInfo:
-    """Describe one side."""
+    """Return one side."""
     return SideInfo(
         f'side-{number}',
         POOL,
@@ -94,12 +94,12 @@
 
 
 def load(free: int) -> SideLoad:
-    """Say what a side can take."""
+    """Return the load report of a side."""
     return SideLoad(INCARNATION, SidePhase.SERVING, 40, 40 - free, free, 1.5)
 
 
 def bids(rows: int, first: int = 0) -> Bids:
-    """Bid for so many workspaces."""
+    """Return bids for a number of workspaces."""
     return Bids(
         POOL,
         17,
@@ -111,7 +111,7 @@
 
 
 def report(rows: int, entry: str = 'entry-0') -> ServiceReport:
-    """Report so many workspaces."""
+    """Return a service report of a number of workspaces."""
     return ServiceReport(
         entry,
         INCARNATION,
@@ -131,7 +131,7 @@
 
 
 def config_object(number: int, version: int) -> ConfigObject:
-    """Write a workspace's entry as the platform holds it."""
+    """Return a workspace's object as the platform stores it."""
     name = workspace_name(number)
     content = {
         'kind': 'workspace',
@@ -146,20 +146,20 @@
 
 
 def snapshot(count: int) -> ConfigUpdate:
-    """Write the whole catalogue."""
+    """Return an update with the complete catalogue."""
     objects = [config_object(number, number + 1) for number in range(count)]
     return covering(0, count, objects)
 
 
 def change(count: int, number: int = 0) -> ConfigUpdate:
-    """Write one change after a snapshot, and further ones after it."""
+    """Return one change after a snapshot, or a later one by its number."""
     revision = count + 1 + number
     changed = config_object(number % count, revision)
     return covering(revision - 1, revision, [changed])
 
 
 def instances(count: int) -> tuple[ListedInstance, ...]:
-    """List instances as the platform does."""
+    """Return the instance list as the platform returns it."""
     return tuple(
         ListedInstance(
             instance=f'side-model-0-{number}',
--- a/benchmarks/slopes/side.py
+++ b/benchmarks/slopes/side.py
@@ -17,11 +17,15 @@
 _CALLS: Final = 10
 
 
-class Counter:
-    """An admission object whose slots are all taken and wanted."""
+class LoadedAdmission:
+    """An admission object with occupied slots and bids for them."""
 
     def __init__(self, entries: int, rows: int) -> None:
-        """Fill the slots, then take in the bids of all entries."""
+        """Occupy all slots, then apply the bids of all entries.
+
+        :param entries: number of entries that bid.
+        :param rows: number of workspaces in each entry's bids.
+        """
         self.admission = SlotAdmission(samples.INCARNATION, LIMIT)
         self.now = float(100)
         for number in range(LIMIT):
@@ -33,7 +37,7 @@
     def arrive(
         self, attempt_id: str, grant: int, entry: str = 'entry-0'
     ) -> object:
-        """Let an order arrive."""
+        """Let a run request arrive."""
         arrival = Arrival(
             attempt_id,
             entry,
@@ -60,59 +64,59 @@
     """Measure all decisions."""
     for entries in ENTRIES:
         for rows in ROWS:
-            yield from _at(entries, rows)
+            yield from _measure(entries, rows)
 
 
-def _at(entries: int, rows: int) -> Iterator[Figure]:
+def _measure(entries: int, rows: int) -> Iterator[Figure]:
     size = f'{entries} entries x {rows} rows'
     yield Figure(
         'bids taken in',
         size,
         'us',
-        once_us(partial(_bids, entries, rows)),
+        once_us(partial(_prepare_bids, entries, rows)),
     )
     yield Figure(
         'finished, with its grant',
         size,
         'us',
-        once_us(partial(_finished, entries, rows), _CALLS),
+        once_us(partial(_prepare_finished, entries, rows), _CALLS),
     )
     yield Figure(
         'arrive on a grant',
         size,
         'us',
-        once_us(partial(_arrivals, entries, rows), _CALLS),
+        once_us(partial(_prepare_arrivals, entries, rows), _CALLS),
     )
-    counter = Counter(entries, rows)
+    loaded = LoadedAdmission(entries, rows)
     yield Figure(
         'side tick',
         size,
         'us',
-        processor_us(partial(counter.admission.tick, counter.now)),
+        processor_us(partial(loaded.admission.tick, loaded.now)),
     )
 
 
-def _bids(entries: int, rows: int) -> Callable[[], object]:
-    counter = Counter(entries, rows)
+def _prepare_bids(entries: int, rows: int) -> Callable[[], object]:
+    loaded = LoadedAdmission(entries, rows)
     return partial(
-        counter.admission.bids,
-        counter.now,
+        loaded.admission.bids,
+        loaded.now,
         'entry-0',
-        counter.bids,
+        loaded.bids,
     )
 
 
-def _finished(entries: int, rows: int) -> Callable[[], object]:
-    counter = Counter(entries, rows)
-    return lambda: [counter.finish(number) for number in range(_CALLS)]
+def _prepare_finished(entries: int, rows: int) -> Callable[[], object]:
+    loaded = LoadedAdmission(entries, rows)
+    return lambda: [loaded.finish(number) for number in range(_CALLS)]
 
 
-def _arrivals(entries: int, rows: int) -> Callable[[], object]:
-    counter = Counter(entries, rows)
+def _prepare_arrivals(entries: int, rows: int) -> Callable[[], object]:
+    loaded = LoadedAdmission(entries, rows)
     grants = [
-        grant for number in range(_CALLS) for grant in counter.finish(number)
+        grant for number in range(_CALLS) for grant in loaded.finish(number)
     ]
     return lambda: [
-        counter.arrive(f'next-{number}', sent.grant.number, sent.entry)
+        loaded.arrive(f'next-{number}', sent.grant.number, sent.entry)
         for number, sent in enumerate(grants)
     ]
--- a/benchmarks/slopes/streams.py
+++ b/benchmarks/slopes/streams.py
@@ -1,6 +1,7 @@
-"""What a running stream and each of its tokens cost entry and side.
+"""Cost of a running stream and of each of its tokens at entry and side.
 
-Real processes: the memory of tasks and connections is most of a stream's.
+Measured in real processes, because most of a stream's memory is in tasks and
+connections.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 TOKEN_SECONDS: Final = 0.3
 TOKENS: Final = 60
 RUNS: Final = 3
-WATCHED_SECONDS: Final = 4.0
+MEASURED_SECONDS: Final = 4.0
 SETTLE_SECONDS: Final = 3.0
 ENTRY: Final = 'entry-a'
 SIDE: Final = 'side-engine-0'
 _TOKEN: Final = 'benchmark-token'
-_PLENTY: Final = 100_000
+_UNLIMITED: Final = 100_000
 _MICROSECONDS: Final = 1_000_000
 
 
@@ -37,7 +38,7 @@
     """Processor time and memory of one process."""
 
     seconds: float
-    held_bytes: float
+    memory_bytes: float
 
 
 def measure() -> Iterator[Figure]:
@@ -45,15 +46,15 @@
     with Fleet() as fleet:
         _start(fleet)
         idle = {name: _read(fleet, name) for name in (ENTRY, SIDE)}
-        time.sleep(WATCHED_SECONDS)
+        time.sleep(MEASURED_SECONDS)
         for name, reading in idle.items():
             spent = _read(fleet, name).seconds - reading.seconds
-            share = spent / WATCHED_SECONDS * _MICROSECONDS
-            yield Figure(f'idle {name}', '1', 'us/s', Spread.of([share]))
-            held = Spread.of([reading.held_bytes])
-            yield Figure(f'idle {name}', '1', 'bytes resident', held)
+            each = spent / MEASURED_SECONDS * _MICROSECONDS
+            yield Figure(f'idle {name}', '1', 'us/s', Spread.of([each]))
+            memory = Spread.of([reading.memory_bytes])
+            yield Figure(f'idle {name}', '1', 'bytes resident', memory)
         for streams in STREAMS:
-            yield from _at(fleet, streams, idle)
+            yield from _measure_streams(fleet, streams, idle)
 
 
 def _start(fleet: Fleet) -> None:
@@ -61,12 +62,12 @@
     fleet.workspace(
         'pilot',
         _TOKEN,
-        rate_per_second=_PLENTY,
-        concurrency=_PLENTY,
-        waiting=_PLENTY,
+        rate_per_second=_UNLIMITED,
+        concurrency=_UNLIMITED,
+        waiting=_UNLIMITED,
     )
     fleet.model_pool('pool', 'model', slots_per_server=max(STREAMS) * 2)
-    rates = {'base_token_seconds': TOKEN_SECONDS, 'knee': _PLENTY}
+    rates = {'base_token_seconds': TOKEN_SECONDS, 'knee': _UNLIMITED}
     url = fleet.start_engine('engine-0', model='model', rates=rates)
     fleet.start_side('pool', 'engine-0', url)
     fleet.start_entry(ENTRY)
@@ -74,7 +75,7 @@
     fleet.wait_ready(ENTRY, SIDE)
 
 
-def _at(
+def _measure_streams(
     fleet: Fleet,
     streams: int,
     idle: dict[str, Reading],
@@ -85,32 +86,32 @@
             stack.enter_context(_open_stream(fleet.url(ENTRY)))
         time.sleep(SETTLE_SECONDS)
         for _ in range(RUNS):
-            _watch(fleet, streams, token_us)
-        held = {name: _read(fleet, name).held_bytes for name in token_us}
+            _measure_tokens(fleet, streams, token_us)
+        memory = {name: _read(fleet, name).memory_bytes for name in token_us}
     size = f'{streams} streams'
     for name, samples in token_us.items():
         yield Figure(f'token at {name}', size, 'us', Spread.of(samples))
-        grown = (held[name] - idle[name].held_bytes) / streams
+        grown = (memory[name] - idle[name].memory_bytes) / streams
         each = Spread.of([grown])
         yield Figure(f'stream at {name}', size, 'bytes resident', each)
     time.sleep(SETTLE_SECONDS)
 
 
-def _watch(
+def _measure_tokens(
     fleet: Fleet,
     streams: int,
     token_us: dict[str, list[float]],
 ) -> None:
     before = {name: _read(fleet, name) for name in token_us}
-    time.sleep(WATCHED_SECONDS)
-    tokens = streams * WATCHED_SECONDS / TOKEN_SECONDS
+    time.sleep(MEASURED_SECONDS)
+    tokens = streams * MEASURED_SECONDS / TOKEN_SECONDS
     for name, samples in token_us.items():
         spent = _read(fleet, name).seconds - before[name].seconds
         samples.append(spent / tokens * _MICROSECONDS)
 
 
 def _open_stream(url: str) -> socket.socket:
-    """Ask for a stream whose answer the kernel's buffer can hold."""
+    """Request a stream whose response fits in the kernel's buffer."""
     address = url.rpartition('/')[2]
     host, _, port = address.rpartition(':')
     content = {
