--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -20,7 +20,7 @@
 from typing import Final
 
 from benchmarks.overhead_cases import CALLERS, ENTRY, Bench, Case
-from benchmarks.probe.connection import Connection, Order, Timing
+from benchmarks.probe.connection import Connection, ProbeRequest, Timing
 from benchmarks.probe.table import Spread, print_json, print_table
 from support.fleet import Fleet
 
@@ -119,11 +119,11 @@
     bench: Bench,
     case: Case,
     url: str,
-    order: Order,
+    request: ProbeRequest,
     calls: int,
 ) -> Load:
     before = _both_seconds(bench, case)
-    with _callers(url, order, calls) as threads:
+    with _callers(url, request, calls) as threads:
         began = time.perf_counter()
         for thread in threads:
             thread.start()
@@ -142,12 +142,13 @@
 @contextmanager
 def _callers(
     url: str,
-    order: Order,
+    request: ProbeRequest,
     calls: int,
 ) -> Iterator[list[threading.Thread]]:
     with ExitStack() as stack:
         connections = [
-            stack.enter_context(Connection(url, order)) for _ in range(CALLERS)
+            stack.enter_context(Connection(url, request))
+            for _ in range(CALLERS)
         ]
         yield [
             threading.Thread(target=_repeat, args=(connection, calls))
@@ -169,7 +170,7 @@
 
 
 def _whole(timings: Sequence[Timing]) -> float:
-    return statistics.median(one.whole_seconds for one in timings)
+    return statistics.median(one.complete_seconds for one in timings)
 
 
 def summary(runs: Sequence[Run]) -> dict[str, Spread]:
--- a/benchmarks/overhead_cases.py
+++ b/benchmarks/overhead_cases.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from benchmarks.probe.connection import Order
+from benchmarks.probe.connection import ProbeRequest
 from benchmarks.probe.processor import processor_seconds
 from support.fleet import Fleet
 
@@ -25,8 +25,8 @@
     name: str
     side: str
     direct_url: str
-    direct: Order
-    routed: Order
+    direct: ProbeRequest
+    routed: ProbeRequest
 
 
 class Bench:
@@ -58,8 +58,8 @@
 
     def _short_completion(self) -> Case:
         url = self._model('short', base_token_seconds=0, knee=PLENTY)
-        order = _completion('short', 1, stream=False)
-        return Case('short completion', 'side-short-0', url, order, order)
+        request = _completion('short', 1, stream=False)
+        return Case('short completion', 'side-short-0', url, request, request)
 
     def _streamed_completion(self) -> Case:
         url = self._model(
@@ -67,9 +67,9 @@
             base_token_seconds=TOKEN_SECONDS,
             knee=PLENTY,
         )
-        order = _completion('stream', STREAMED_TOKENS, stream=True)
+        request = _completion('stream', STREAMED_TOKENS, stream=True)
         name = f'stream of {STREAMED_TOKENS}'
-        return Case(name, 'side-stream-0', url, order, order)
+        return Case(name, 'side-stream-0', url, request, request)
 
     def _service_call(self) -> Case:
         calls = [{'method': 'POST', 'path_prefix': '/'}]
@@ -95,7 +95,7 @@
         return url
 
 
-def _completion(model: str, tokens: int, *, stream: bool) -> Order:
+def _completion(model: str, tokens: int, *, stream: bool) -> ProbeRequest:
     content = f'draft a bulletin tokens={tokens}'
     request = {
         'model': model,
@@ -103,7 +103,7 @@
         'max_tokens': tokens,
         'stream': stream,
     }
-    return Order(
+    return ProbeRequest(
         'POST',
         '/v1/chat/completions',
         json.dumps(request).encode(),
@@ -112,5 +112,5 @@
     )
 
 
-def _service(path: str) -> Order:
-    return Order('POST', path, b'{"ship": "Varna"}', TOKEN, b'{')
+def _service(path: str) -> ProbeRequest:
+    return ProbeRequest('POST', path, b'{"ship": "Varna"}', TOKEN, b'{')
--- a/benchmarks/probe/__init__.py
+++ b/benchmarks/probe/__init__.py
@@ -1,1 +1,1 @@
-"""Pieces that several benchmarks share."""
+"""Modules shared by several benchmarks."""
--- a/benchmarks/probe/connection.py
+++ b/benchmarks/probe/connection.py
@@ -1,4 +1,4 @@
-"""A caller on one kept connection, cheap enough not to be what is measured."""
+"""A caller on one keep-alive connection, too cheap to distort a measurement."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """What a caller asks for, over and over."""
+class ProbeRequest:
+    """The request that a caller sends repeatedly."""
 
     method: str
     path: str
     body: bytes
     token: str
-    first_mark: bytes
-    """Part of the answer at which the first token counts as received."""
+    first_token_mark: bytes
+    """Text of the response at which the first token counts as received."""
 
     def encode(self, address: str) -> bytes:
-        """Write the request as it goes over the wire."""
+        """Return the request as HTTP/1.1."""
         head = (
             f'{self.method} {self.path} HTTP/1.1\r\n'
             f'host: {address}\r\n'
@@ -40,23 +40,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """When the parts of an answer arrived after the request was sent."""
+    """Times from sending the request to the parts of the response."""
 
     first_seconds: float
-    whole_seconds: float
+    complete_seconds: float
 
 
-class WrongAnswerError(Exception):
-    """The answer is not the one that is measured."""
+class UnexpectedResponseError(Exception):
+    """The response is not a complete success."""
 
 
 class Connection:
-    """One kept connection that sends the same request again and again."""
+    """One keep-alive connection that sends the same request repeatedly."""
 
-    def __init__(self, url: str, order: Order) -> None:
+    def __init__(self, url: str, request: ProbeRequest) -> None:
         """Connect.
 
         :param url: ``http://IP:port``.
+        :param request: the request that each call sends.
         """
         address = url.rpartition('/')[2]
         host, _, port = address.rpartition(':')
@@ -65,11 +66,11 @@
             _TIMEOUT_SECONDS,
         )
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._request = order.encode(address)
-        self._first_mark = order.first_mark
+        self._encoded_request = request.encode(address)
+        self._first_token_mark = request.first_token_mark
 
     def __enter__(self) -> Self:
-        """Hand out the connection."""
+        """Return the connection."""
         return self
 
     def __exit__(
@@ -82,34 +83,34 @@
         self._socket.close()
 
     def call(self) -> Timing:
-        """Make one call and read its whole answer.
+        """Send the request and read its complete response.
 
-        :raises WrongAnswerError: it is no success or it breaks off.
+        :raises UnexpectedResponseError: it is not a success, or is truncated.
         """
-        began = time.perf_counter()
-        self._socket.sendall(self._request)
-        first: float | None = None
-        answer = bytearray()
-        while not _is_whole(answer):
-            piece = self._socket.recv(_READ_BYTES)
-            if not piece:
-                raise WrongAnswerError(bytes(answer))
-            answer += piece
-            if first is None and self._first_mark in answer:
-                first = time.perf_counter()
-        if first is None or not answer.startswith(b'HTTP/1.1 200'):
-            raise WrongAnswerError(bytes(answer))
-        return Timing(first - began, time.perf_counter() - began)
-
-
-def _is_whole(answer: bytearray) -> bool:
-    head_end = answer.find(_HEAD_END)
+        started = time.perf_counter()
+        self._socket.sendall(self._encoded_request)
+        first_token: float | None = None
+        response = bytearray()
+        while not _is_complete(response):
+            chunk = self._socket.recv(_READ_BYTES)
+            if not chunk:
+                raise UnexpectedResponseError(bytes(response))
+            response += chunk
+            if first_token is None and self._first_token_mark in response:
+                first_token = time.perf_counter()
+        if first_token is None or not response.startswith(b'HTTP/1.1 200'):
+            raise UnexpectedResponseError(bytes(response))
+        return Timing(first_token - started, time.perf_counter() - started)
+
+
+def _is_complete(response: bytearray) -> bool:
+    head_end = response.find(_HEAD_END)
     if head_end < 0:
         return False
     body_start = head_end + len(_HEAD_END)
-    head = bytes(answer[:head_end]).lower()
+    head = bytes(response[:head_end]).lower()
     length_start = head.find(_LENGTH)
     if length_start < 0:
-        return answer.endswith(_LAST_CHUNK)
+        return response.endswith(_LAST_CHUNK)
     length = head[length_start + len(_LENGTH) :].partition(b'\r\n')[0]
-    return len(answer) - body_start >= int(length)
+    return len(response) - body_start >= int(length)
--- a/benchmarks/probe/processor.py
+++ b/benchmarks/probe/processor.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of other processes, from the kernel's files."""
+"""Processor time and memory of other processes, from ``/proc``."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 _TICK_SECONDS: Final = 1 / os.sysconf('SC_CLK_TCK')
 _PAGE_BYTES: Final = os.sysconf('SC_PAGE_SIZE')
 _USER_FIELD: Final = 11
-"""Counted from the state on, which follows the command's name."""
+"""Index from the state on, which follows the command's name."""
 _RESIDENT_FIELD: Final = 21
 
 
 def processor_seconds(pid: int) -> float:
-    """Tell the processor time of a process, all its threads included."""
+    """Return the processor time of a process with all its threads."""
     fields = _fields(pid)
     user_ticks = int(fields[_USER_FIELD])
     system_ticks = int(fields[_USER_FIELD + 1])
@@ -22,7 +22,7 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Tell how much memory a process holds."""
+    """Return the resident memory of a process."""
     return int(_fields(pid)[_RESIDENT_FIELD]) * _PAGE_BYTES
 
 
--- a/benchmarks/probe/table.py
+++ b/benchmarks/probe/table.py
@@ -19,22 +19,22 @@
 
     @classmethod
     def of(cls, samples: Iterable[float]) -> Spread:
-        """Sum up the runs."""
+        """Summarise the runs."""
         values = sorted(samples)
         return cls(statistics.median(values), values[0], values[-1])
 
     def __str__(self) -> str:
-        lowest = _short(self.lowest)
-        highest = _short(self.highest)
-        return f'{_short(self.median)} ({lowest}..{highest})'
+        lowest = _format_number(self.lowest)
+        highest = _format_number(self.highest)
+        return f'{_format_number(self.median)} ({lowest}..{highest})'
 
 
-def _short(value: float) -> str:
+def _format_number(value: float) -> str:
     return format(value, '.3g')
 
 
 def print_table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Print rows under a head, columns aligned."""
+    """Print rows under a heading, with aligned columns."""
     lines = [tuple(head), *(tuple(map(str, row)) for row in rows)]
     widths = [
         max(len(line[column]) for line in lines) for column in range(len(head))
--- a/benchmarks/profiling/sitecustomize.py
+++ b/benchmarks/profiling/sitecustomize.py
@@ -1,7 +1,7 @@
-"""Profile a started process; only with this folder on ``PYTHONPATH``.
+"""Profile each started process that has this folder on its ``PYTHONPATH``.
 
-``BENCHMARK_PROFILE_DIR`` names the folder that receives one file of profile
-data a process, named by its role and id.
+``BENCHMARK_PROFILE_DIR`` is the folder for the profile data: one file for each
+process, named by its role and process id.
 """
 
 from __future__ import annotations
--- a/benchmarks/slopes/streams.py
+++ b/benchmarks/slopes/streams.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from benchmarks.probe.connection import Order
+from benchmarks.probe.connection import ProbeRequest
 from benchmarks.probe.processor import processor_seconds, resident_bytes
 from benchmarks.probe.table import Spread
 from benchmarks.slopes.figure import Figure
@@ -119,7 +119,7 @@
         'messages': [{'role': 'user', 'content': f'x tokens={TOKENS}'}],
         'stream': True,
     }
-    order = Order(
+    request = ProbeRequest(
         'POST',
         '/v1/chat/completions',
         json.dumps(content).encode(),
@@ -127,7 +127,7 @@
         b'',
     )
     connection = socket.create_connection((host, int(port)))
-    connection.sendall(order.encode(address))
+    connection.sendall(request.encode(address))
     return connection
 
 
