--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Commands that measure the project."""
+"""Benchmarks and long test runs, started as commands."""
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""Command: what grows with the size of the fleet, at two sizes or more.
+"""Command: costs that grow with the size of the fleet, at several sizes.
 
 Run ``PYTHONPATH=tests python -m benchmarks.capacity [SUBJECT ...]`` at the
-root of the repository; docs/CAPACITY.md is worked out from its figures.
+root of the repository. docs/CAPACITY.md is computed from its figures.
 """
 
 from __future__ import annotations
--- a/benchmarks/charts.py
+++ b/benchmarks/charts.py
@@ -1,7 +1,8 @@
-"""Command: cost of an event on a chart, by each way of following it.
+"""Command: cost of an event on a state chart, with each implementation.
 
-Run ``python -m benchmarks.charts`` at the root of the repository. All ways
-are measured in turn in one run, so that their ratios hold on a busy machine.
+Run ``python -m benchmarks.charts`` at the root of the repository. All
+implementations are measured in turn in one run, so that their ratios hold on
+a busy machine.
 """
 
 from __future__ import annotations
@@ -32,22 +33,22 @@
 STATES = (AttemptState.HELD, AttemptState.RUNNING, AttemptState.FINISHED)
 
 
-class Walk(ABC):
-    """One way to take an attempt from its arrival to its end."""
+class ChartRunner(ABC):
+    """One implementation of an attempt's states, from arrival to end."""
 
     name: ClassVar[str]
 
     @abstractmethod
     def run(self) -> None:
-        """Follow the three events once."""
+        """Apply the three events once."""
 
 
 class _Model:
     state = 'unseen'
 
 
-class LibraryWalk(Walk):
-    """Let the library's machine trigger each event on a model."""
+class LibraryRunner(ChartRunner):
+    """Triggers each event with the library's machine on a model."""
 
     name = 'library trigger'
 
@@ -72,8 +73,8 @@
             self._machine.events[event].trigger(model)
 
 
-class ChartWalk(Walk):
-    """Fire each event on a chart state."""
+class StateChartRunner(ChartRunner):
+    """Fires each event on a chart state."""
 
     name = 'Chart'
 
@@ -87,8 +88,8 @@
             state.fire(event)
 
 
-class TypedWalk(Walk):
-    """Fire each event on a typed chart state."""
+class TypedChartRunner(ChartRunner):
+    """Fires each event on a typed chart state."""
 
     name = 'TypedChart'
 
@@ -102,20 +103,20 @@
             state.fire(event)
 
 
-class HandWalk(Walk):
-    """Write each state by hand, unchecked, as the code did before."""
+class AssignmentRunner(ChartRunner):
+    """Assigns each state directly and unchecked: the cost without a chart."""
 
     name = 'by hand'
 
     def run(self) -> None:
-        """Write the states."""
+        """Assign the states."""
         model = _Model()
         for state in STATES:
             model.state = state
 
 
-class AdmissionWalk(Walk):
-    """Take a request through a side's whole admission: three events."""
+class AdmissionRunner(ChartRunner):
+    """Runs a request through a side's complete admission: three events."""
 
     name = 'whole admission'
 
@@ -124,7 +125,7 @@
         self._numbers = count()
 
     def run(self) -> None:
-        """Start and end one request."""
+        """Start and finish one request."""
         now = float(next(self._numbers))
         arrival = Arrival(
             attempt_id=f'attempt-{now}',
@@ -144,28 +145,28 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--loops', type=int, default=LOOPS)
     loops = parser.parse_args().loops
-    walks = (
-        LibraryWalk(),
-        ChartWalk(),
-        TypedWalk(),
-        HandWalk(),
-        AdmissionWalk(),
+    runners = (
+        LibraryRunner(),
+        StateChartRunner(),
+        TypedChartRunner(),
+        AssignmentRunner(),
+        AdmissionRunner(),
     )
     rounds = [
-        {walk.name: _microseconds(walk, loops) for walk in walks}
+        {runner.name: _microseconds(runner, loops) for runner in runners}
         for _ in range(ROUNDS)
     ]
-    typed = median(figures[TypedWalk.name] for figures in rounds)
-    for walk in walks:
-        cost = median(figures[walk.name] for figures in rounds)
-        print(ROW.format(walk.name, cost, cost / typed))
+    typed = median(figures[TypedChartRunner.name] for figures in rounds)
+    for runner in runners:
+        cost = median(figures[runner.name] for figures in rounds)
+        print(ROW.format(runner.name, cost, cost / typed))
 
 
-def _microseconds(walk: Walk, loops: int) -> float:
-    begun_seconds = process_time()
+def _microseconds(runner: ChartRunner, loops: int) -> float:
+    started_seconds = process_time()
     for _ in range(loops):
-        walk.run()
-    seconds = process_time() - begun_seconds
+        runner.run()
+    seconds = process_time() - started_seconds
     return seconds * MICROSECONDS / (loops * len(EVENTS))
 
 
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -1,8 +1,8 @@
-"""Processor time of one control message: a link against a POST for each.
+"""Processor time of one control message: a link compared with POST requests.
 
-Both ends run in this process, so each figure holds sender and receiver. The
-ways take turns within one run; the figure of a way is the median of its
-rounds. Run ``python benchmarks/links.py``.
+Both ends run in this process, so each figure includes sender and receiver. The
+transports take turns within one run; the figure of a transport is the median
+of its rounds. Run ``python benchmarks/links.py``.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What to measure."""
+    """Options of the measurement."""
 
     rounds: int
     messages: int
@@ -58,18 +58,18 @@
     idle_seconds: float
 
 
-class Way(ABC):
-    """A way of carrying messages from one end to the other."""
+class Transport(ABC):
+    """A transport of messages from one end to the other."""
 
     name: str
 
     @abstractmethod
     async def carry(self, message: LinkMessage, count: int) -> None:
-        """Return when the other end has decoded all messages."""
+        """Send messages; return when the other end has decoded all."""
 
 
-class LinkWay(Way):
-    """Messages on a link, several in one turn of the event loop."""
+class LinkTransport(Transport):
+    """Messages on a link, several in one iteration of the event loop."""
 
     def __init__(
         self,
@@ -77,14 +77,19 @@
         received: MemoryObjectReceiveStream[LinkEvent],
         burst: int,
     ) -> None:
-        """Use an open link."""
+        """Build a transport over an open link.
+
+        :param link: the sender's end.
+        :param received: events at the receiver.
+        :param burst: number of messages in one iteration of the event loop.
+        """
         self.name = f'link, {burst} in a turn'
         self._link = link
         self._received = received
         self._burst = burst
 
     async def carry(self, message: LinkMessage, count: int) -> None:
-        """Post a burst, wait for it, and so on."""
+        """Post bursts, each after the previous one was received."""
         for _ in range(count // self._burst):
             for _ in range(self._burst):
                 self._link.post(message)
@@ -97,18 +102,18 @@
             missing -= isinstance(event, LinkMessageReceived)
 
 
-class PostWay(Way):
-    """One POST for each message over a kept connection."""
+class PostTransport(Transport):
+    """One POST for each message over a keep-alive connection."""
 
     name = 'POST for each'
 
     def __init__(self, client: HttpClient, url: str) -> None:
-        """Use an open client."""
+        """Build a transport to a ``MessageEndpoint`` at a URL."""
         self._client = client
         self._url = url
 
     async def carry(self, message: LinkMessage, count: int) -> None:
-        """Post one after the other."""
+        """Send the messages one after the other."""
         for _ in range(count):
             await self._client.call(
                 'POST',
@@ -119,10 +124,10 @@
 
 
 class MessageEndpoint:
-    """Takes one message in each POST."""
+    """Receives one message in each POST request."""
 
     def __init__(self, received: MemoryObjectSendStream[LinkMessage]) -> None:
-        """Pass messages on, as a link does."""
+        """Build an endpoint that forwards messages, as a link does."""
         self._received = received
 
     async def __call__(
@@ -131,7 +136,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Decode and acknowledge."""
+        """Decode a message and acknowledge it."""
         exchange = Exchange(scope, receive, send)
         SECRET.matches(exchange.header('authorization'))
         body = await exchange.body(1_000_000, 5)
@@ -150,29 +155,32 @@
 class OpenLinks:
     """Links of many entries to one side."""
 
-    near: list[Link]
-    far: MemoryObjectReceiveStream[LinkEvent]
+    entry_links: list[Link]
+    side_events: MemoryObjectReceiveStream[LinkEvent]
     """Events at the side."""
 
 
 @asynccontextmanager
 async def _links(count: int) -> AsyncIterator[OpenLinks]:
-    near_sink, near = _events()
-    far_sink, far = _events()
-    acceptor = LinkAcceptor(SIDE, SECRET, far_sink)
+    entry_sink, entry_events = _events()
+    side_sink, side_events = _events()
+    acceptor = LinkAcceptor(SIDE, SECRET, side_sink)
     async with (
         serving(acceptor, '127.0.0.1', 0) as server,
         anyio.create_task_group() as tasks,
     ):
         for number in range(count):
             hello = Hello(f'entry-{number}', PeerRole.ENTRY, 'first', 'galata')
-            dialer = LinkDialer(server.address, hello, SECRET, near_sink)
+            dialer = LinkDialer(server.address, hello, SECRET, entry_sink)
             tasks.start_soon(dialer.run)
-        yield OpenLinks([await _next_up(near) for _ in range(count)], far)
+        yield OpenLinks(
+            [await _next_link(entry_events) for _ in range(count)],
+            side_events,
+        )
         tasks.cancel_scope.cancel()
 
 
-async def _next_up(events: MemoryObjectReceiveStream[LinkEvent]) -> Link:
+async def _next_link(events: MemoryObjectReceiveStream[LinkEvent]) -> Link:
     while True:
         event = await events.receive()
         if isinstance(event, LinkUp):
@@ -180,7 +188,7 @@
 
 
 @asynccontextmanager
-async def _post_way() -> AsyncIterator[Way]:
+async def _post_transport() -> AsyncIterator[Transport]:
     sink, received = anyio.create_memory_object_stream[LinkMessage](1000)
     async with (
         serving(MessageEndpoint(sink), '127.0.0.1', 0) as server,
@@ -188,7 +196,7 @@
         anyio.create_task_group() as tasks,
     ):
         tasks.start_soon(_read_all, received)
-        yield PostWay(client, server.url)
+        yield PostTransport(client, server.url)
         tasks.cancel_scope.cancel()
 
 
@@ -197,9 +205,11 @@
         await received.receive()
 
 
-async def _round(way: Way, message: LinkMessage, count: int) -> float:
+async def _round(
+    transport: Transport, message: LinkMessage, count: int
+) -> float:
     began = time.process_time()
-    await way.carry(message, count)
+    await transport.carry(message, count)
     spent_seconds = time.process_time() - began
     return spent_seconds / count * MICROSECONDS
 
@@ -212,20 +222,22 @@
     return Bids('ice-llm', 17, rows)
 
 
-async def _compare(ways: Sequence[Way], options: Options) -> None:
+async def _compare(transports: Sequence[Transport], options: Options) -> None:
     message = _message()
-    figures: dict[str, list[float]] = {way.name: [] for way in ways}
-    for way in ways:
-        await way.carry(message, WARM_UP)
+    figures: dict[str, list[float]] = {
+        transport.name: [] for transport in transports
+    }
+    for transport in transports:
+        await transport.carry(message, WARM_UP)
     for _ in range(options.rounds):
-        for way in ways:
-            spent = await _round(way, message, options.messages)
-            figures[way.name].append(spent)
+        for transport in transports:
+            spent = await _round(transport, message, options.messages)
+            figures[transport.name].append(spent)
     _print_figures(figures, len(encode(message)))
 
 
 def _print_figures(figures: dict[str, list[float]], size: int) -> None:
-    post = statistics.median(figures[PostWay.name])
+    post = statistics.median(figures[PostTransport.name])
     print(f'message of {size} bytes; processor time, both ends')
     for name, spent in figures.items():
         middle = statistics.median(spent)
@@ -244,14 +256,14 @@
 
 
 async def _main(options: Options) -> None:
-    async with _links(1) as links, _post_way() as post:
-        link = links.near[0]
-        ways = [
-            LinkWay(link, links.far, 1),
-            LinkWay(link, links.far, BURST),
+    async with _links(1) as links, _post_transport() as post:
+        link = links.entry_links[0]
+        transports = [
+            LinkTransport(link, links.side_events, 1),
+            LinkTransport(link, links.side_events, BURST),
             post,
         ]
-        await _compare(ways, options)
+        await _compare(transports, options)
     await _measure_idle(options)
 
 
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,8 +1,8 @@
-"""Command: what a request costs on its way through entry and side.
+"""Command: the overhead of a request through entry and side.
 
 Run ``PYTHONPATH=tests python -m benchmarks.overhead`` at the root of the
-repository. Entry, sides, engines, service and platform are processes of their
-own; each figure through them stands beside the same call made directly.
+repository. Entry, sides, engines, service and platform are separate processes;
+each figure is compared with the same call made directly to the backend server.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Final
 
-from benchmarks.overhead_cases import CALLERS, ENTRY, Bench, Case
+from benchmarks.overhead_cases import CALLERS, ENTRY, Case, OverheadFleet
 from benchmarks.probe.connection import Connection, ProbeRequest, Timing
 from benchmarks.probe.table import Spread, print_json, print_table
 from support.fleet import Fleet
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A closed loop of callers."""
+    """Figures under the load of several callers, each in a closed loop."""
 
     per_second: float
     entry_ms: float
@@ -63,10 +63,10 @@
     side_ms: float
 
 
-def measure(bench: Bench, case: Case, calls: int) -> Run:
+def measure(bench: OverheadFleet, case: Case, calls: int) -> Run:
     """Measure one case once.
 
-    :param calls: sequential calls on each of the two ways.
+    :param calls: sequential calls on each path, direct and routed.
     """
     entry_url = bench.fleet.url(ENTRY)
     with (
@@ -75,14 +75,20 @@
     ):
         _warm_up(direct, routed)
         direct_times, routed_times = _alternate(direct, routed, calls)
-        alone = _alone(bench, case, routed, calls)
-    direct_load = _loaded(bench, case, case.direct_url, case.direct, calls)
-    load = _loaded(bench, case, entry_url, case.routed, calls)
-    added = _whole(routed_times) - _whole(direct_times)
+        alone = _measure_alone(bench, case, routed, calls)
+    direct_load = _measure_load(
+        bench, case, case.direct_url, case.direct, calls
+    )
+    load = _measure_load(bench, case, entry_url, case.routed, calls)
+    added_seconds = _median_complete(routed_times) - _median_complete(
+        direct_times
+    )
     return Run(
-        added_ms=1000 * added,
-        first_ratio=_first(routed_times) / _first(direct_times),
-        whole_ratio=_whole(routed_times) / _whole(direct_times),
+        added_ms=1000 * added_seconds,
+        first_ratio=_median_first_token(routed_times)
+        / _median_first_token(direct_times),
+        whole_ratio=_median_complete(routed_times)
+        / _median_complete(direct_times),
         per_second=load.per_second,
         part_of_direct=load.per_second / direct_load.per_second,
         alone_ms=alone,
@@ -107,16 +113,18 @@
     return [pair[0] for pair in pairs], [pair[1] for pair in pairs]
 
 
-def _alone(bench: Bench, case: Case, routed: Connection, calls: int) -> float:
-    """Processor milliseconds of a call while no other is under way."""
+def _measure_alone(
+    bench: OverheadFleet, case: Case, routed: Connection, calls: int
+) -> float:
+    """Return the processor milliseconds of a call while no other runs."""
     before = _both_seconds(bench, case)
     for _ in range(calls):
         routed.call()
     return 1000 * (sum(_both_seconds(bench, case)) - sum(before)) / calls
 
 
-def _loaded(
-    bench: Bench,
+def _measure_load(
+    bench: OverheadFleet,
     case: Case,
     url: str,
     request: ProbeRequest,
@@ -124,19 +132,19 @@
 ) -> Load:
     before = _both_seconds(bench, case)
     with _callers(url, request, calls) as threads:
-        began = time.perf_counter()
+        started_seconds = time.perf_counter()
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        elapsed = time.perf_counter() - began
+        elapsed_seconds = time.perf_counter() - started_seconds
     after = _both_seconds(bench, case)
-    made = calls * CALLERS
+    total_calls = calls * CALLERS
     spent = [
-        1000 * (late - early) / made
+        1000 * (late - early) / total_calls
         for early, late in zip(before, after, strict=True)
     ]
-    return Load(made / elapsed, spent[0], spent[1])
+    return Load(total_calls / elapsed_seconds, spent[0], spent[1])
 
 
 @contextmanager
@@ -151,37 +159,37 @@
             for _ in range(CALLERS)
         ]
         yield [
-            threading.Thread(target=_repeat, args=(connection, calls))
+            threading.Thread(target=_call_repeatedly, args=(connection, calls))
             for connection in connections
         ]
 
 
-def _repeat(connection: Connection, calls: int) -> None:
+def _call_repeatedly(connection: Connection, calls: int) -> None:
     for _ in range(calls):
         connection.call()
 
 
-def _both_seconds(bench: Bench, case: Case) -> tuple[float, float]:
+def _both_seconds(bench: OverheadFleet, case: Case) -> tuple[float, float]:
     return bench.processor_seconds(ENTRY), bench.processor_seconds(case.side)
 
 
-def _first(timings: Sequence[Timing]) -> float:
+def _median_first_token(timings: Sequence[Timing]) -> float:
     return statistics.median(one.first_seconds for one in timings)
 
 
-def _whole(timings: Sequence[Timing]) -> float:
+def _median_complete(timings: Sequence[Timing]) -> float:
     return statistics.median(one.complete_seconds for one in timings)
 
 
 def summary(runs: Sequence[Run]) -> dict[str, Spread]:
-    """Sum up the repetitions of one case, figure by figure."""
+    """Summarise the repetitions of one case, figure by figure."""
     return {
         name: Spread.of(asdict(run)[name] for run in runs)
         for name in asdict(runs[0])
     }
 
 
-def run_all(bench: Bench, repeats: int, calls: int) -> None:
+def run_all(bench: OverheadFleet, repeats: int, calls: int) -> None:
     """Measure all cases and print the figures."""
     summaries = {
         case.name: summary(
@@ -221,7 +229,7 @@
     if options.profile:
         _profile_into(options.profile)
     with Fleet() as fleet:
-        run_all(Bench(fleet), options.repeats, options.calls)
+        run_all(OverheadFleet(fleet), options.repeats, options.calls)
         for process in fleet.processes.values():
             process.terminate()
         for process in fleet.processes.values():
--- a/benchmarks/overhead_cases.py
+++ b/benchmarks/overhead_cases.py
@@ -11,7 +11,7 @@
 from support.fleet import Fleet
 
 TOKEN: Final = 'benchmark-token'
-PLENTY: Final = 100_000
+UNLIMITED: Final = 100_000
 STREAMED_TOKENS: Final = 16
 TOKEN_SECONDS: Final = 0.004
 CALLERS: Final = 8
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One kind of call, at the backend server and through the entry."""
+    """One kind of call, both directly to the server and through the entry."""
 
     name: str
     side: str
@@ -29,7 +29,7 @@
     routed: ProbeRequest
 
 
-class Bench:
+class OverheadFleet:
     """The started processes and the cases that run through them."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -39,9 +39,9 @@
         fleet.workspace(
             'pilot',
             TOKEN,
-            rate_per_second=PLENTY,
-            concurrency=PLENTY,
-            waiting=PLENTY,
+            rate_per_second=UNLIMITED,
+            concurrency=UNLIMITED,
+            waiting=UNLIMITED,
         )
         self.cases = (
             self._short_completion(),
@@ -53,11 +53,11 @@
         fleet.wait_ready(ENTRY, *(case.side for case in self.cases))
 
     def processor_seconds(self, name: str) -> float:
-        """Tell the processor time of one of the processes."""
+        """Return the processor time of one of the processes."""
         return processor_seconds(self.fleet.processes[name].pid)
 
     def _short_completion(self) -> Case:
-        url = self._model('short', base_token_seconds=0, knee=PLENTY)
+        url = self._model('short', base_token_seconds=0, knee=UNLIMITED)
         request = _completion('short', 1, stream=False)
         return Case('short completion', 'side-short-0', url, request, request)
 
@@ -65,7 +65,7 @@
         url = self._model(
             'stream',
             base_token_seconds=TOKEN_SECONDS,
-            knee=PLENTY,
+            knee=UNLIMITED,
         )
         request = _completion('stream', STREAMED_TOKENS, stream=True)
         name = f'stream of {STREAMED_TOKENS}'
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,8 +1,8 @@
-"""Time the choice of a server: ``python -m benchmarks.placement``.
+"""Measure the choice of a server: ``python -m benchmarks.placement``.
 
-Prints microseconds for one order of the servers of a pool, at the sizes of the
-users' sheets (9, 24 engines) and of the planned pools (420), and for making one
-candidate of the choice as it is and as a frozen data class would be.
+Prints the microseconds to rank the servers of a pool, at the sizes of the
+users' deployments (9 and 24 engines) and of the planned pools (420), and to
+build one candidate as it is and as a frozen data class would be.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
     again_tokens: int = 0
 
 
-def _microseconds(act: Callable[[], object]) -> float:
-    runs = repeat(act, number=_NUMBER, repeat=_REPEATS)
+def _microseconds(action: Callable[[], object]) -> float:
+    runs = repeat(action, number=_NUMBER, repeat=_REPEATS)
     return median(runs) / _NUMBER * _MICROSECONDS
 
 
@@ -51,17 +51,17 @@
     return BackendServer(f'i-{number}', 'm', ip, _PORT, 'a', 64, leaving=False)
 
 
-def _order(size: int) -> Callable[[], object]:
+def _prepare_ranking(size: int) -> Callable[[], object]:
     servers = [_server(number) for number in range(size)]
     loads = {one.instance: ServerLoad() for one in servers}
-    holders = (servers[0].ip,)
-    return lambda: by_prompt(_PROMPT, servers, loads, holders)
+    caching_servers = (servers[0].ip,)
+    return lambda: by_prompt(_PROMPT, servers, loads, caching_servers)
 
 
 def main() -> int:
     """Print the table."""
     for size in _SIZES:
-        took = _microseconds(_order(size))
+        took = _microseconds(_prepare_ranking(size))
         sys.stdout.write(f'order of {size} servers: {took:.1f} us\n')
     server = _server(1)
     for kind in (Candidate, _Frozen):
