--- a/tests/runner/environment.py
+++ b/tests/runner/environment.py
@@ -1,4 +1,4 @@
-"""Let the steps import the script beside this file."""
+"""Make the script in this folder importable from the steps."""
 
 from __future__ import annotations
 
--- a/tests/runner/steps/verdict_steps.py
+++ b/tests/runner/steps/verdict_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the verdict over all parts."""
+"""Steps for the verdict over all parts."""
 
 from __future__ import annotations
 
@@ -63,14 +63,14 @@
         (context.directory / 'a.json').write_text(_PASSED_REPORT[:size])
 
 
-@when('they are judged')
-def step_judge(context: Context) -> None:
+@when('their verdict is computed')
+def step_compute_verdict(context: Context) -> None:
     reds = read_known_red(context.known_red)
     context.verdict = judge(context.scenarios, reds)
 
 
-@when('the reports are judged')
-def step_judge_reports(context: Context) -> None:
+@when('the verdict over the reports is computed')
+def step_run_script(context: Context) -> None:
     context.process = subprocess.run(
         [sys.executable, _SCRIPT, context.directory, context.directory / 'red'],
         capture_output=True,
@@ -101,7 +101,7 @@
     except KnownRedError as error:
         assert reason in str(error)
     else:
-        raise AssertionError('the list was taken')
+        raise AssertionError('the list was accepted')
 
 
 @then('the exit code of the verdict is {code:d}')
--- a/tests/runner/verdict.feature
+++ b/tests/runner/verdict.feature
@@ -1,4 +1,4 @@
-Feature: The verdict over all parts can't be eased
+Feature: The verdict over all parts can't be weakened
 
   Background:
     Given the scenarios
@@ -8,7 +8,7 @@
       | tests/b.feature:three | passed |
 
   Scenario: A failure fails the run and is counted
-    When they are judged
+    When their verdict is computed
     Then the run is red
     And the last line is "2 passed, 1 failed"
 
@@ -17,31 +17,31 @@
       """
       tests/a.feature:two | the lease is late | 5
       """
-    When they are judged
+    When their verdict is computed
     Then the run is green
     And the last line is "2 passed, 0 failed"
     And a line is "KNOWN RED: tests/a.feature:two: failed; cause: the lease is late; issue: 5"
 
-  Scenario: All faults of one known red scenario are printed
-    Guards against a fault that hides behind another one of its scenario.
+  Scenario: All causes of one known red scenario are printed
+    Guards against a cause that is hidden by another one of the same scenario.
     Given the known red list
       """
       tests/a.feature:two | the lease is late | 5
       # Seen under load only.
       tests/a.feature:two | no answer comes | 6
       """
-    When they are judged
+    When their verdict is computed
     Then the run is green
     And a line is "KNOWN RED: tests/a.feature:two: failed; cause: the lease is late; issue: 5"
     And a line is "KNOWN RED: tests/a.feature:two: failed; cause: no answer comes; issue: 6"
 
-  Scenario: A known red scenario that nothing ran is a fault
+  Scenario: A known red scenario that was not run is a fault
     Given the known red list
       """
       tests/a.feature:two | the lease is late | 5
       tests/a.feature:gone | renamed | 5
       """
-    When they are judged
+    When their verdict is computed
     Then the run is red
     And a line is "FAULT: the known red tests/a.feature:gone names no scenario that was run"
 
@@ -70,7 +70,7 @@
 
   Scenario Outline: Whatever did not pass counts as failed
     Given another scenario that ended as "<status>"
-    When they are judged
+    When their verdict is computed
     Then the last line is "2 passed, 2 failed"
 
     Examples:
@@ -81,9 +81,9 @@
       | error      |
       | hook_error |
 
-  Scenario Outline: A part that behave could not run whole fails the run
+  Scenario Outline: A part that behave could not run completely fails the run
     Given reports of a part with exit code <code> and <report>
-    When the reports are judged
+    When the verdict over the reports is computed
     Then the exit code of the verdict is <exit>
     And its output mentions "<text>"
 
@@ -96,5 +96,5 @@
 
   Scenario: A run without any scenario is red
     Given no scenarios
-    When they are judged
+    When their verdict is computed
     Then the run is red
--- a/tests/runner/verdict.py
+++ b/tests/runner/verdict.py
@@ -1,8 +1,9 @@
-"""Judge the reports of all parts, apart from the known red scenarios.
+"""Compute the verdict over the reports of all parts.
 
-A part's report is what behave wrote as ``PART.json``; ``PART.code`` holds
-its exit code. Whatever is not "passed" counts as failed: a scenario that was
-skipped or never reached proves nothing.
+A part's report is behave's ``PART.json``; ``PART.code`` holds behave's exit
+code. Every status except "passed" counts as failed, because a scenario that
+was skipped or not reached proves nothing. Known red scenarios, which may fail
+for now, are not counted.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """How one scenario ended."""
+    """One scenario and its status."""
 
     place: str
     """``FEATURE_FILE:SCENARIO NAME``."""
@@ -31,13 +32,13 @@
 
     @property
     def passed(self) -> bool:
-        """Whether it ran to its end and held."""
+        """Whether it ran to its end without a failure."""
         return self.status == _PASSED
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A scenario that may fail for now."""
+    """A scenario that may fail for now, and why."""
 
     place: str
     cause: str
@@ -46,13 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The sum over all parts."""
+    """The result over all parts."""
 
     passed: int
     failed: tuple[Scenario, ...]
     known: tuple[tuple[KnownRed, str], ...]
     faults: tuple[str, ...]
-    """What is wrong with the run itself."""
+    """Faults of the run itself, apart from failed scenarios."""
 
     @property
     def green(self) -> bool:
@@ -60,7 +61,7 @@
         return self.passed > 0 and not self.failed and not self.faults
 
     def lines(self) -> Iterator[str]:
-        """Write the verdict; its last line is the count alone."""
+        """Yield the lines of the verdict; the last one is only the count."""
         for scenario in self.failed:
             yield f'FAILED: {scenario.place}: {scenario.status}'
         for red, status in self.known:
@@ -74,15 +75,15 @@
 
 
 class KnownRedError(Exception):
-    """The list of known red scenarios is not as agreed."""
+    """The list of known red scenarios is malformed or too long."""
 
 
 def read_known_red(text: str) -> tuple[KnownRed, ...]:
-    """Read the list.
+    """Parse the list of known red scenarios.
 
-    :param text: lines ``FEATURE_FILE:SCENARIO NAME | cause | issue``; those
-        that are blank or begin with ``#`` are passed over.
-    :return: one item for each line; one scenario may have several.
+    :param text: lines ``FEATURE_FILE:SCENARIO NAME | cause | issue``; blank
+        lines and lines that begin with ``#`` are ignored.
+    :return: one item for each line; a scenario may have several.
     :raises KnownRedError: a line is malformed, or there are too many.
     """
     lines = [
@@ -98,7 +99,7 @@
 
 
 def read_scenarios(report: str) -> Iterator[Scenario]:
-    """Read the scenarios of one part from behave's JSON."""
+    """Yield the scenarios of one part from behave's JSON."""
     for feature in json.loads(report):
         path = feature['location'].rpartition(':')[0]
         for element in feature.get('elements', ()):
@@ -113,23 +114,23 @@
     known_red: Sequence[KnownRed],
     faults: Sequence[str] = (),
 ) -> Verdict:
-    """Sum up, leaving known red scenarios out of the count."""
+    """Compute the verdict, with known red scenarios left out of the count."""
     reds = {red.place for red in known_red}
-    ended = tuple(scenarios)
-    counted = [scenario for scenario in ended if scenario.place not in reds]
+    reported = tuple(scenarios)
+    counted = [scenario for scenario in reported if scenario.place not in reds]
     failed = tuple(scenario for scenario in counted if not scenario.passed)
     known = tuple(
         (red, scenario.status)
-        for scenario in ended
+        for scenario in reported
         for red in known_red
         if scenario.place == red.place
     )
-    strays = [
+    unmatched = [
         f'the known red {place} names no scenario that was run'
         for place in sorted(reds - {red.place for red, _ in known})
     ]
     passed = len(counted) - len(failed)
-    return Verdict(passed, failed, known, (*faults, *strays))
+    return Verdict(passed, failed, known, (*faults, *unmatched))
 
 
 def main(reports: Path, known_red: Path) -> int:
@@ -137,7 +138,7 @@
 
     :param reports: directory with a report and an exit code for each part.
     :param known_red: the list of known red scenarios; it may be missing.
-    :return: 0 only when everything but the known red passed.
+    :return: 0 only if everything except the known red scenarios passed.
     """
     scenarios: list[Scenario] = []
     faults: list[str] = []
