--- a/tests/naive.py
+++ b/tests/naive.py
@@ -1,4 +1,4 @@
-"""Naive policies that the product's decisions are compared with."""
+"""Naive policies to compare the project's decisions with."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from sardinetrack.routing.api import Dispatch, Reject, Routing
 from sardinetrack.routing.router import Router
 
-FOREVER_SECONDS = 1e9
+UNLIMITED_SECONDS = 1e9
 
 
 class RandomRouting(Routing):
-    """Sends each request to a random side at once."""
+    """Dispatches each request immediately to a random side."""
 
     def __init__(self, identity, random):
         self._identity = identity
@@ -29,22 +29,22 @@
         self._attempts = {}
 
     def configure(self, now, workspaces, pools):
-        """Take the limits."""
+        """Apply the workspaces' limits."""
         self._limits = {one.name: one.limits.waiting for one in workspaces}
         return ()
 
     def side_up(self, now, info):
-        """Use a side."""
+        """Add a side."""
         self._sides.append(info.side)
         return ()
 
     def side_down(self, now, side):
-        """Use a side no longer."""
+        """Remove a side."""
         self._sides.remove(side)
         return ()
 
     def submit(self, now, work):
-        """Dispatch at once."""
+        """Dispatch a request or reject it, without queueing."""
         if not self._sides:
             return (Reject(work.request_id, ErrorKind.NOT_RUN_NO_SERVER),)
         if (
@@ -56,7 +56,7 @@
         return (self._dispatch(work),)
 
     def ended(self, now, attempt_id, end, *, cost, answered):
-        """Dispatch again or give up."""
+        """Dispatch again if it did not start; reject it if it failed."""
         work = self._attempts.pop(attempt_id)
         self._outstanding[work.workspace] -= 1
         if end.value == 'not_started' and self._sides:
@@ -78,12 +78,12 @@
             side,
             0,
             0,
-            FOREVER_SECONDS,
+            UNLIMITED_SECONDS,
             'random',
         )
 
     def bids_for(self, side):
-        """Bid for nothing."""
+        """Return empty bids."""
         return Bids('', 0, ())
 
     def _ignore(self, *args):
@@ -103,38 +103,38 @@
 
 
 class FirstComeAdmission(Admission):
-    """Starts requests in the order of their arrival."""
+    """Starts requests in the order of their arrival (FIFO)."""
 
     def __init__(self, incarnation, limit):
         self._incarnation = incarnation
         self._limit = limit
         self._running = set()
-        self._line = []
+        self._queue = []
 
     def arrive(self, now, arrival):
-        """Join the line."""
-        self._line.append(arrival.attempt_id)
-        return self._turn()
+        """Queue a request."""
+        self._queue.append(arrival.attempt_id)
+        return self._start_next()
 
     def finished(self, now, attempt_id, *, whole, cost, stopped=False):
-        """Start the next."""
+        """Start the next requests."""
         self._running.discard(attempt_id)
-        return self._turn()
+        return self._start_next()
 
     def query(self, now, attempt_id, *, cancel):
-        """Take out of the line."""
-        if attempt_id in self._line:
-            self._line.remove(attempt_id)
+        """Remove a queued request."""
+        if attempt_id in self._queue:
+            self._queue.remove(attempt_id)
         return Fate.NOT_STARTED, ()
 
     def load(self):
-        """Tell nothing."""
+        """Return a load report without any figures."""
         return SideLoad(self._incarnation, SidePhase.SERVING, 0, 0, 0)
 
-    def _turn(self):
+    def _start_next(self):
         effects = []
-        while self._line and len(self._running) < self._limit:
-            attempt_id = self._line.pop(0)
+        while self._queue and len(self._running) < self._limit:
+            attempt_id = self._queue.pop(0)
             self._running.add(attempt_id)
             effects.append(Start(attempt_id))
         return effects
@@ -151,7 +151,7 @@
 
 
 class FirstComePolicy:
-    """First come, first served, at a random server."""
+    """First come, first served, at a random side."""
 
     def routing(self, identity, random: Random):
         """Build an entry's decisions."""
@@ -162,27 +162,27 @@
         return FirstComeAdmission(incarnation, limit)
 
 
-class LonelyRouter(Router):
-    """Fair among its own workspaces; hears of no other entry."""
+class IsolatedRouter(Router):
+    """Fair among its own workspaces; ignores the reports of other entries."""
 
     def peer_service(self, now, report):
-        """Hear nothing."""
+        """Ignore a service report."""
         return ()
 
 
-class TurnAdmission(SlotAdmission):
-    """Serves entries in turn, blind to workspaces."""
+class RoundRobinAdmission(SlotAdmission):
+    """Serves entries round robin, without regard to workspaces."""
 
     def __init__(self, incarnation, limit):
         super().__init__(incarnation, limit)
         self._served = defaultdict(int)
 
     def bids(self, now, entry, bids):
-        """Replace tags by the turns of the entry."""
+        """Replace the workspaces' tags by the number of grants of the entry."""
         waiting = sum(row.waiting for row in bids.rows)
-        turn = max(self._served[entry], min(self._served.values()))
-        self._served[entry] = turn
-        rows = (BidRow(entry, turn, waiting, 1),) if waiting else ()
+        start_tag = max(self._served[entry], min(self._served.values()))
+        self._served[entry] = start_tag
+        rows = (BidRow(entry, start_tag, waiting, 1),) if waiting else ()
         effects = super().bids(now, entry, Bids('', bids.grants_seen, rows))
         for effect in effects:
             if isinstance(effect, SendGrant):
@@ -191,12 +191,12 @@
 
 
 class PerEntryPolicy:
-    """Fair queueing in each entry without sharing."""
+    """Fair queueing in each entry, without service reports between entries."""
 
     def routing(self, identity, random: Random):
         """Build an entry's decisions."""
-        return LonelyRouter(identity, random)
+        return IsolatedRouter(identity, random)
 
     def admission(self, incarnation, limit):
         """Build a side's decisions."""
-        return TurnAdmission(incarnation, limit)
+        return RoundRobinAdmission(incarnation, limit)
