--- a/benchmarks/overhead_cases.py
+++ b/benchmarks/overhead_cases.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-from benchmarks.probe.connection import Order
+from benchmarks.probe.connection import ProbeRequest
 from benchmarks.probe.processor import processor_seconds
 from support.fleet import Fleet
 
 TOKEN: Final = 'benchmark-token'
-PLENTY: Final = 100_000
+UNLIMITED: Final = 100_000
 STREAMED_TOKENS: Final = 16
 TOKEN_SECONDS: Final = 0.004
 CALLERS: Final = 8
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One kind of call, at the backend server and through the entry."""
+    """One kind of call, both directly to the server and through the entry."""
 
     name: str
     side: str
     direct_url: str
-    direct: Order
-    routed: Order
+    direct: ProbeRequest
+    routed: ProbeRequest
 
 
-class Bench:
+class OverheadFleet:
     """The started processes and the cases that run through them."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -39,9 +39,9 @@
         fleet.workspace(
             'pilot',
             TOKEN,
-            rate_per_second=PLENTY,
-            concurrency=PLENTY,
-            waiting=PLENTY,
+            rate_per_second=UNLIMITED,
+            concurrency=UNLIMITED,
+            waiting=UNLIMITED,
         )
         self.cases = (
             self._short_completion(),
@@ -53,23 +53,23 @@
         fleet.wait_ready(ENTRY, *(case.side for case in self.cases))
 
     def processor_seconds(self, name: str) -> float:
-        """Tell the processor time of one of the processes."""
+        """Return the processor time of one of the processes."""
         return processor_seconds(self.fleet.processes[name].pid)
 
     def _short_completion(self) -> Case:
-        url = self._model('short', base_token_seconds=0, knee=PLENTY)
-        order = _completion('short', 1, stream=False)
-        return Case('short completion', 'side-short-0', url, order, order)
+        url = self._model('short', base_token_seconds=0, knee=UNLIMITED)
+        request = _completion('short', 1, stream=False)
+        return Case('short completion', 'side-short-0', url, request, request)
 
     def _streamed_completion(self) -> Case:
         url = self._model(
             'stream',
             base_token_seconds=TOKEN_SECONDS,
-            knee=PLENTY,
+            knee=UNLIMITED,
         )
-        order = _completion('stream', STREAMED_TOKENS, stream=True)
+        request = _completion('stream', STREAMED_TOKENS, stream=True)
         name = f'stream of {STREAMED_TOKENS}'
-        return Case(name, 'side-stream-0', url, order, order)
+        return Case(name, 'side-stream-0', url, request, request)
 
     def _service_call(self) -> Case:
         calls = [{'method': 'POST', 'path_prefix': '/'}]
@@ -95,7 +95,7 @@
         return url
 
 
-def _completion(model: str, tokens: int, *, stream: bool) -> Order:
+def _completion(model: str, tokens: int, *, stream: bool) -> ProbeRequest:
     content = f'draft a bulletin tokens={tokens}'
     request = {
         'model': model,
@@ -103,7 +103,7 @@
         'max_tokens': tokens,
         'stream': stream,
     }
-    return Order(
+    return ProbeRequest(
         'POST',
         '/v1/chat/completions',
         json.dumps(request).encode(),
@@ -112,5 +112,5 @@
     )
 
 
-def _service(path: str) -> Order:
-    return Order('POST', path, b'{"ship": "Varna"}', TOKEN, b'{')
+def _service(path: str) -> ProbeRequest:
+    return ProbeRequest('POST', path, b'{"ship": "Varna"}', TOKEN, b'{')
