--- a/src/sardinetrack/compose/node.py
+++ b/src/sardinetrack/compose/node.py
@@ -21,7 +21,7 @@
 from sardinetrack.platform.settings import read_settings, settings_path
 from sardinetrack.platform.store import PlatformStore
 from sardinetrack.relay.entry import Entry
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.ready import PageConnection, readiness_page
 from sardinetrack.relay.settings import NodeSettings
 from sardinetrack.turns.side import Side
@@ -79,7 +79,7 @@
 
 async def _run_entry(settings: NodeSettings, log: EventLog) -> None:
     stop = _stop_event(log)
-    state = Fleet(settings, log)
+    state = EntryState(settings, log)
     asyncio.get_running_loop().add_signal_handler(
         signal.SIGHUP,
         reload_settings,
@@ -106,10 +106,10 @@
         await entry.drain()
 
 
-def reload_settings(state: Fleet, log: EventLog) -> None:
+def reload_settings(state: EntryState, log: EventLog) -> None:
     """Reread the settings file; if it is invalid, keep the old settings."""
     try:
-        changed = state.reload(read_settings(settings_path()))
+        changed = state.apply_settings(read_settings(settings_path()))
     except SettingsFileError as error:
         log.write(Event.CONFIG_REFUSED, what='settings', cause=str(error))
     else:
--- a/src/sardinetrack/compose/view.py
+++ b/src/sardinetrack/compose/view.py
@@ -15,7 +15,7 @@
 )
 from sardinetrack.platform.servers import SERVERS_PREFIX, server_of
 from sardinetrack.platform.store import PlatformStore
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.followers import (
     ConfigurationFollower,
     Decoder,
@@ -90,7 +90,7 @@
         ]
 
 
-def entry_view(state: Fleet, store: PlatformStore) -> ViewSource:
+def entry_view(state: EntryState, store: PlatformStore) -> ViewSource:
     """Build an entry's view of the store."""
     decoder = PlatformDecoder()
     listeners = {
--- a/src/sardinetrack/platform/dialect.py
+++ b/src/sardinetrack/platform/dialect.py
@@ -8,7 +8,7 @@
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.placement.prompt import Prompt, PromptPart
 from sardinetrack.relay.api import (
-    Call,
+    CallerRequest,
     Dialect,
     Headers,
     ReplyHead,
@@ -62,13 +62,13 @@
 class PlatformDialect(Dialect):
     """Parses and encodes the platform's headers."""
 
-    def call(
+    def parse_request(
         self,
         method: bytes,
         target: bytes,
         headers: Headers,
         now: float,
-    ) -> Call:
+    ) -> CallerRequest:
         """Parse the head of a caller's request."""
         fields = dict(headers)
         host = _single_header(headers, b'host').decode(_ENCODING).lower()
@@ -77,7 +77,7 @@
             raise AnsweredError(
                 ErrorKind.BAD_REQUEST, 'the request path must start with /'
             )
-        return Call(
+        return CallerRequest(
             request_id=fields.get(_REQUEST_ID, b'').decode(_ENCODING),
             method=method,
             target=target,
@@ -86,18 +86,18 @@
             forwarded=_header_lines(headers, _DROPPED_FROM_REQUESTS),
             body=b'',
             arrived_seconds=now,
-            patience_seconds=_parse_seconds(
+            max_wait_seconds=_parse_seconds(
                 fields.get(b'x-sardinetrack-deadline-ms'),
             ),
             api_key=_bearer_token(fields.get(b'authorization', b'')),
             prompt=_parse_prompt(fields),
-            after_event=_parse_integer(fields.get(b'last-event-id')),
+            last_event_id=_parse_integer(fields.get(b'last-event-id')),
         )
 
-    def request(self, call: Call, sending: Sending) -> bytes:
+    def encode_request(self, call: CallerRequest, sending: Sending) -> bytes:
         """Encode the request as the backend server receives it."""
         max_wait_milliseconds = max(
-            1, int(sending.patience_seconds * _MILLISECONDS)
+            1, int(sending.max_wait_seconds * _MILLISECONDS)
         )
         lines = [
             b'%b %b HTTP/1.1\r\nhost: %b\r\n'
@@ -110,14 +110,14 @@
         if sending.workspace is not None:
             workspace = sending.workspace.encode()
             lines.append(b'x-sardinetrack-tenant: %b\r\n' % workspace)
-        if sending.after_event is not None:
-            lines.append(b'last-event-id: %d\r\n' % sending.after_event)
+        if sending.last_event_id is not None:
+            lines.append(b'last-event-id: %d\r\n' % sending.last_event_id)
         if call.body or call.method not in {b'GET', b'HEAD', b'DELETE'}:
             lines.append(b'content-length: %d\r\n' % len(call.body))
         lines.extend((b'\r\n', call.body))
         return b''.join(lines)
 
-    def reply(self, status: int, headers: Headers) -> ReplyHead:
+    def parse_response_head(self, status: int, headers: Headers) -> ReplyHead:
         """Parse the head of a backend server's response."""
         fields = dict(headers)
         misdirected = status == HTTPStatus.MISDIRECTED_REQUEST
@@ -127,13 +127,13 @@
             forwarded=_header_lines(headers, _DROPPED_FROM_RESPONSES),
             request_id=fields.get(_REQUEST_ID, b'').decode(_ENCODING),
             not_run=misdirected or _NOT_PROCESSED in fields,
-            genuine=_SERVER_STAMP in fields and not encoded,
+            is_signed=_SERVER_STAMP in fields and not encoded,
             running=_parse_load(fields.get(_SERVER_LOAD)),
             idle_seconds=_parse_idle_timeout(fields.get(b'keep-alive', b'')),
             misdirected=misdirected,
         )
 
-    def identity(self, call: Call) -> bytes:
+    def own_headers(self, call: CallerRequest) -> bytes:
         """Encode the header line with the request id."""
         encoded_id = call.request_id.encode(_ENCODING)
         return b'%b: %b\r\n' % (_REQUEST_ID, encoded_id)
--- a/src/sardinetrack/platform/settings.py
+++ b/src/sardinetrack/platform/settings.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from sardinetrack.platform.errors import SettingsFileError
-from sardinetrack.relay.settings import Listen, NodeSettings
+from sardinetrack.relay.settings import NodeSettings, SocketAddress
 
 _VARIABLE: Final = 'SARDINETRACK_BOOT'
 _MILLISECONDS: Final = 1000.0
@@ -108,11 +108,11 @@
     )
 
 
-def _optional_address(text: str) -> Listen | None:
+def _optional_address(text: str) -> SocketAddress | None:
     return _parse_address(text) if text else None
 
 
-def _parse_address(text: str) -> Listen:
+def _parse_address(text: str) -> SocketAddress:
     ip, colon, port = text.rpartition(':')
     if not colon or not port.isdigit():
         raise ValueError(f'{text!r} is not IP:PORT')
--- a/src/sardinetrack/platform/store.py
+++ b/src/sardinetrack/platform/store.py
@@ -86,17 +86,19 @@
         self.status = 0
         self.body = b''
 
-    def head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
+    def head_received(
+        self, status: int, headers: list[tuple[bytes, bytes]]
+    ) -> None:
         self.status = status
 
-    def piece(self, piece: bytes) -> None:
+    def body_received(self, piece: bytes) -> None:
         self.body += piece
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         if not self.done.done():
             self.done.set_result(None)
 
-    def broken(self, reason: BreakReason) -> None:
+    def interrupted(self, reason: BreakReason) -> None:
         if not self.done.done():
             self.done.set_result(reason)
 
@@ -261,7 +263,7 @@
         method: str,
         request: bytes,
     ) -> tuple[int, bytes]:
-        connection = await self._pool.take(self._address)
+        connection = await self._pool.acquire(self._address)
         response = _ResponseCollector()
         try:
             connection.send(request, response)
@@ -272,7 +274,7 @@
             connection.abort()
             raise
         finally:
-            self._pool.give_back(self._address, connection)
+            self._pool.release(self._address, connection)
         if break_reason is not None:
             raise _no_response_error(method, break_reason.value)
         return response.status, response.body
--- a/src/sardinetrack/relay/api.py
+++ b/src/sardinetrack/relay/api.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class CallerRequest:
     """One complete request as it arrived."""
 
     request_id: str
@@ -27,13 +27,13 @@
     body: bytes
     arrived_seconds: float
     """On the clock of the event loop."""
-    patience_seconds: float | None
+    max_wait_seconds: float | None
     """The caller's time-out; ``None`` if the request states none."""
     api_key: str | None
     prompt: Prompt
-    after_event: int | None = None
+    last_event_id: int | None = None
     """The caller already has the events up to this number."""
-    closes: bool = False
+    closes_connection: bool = False
     """The caller asked to close the connection after the response."""
 
 
@@ -47,7 +47,7 @@
     request_id: str
     not_run: bool
     """The response proves that the server did not run the request."""
-    genuine: bool
+    is_signed: bool
     """The response has the server's stamp header and no content encoding."""
     running: int = -1
     """Running and queued requests at the server; -1 if not reported."""
@@ -62,35 +62,35 @@
     """What one attempt adds to the request."""
 
     server: BackendServer
-    patience_seconds: float
+    max_wait_seconds: float
     workspace: str | None
-    after_event: int | None = field(default=None)
+    last_event_id: int | None = field(default=None)
 
 
 class Dialect(ABC):
     """Translates between the relay and the headers of callers and servers."""
 
     @abstractmethod
-    def call(
+    def parse_request(
         self,
         method: bytes,
         target: bytes,
         headers: Headers,
         now: float,
-    ) -> Call:
+    ) -> CallerRequest:
         """Parse the head of a request; its body follows.
 
         :raises AnsweredError: the head is not valid.
         """
 
     @abstractmethod
-    def request(self, call: Call, sending: Sending) -> bytes:
+    def encode_request(self, call: CallerRequest, sending: Sending) -> bytes:
         """Serialise the request for a server."""
 
     @abstractmethod
-    def reply(self, status: int, headers: Headers) -> ReplyHead:
+    def parse_response_head(self, status: int, headers: Headers) -> ReplyHead:
         """Parse the head of a server's response."""
 
     @abstractmethod
-    def identity(self, call: Call) -> bytes:
+    def own_headers(self, call: CallerRequest) -> bytes:
         """Serialise the header lines of every response of the entry itself."""
--- a/src/sardinetrack/relay/attempt.py
+++ b/src/sardinetrack/relay/attempt.py
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from sardinetrack.relay.api import Call, Dialect, ReplyHead
+from sardinetrack.relay.api import CallerRequest, Dialect, ReplyHead
 from sardinetrack.relay.caller_connection import CallerConnection
 from sardinetrack.relay.events import EventSplitter
 from sardinetrack.relay.server_connection import BreakReason, ReplySink
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        call: Call,
+        call: CallerRequest,
         caller: CallerConnection,
         dialect: Dialect,
         progress: Progress,
@@ -76,9 +76,11 @@
         """The number of the last event that the caller has."""
         return self._progress.splitter.last_event
 
-    def head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
+    def head_received(
+        self, status: int, headers: list[tuple[bytes, bytes]]
+    ) -> None:
         """Check the head; end the attempt if the response is not acceptable."""
-        response = self._dialect.reply(status, headers)
+        response = self._dialect.parse_response_head(status, headers)
         self.response = response
         self.last_data_seconds = self._loop.time()
         if response.not_run:
@@ -88,13 +90,13 @@
         # stamp, must not reach this caller.
         if response.request_id != self._call.request_id:
             self._finish(SendOutcome.UNKNOWN, 'response to another request')
-        elif not response.genuine:
+        elif not response.is_signed:
             self._finish(
                 SendOutcome.UNKNOWN, 'response without the server stamp'
             )
         self._forwards = self._streams and status == HTTPStatus.OK
 
-    def piece(self, piece: bytes) -> None:
+    def body_received(self, piece: bytes) -> None:
         """Forward complete events, or buffer the piece."""
         if self.done.done():
             return
@@ -109,7 +111,7 @@
             self._start_response()
         self._caller.write_chunk(events)
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         """Handle the end of a complete response."""
         if self.done.done():
             return
@@ -118,7 +120,7 @@
         else:
             self._finish_buffered()
 
-    def broken(self, reason: BreakReason) -> None:
+    def interrupted(self, reason: BreakReason) -> None:
         """End the attempt: the rest of the response will not arrive."""
         self._finish(SendOutcome.UNKNOWN, reason.value)
 
--- a/src/sardinetrack/relay/caller_connection.py
+++ b/src/sardinetrack/relay/caller_connection.py
@@ -13,7 +13,7 @@
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.sockets import descriptor, has_unread
-from sardinetrack.relay.api import Call, Dialect
+from sardinetrack.relay.api import CallerRequest, Dialect
 from sardinetrack.relay.connection_owner import ConnectionOwner
 from sardinetrack.relay.error_response import error_response, status_line
 
@@ -42,13 +42,13 @@
         self._headers: list[tuple[bytes, bytes]] = []
         self._head_bytes = 0
         self._target = b''
-        self._head: Call | None = None
-        self._call: Call | None = None
+        self._head: CallerRequest | None = None
+        self._call: CallerRequest | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._rejection: AnsweredError | None = None
         self._task: asyncio.Task[None] | None = None
-        self._pipelined: deque[Call | AnsweredError] = deque()
+        self._pipelined: deque[CallerRequest | AnsweredError] = deque()
         self._closing = False
         self._close_announced = False
         self._unreadable = False
@@ -192,7 +192,7 @@
     def on_headers_complete(self) -> None:
         """Parse the head; the body is read even if the head is rejected."""
         try:
-            self._head = self._dialect.call(
+            self._head = self._dialect.parse_request(
                 self._parser.get_method(),
                 self._target,
                 self._headers,
@@ -224,7 +224,7 @@
             self._queue(self._rejection or AnsweredError(ErrorKind.BAD_REQUEST))
             return
         call.body = b''.join(self._body)
-        call.closes = not self._parser.should_keep_alive()
+        call.closes_connection = not self._parser.should_keep_alive()
         self._body = []
         self._queue(call)
 
@@ -259,11 +259,11 @@
 
     def _connection_header(self) -> bytes:
         """Return the header that announces the close, if any."""
-        closes = self._call is not None and self._call.closes
+        closes = self._call is not None and self._call.closes_connection
         self._close_announced = closes or self._closing
         return _CLOSE if self._close_announced else b''
 
-    def _queue(self, request: Call | AnsweredError) -> None:
+    def _queue(self, request: CallerRequest | AnsweredError) -> None:
         self._pipelined.append(request)
         if self._task is None:
             self._serve_next()
--- a/src/sardinetrack/relay/connection_owner.py
+++ b/src/sardinetrack/relay/connection_owner.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from sardinetrack.relay.api import Call
+from sardinetrack.relay.api import CallerRequest
 from sardinetrack.topology.configuration import CallerLimits
 
 if TYPE_CHECKING:
@@ -30,7 +30,9 @@
         """Remove a closed connection."""
 
     @abstractmethod
-    async def serve(self, call: Call, caller: CallerConnection) -> None:
+    async def serve(
+        self, call: CallerRequest, caller: CallerConnection
+    ) -> None:
         """Serve a request."""
 
     @abstractmethod
--- a/src/sardinetrack/relay/crashes.py
+++ b/src/sardinetrack/relay/crashes.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from sardinetrack.messages.api import Strike
-from sardinetrack.relay.api import Call
+from sardinetrack.relay.api import CallerRequest
 from sardinetrack.routing.strikes import StrikeBook
 from sardinetrack.turns.entry import Crashes
 
@@ -30,7 +30,7 @@
 """Per server, which runs 64 requests at a time and gets new ones when idle."""
 
 
-def fingerprint(call: Call, workspace: str) -> str:
+def fingerprint(call: CallerRequest, workspace: str) -> str:
     """Hash what stays the same when a caller sends a request again."""
     digest = xxhash.xxh3_128(workspace.encode())
     digest.update(call.method)
@@ -48,21 +48,23 @@
     """
 
     def __init__(self) -> None:
-        self.book = StrikeBook(SERVERS_TO_BLOCK)
+        self.strike_registry = StrikeBook(SERVERS_TO_BLOCK)
         self._suspects: dict[str, dict[str, float]] = {}
 
-    def refused_seconds(self, now: float, call: Call, workspace: str) -> float:
+    def refused_seconds(
+        self, now: float, call: CallerRequest, workspace: str
+    ) -> float:
         """Return for how long a request is refused; 0 if it is not."""
-        if not self.book:
+        if not self.strike_registry:
             return 0
         name = fingerprint(call, workspace)
-        return self.book.condemned_seconds(now, name)
+        return self.strike_registry.condemned_seconds(now, name)
 
     def connection_ended(
         self,
         now: float,
         server: str,
-        call: Call,
+        call: CallerRequest,
         workspace: str,
     ) -> Sequence[Strike]:
         """Record that a connection ended while a request ran.
@@ -70,12 +72,12 @@
         :return: a strike against the request, if that is certain already.
         """
         name = fingerprint(call, workspace)
-        if self.book.count(now, name) >= SERVERS_TO_BLOCK - 1:
+        if self.strike_registry.count(now, name) >= SERVERS_TO_BLOCK - 1:
             # For a request with two strikes the next server need not be
             # confirmed as unreachable first: the server after it would crash
             # in that time.
             strikes = (Strike(name, server, STRIKE_SECONDS),)
-            self.hear(now, strikes)
+            self.add_strikes(now, strikes)
             return strikes
         suspects = self._suspects.setdefault(server, {})
         suspects[name] = now
@@ -93,19 +95,19 @@
             for name, ended_seconds in self._suspects.pop(server, {}).items()
             if now - ended_seconds <= CRASH_CONFIRM_SECONDS
         )
-        self.hear(now, strikes)
+        self.add_strikes(now, strikes)
         return strikes
 
     def forget(self, server: str) -> None:
         """Forget what ran on a server that has shut down in good order."""
         self._suspects.pop(server, None)
 
-    def hear(self, now: float, strikes: Iterable[Strike]) -> None:
+    def add_strikes(self, now: float, strikes: Iterable[Strike]) -> None:
         """Add strikes, from this entry or other ones."""
         for strike in strikes:
-            self.book.add(now, strike)
+            self.strike_registry.add(now, strike)
 
-    def served(self, call: Call, workspace: str) -> None:
+    def served(self, call: CallerRequest, workspace: str) -> None:
         """Clear a request that was served completely."""
-        if self.book:
-            self.book.clear(fingerprint(call, workspace))
+        if self.strike_registry:
+            self.strike_registry.clear(fingerprint(call, workspace))
--- a/src/sardinetrack/relay/entry.py
+++ b/src/sardinetrack/relay/entry.py
@@ -13,12 +13,12 @@
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.sockets import LAST_REQUEST_SECONDS
 from sardinetrack.logs.events import Event
-from sardinetrack.relay.api import Call, Dialect
+from sardinetrack.relay.api import CallerRequest, Dialect
 from sardinetrack.relay.caller_connection import CallerConnection
 from sardinetrack.relay.capacity import Capacity, RequestCounts
 from sardinetrack.relay.connection_owner import ConnectionOwner
 from sardinetrack.relay.exchange import Exchange
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.listener import Listener
 from sardinetrack.topology.configuration import CallerLimits, Route, RouteKind
 from sardinetrack.views.source import ViewSource
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        state: EntryState,
         dialect: Dialect,
         view: ViewSource | None,
     ) -> None:
@@ -56,7 +56,7 @@
         """
         self.draining = False
         self.port = 0
-        self._fleet = fleet
+        self._state = state
         self._dialect = dialect
         self._view = view
         self._connections: set[CallerConnection] = set()
@@ -66,14 +66,14 @@
         self._listener: Listener
         self._stack = AsyncExitStack()
         self._was_ready = False
-        self.capacity = Capacity(fleet.settings)
+        self.capacity = Capacity(state.settings)
         self._all_finished = asyncio.Event()
         self._draining_since = math.inf
 
     @property
     def limits(self) -> CallerLimits:  # type: ignore[override]
         """The limits on what a caller may send."""
-        configuration = self._fleet.configuration
+        configuration = self._state.configuration
         return CallerLimits() if configuration is None else configuration.limits
 
     @property
@@ -107,16 +107,16 @@
     @property
     def ready(self) -> bool:
         """Whether the load balancer should send callers here."""
-        fleet = self._fleet
-        known = fleet.configuration is not None
-        fresh = fleet.freshness.holds() and not self.capacity.overloaded
+        state = self._state
+        known = state.configuration is not None
+        fresh = state.freshness.holds() and not self.capacity.overloaded
         ready = known and fresh and not self.draining
         if ready != self._was_ready:
             self._was_ready = ready
-            fleet.log.write(
+            state.log.write(
                 Event.READY,
                 ready=ready,
-                config_age_seconds=round(fleet.freshness.age_seconds(), 3)
+                config_age_seconds=round(state.freshness.age_seconds(), 3)
                 if known
                 else None,
                 draining=self.draining,
@@ -127,7 +127,7 @@
         """Follow the store and listen for callers."""
         if self._view is not None:
             self._add_task(self._loop.create_task(self._view.run()))
-        address = self._fleet.settings.callers
+        address = self._state.settings.callers
         assert address is not None  # noqa: S101
         self._listener = await Listener.open(
             lambda: CallerConnection(self._dialect, self),
@@ -135,7 +135,7 @@
         )
         self.port = self._listener.port
         self._stack.callback(self._listener.close)
-        self._stack.callback(self._fleet.close)
+        self._stack.callback(self._state.close)
         self._add_task(self._loop.create_task(self._sweep()))
         return self
 
@@ -155,7 +155,7 @@
         for connection in self._connections:
             connection.close_after_response()
         deadline_seconds = (
-            self.now() + _DRAIN_FRACTION * self._fleet.settings.grace_seconds
+            self.now() + _DRAIN_FRACTION * self._state.settings.grace_seconds
         )
         await asyncio.sleep(DRAIN_ACCEPT_SECONDS)
         for connection in list(self._connections):
@@ -187,7 +187,7 @@
         except TimeoutError:
             # The grace period is over; requests that still run are interrupted
             # when the process is killed.
-            self._fleet.log.write(
+            self._state.log.write(
                 Event.STOPPING,
                 requests_cut=len(self._exchanges),
             )
@@ -221,7 +221,7 @@
             newest.close()
             closed = [newest]
         self._connections.difference_update(closed)
-        self._fleet.log.write(
+        self._state.log.write(
             Event.CONNECTIONS_CLOSED,
             count=len(closed),
             idle=len(idle),
@@ -232,10 +232,12 @@
         """Remove a closed connection."""
         self._connections.discard(connection)
 
-    async def serve(self, call: Call, caller: CallerConnection) -> None:
+    async def serve(
+        self, call: CallerRequest, caller: CallerConnection
+    ) -> None:
         """Serve a request, or refuse it if the entry has no capacity for it."""
-        exchange = Exchange(self._fleet, self._dialect, call, caller)
-        workspace = self._fleet.workspace_name(call.api_key)
+        exchange = Exchange(self._state, self._dialect, call, caller)
+        workspace = self._state.workspace_name(call.api_key)
         refusal = self._refusal(workspace)
         if refusal is not None:
             exchange.refuse(AnsweredError(refusal))
@@ -260,7 +262,7 @@
 
     def failed(self, error: BaseException | None) -> None:
         """Log an unexpected exception."""
-        self._fleet.log.write(Event.FAULT, cause=repr(error))
+        self._state.log.write(Event.FAULT, cause=repr(error))
 
     def _add_task(self, task: asyncio.Task[None]) -> None:
         self._stack.callback(task.cancel)
@@ -270,24 +272,26 @@
         if not task.cancelled() and task.exception() is not None:
             self.failed(task.exception())
 
-    def _request_finished(self, call: Call, exchange: Exchange) -> None:
+    def _request_finished(
+        self, call: CallerRequest, exchange: Exchange
+    ) -> None:
         self._exchanges.discard(exchange)
         if not self._exchanges:
             self._all_finished.set()
         self._record_end(call, exchange)
 
-    def _record_end(self, call: Call, exchange: Exchange) -> None:
+    def _record_end(self, call: CallerRequest, exchange: Exchange) -> None:
         took_seconds = self.now() - call.arrived_seconds
         plan, trace = exchange.plan, exchange.trace
         workspace = plan.workspace_name if plan else ''
         first_seconds = _since_arrival(
             call, exchange.progress.first_event_seconds
         )
-        meters = self._fleet.meters
+        meters = self._state.meters
         meters.ended(trace.outcome, workspace, took_seconds)
         if first_seconds is not None:
             meters.first_event.add(first_seconds)
-        self._fleet.log.write(
+        self._state.log.write(
             Event.REQUEST_ENDED,
             request=call.request_id,
             status=trace.status or None,
@@ -309,17 +313,17 @@
             self._update_memory()
             count += 1
             self._abandon_silent()
-            self._fleet.expire_servers()
-            self._fleet.log.flush()
+            self._state.expire_servers()
+            self._state.log.flush()
             if not count % _SWEEPS_A_SECOND:
-                self._fleet.connections.sweep()
-                self._fleet.sides.sweep()
+                self._state.connections.sweep()
+                self._state.sides.sweep()
                 self._close_idle()
 
     def _update_lateness(self, late_seconds: float) -> None:
         capacity = self.capacity
         if capacity.update_lateness(late_seconds):
-            self._fleet.log.write(
+            self._state.log.write(
                 Event.OVERLOAD,
                 overloaded=capacity.overloaded,
                 late_seconds=round(late_seconds, 3),
@@ -329,7 +333,7 @@
     def _update_memory(self) -> None:
         requests, connections = len(self._exchanges), len(self._connections)
         if self.capacity.update_memory(requests, connections):
-            self._fleet.log.write(
+            self._state.log.write(
                 Event.MEMORY_SHORT,
                 short=self.capacity.memory_short,
                 requests=requests,
@@ -369,7 +373,7 @@
                 attempt.abandon()
 
 
-def _since_arrival(call: Call, seconds: float | None) -> float | None:
+def _since_arrival(call: CallerRequest, seconds: float | None) -> float | None:
     """Return how long after its arrival something happened to a request."""
     if seconds is None:
         return None
--- a/src/sardinetrack/relay/exchange.py
+++ b/src/sardinetrack/relay/exchange.py
@@ -6,12 +6,12 @@
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.logs.events import Event
-from sardinetrack.relay.api import Call, Dialect
+from sardinetrack.relay.api import CallerRequest, Dialect
 from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
 from sardinetrack.relay.caller_connection import CallerConnection
 from sardinetrack.relay.error_response import error_response
 from sardinetrack.relay.events import EventSplitter
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.placing import SERVER_UNREACHABLE_RETRY_SECONDS, Placer
 from sardinetrack.relay.request_plan import Plan, make_plan
 from sardinetrack.relay.sender import Sender
@@ -25,20 +25,20 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        state: EntryState,
         dialect: Dialect,
-        call: Call,
+        call: CallerRequest,
         caller: CallerConnection,
     ) -> None:
         self.plan: Plan | None = None
         self.trace = Trace()
-        self._fleet = fleet
+        self._state = state
         self._dialect = dialect
         self._call = call
         self._caller = caller
-        self.progress = Progress(EventSplitter(call.after_event))
-        self._placer = Placer(fleet, call, self.trace)
-        self._sender = Sender(fleet, dialect, call, caller, self.trace)
+        self.progress = Progress(EventSplitter(call.last_event_id))
+        self._placer = Placer(state, call, self.trace)
+        self._sender = Sender(state, dialect, call, caller, self.trace)
 
     @property
     def attempt(self) -> Attempt | None:
@@ -49,7 +49,7 @@
     def server_restarted(self) -> bool:
         """Whether the server has restarted since the latest attempt."""
         server = self._sender.server
-        return server is not None and self._fleet.is_superseded(server)
+        return server is not None and self._state.is_superseded(server)
 
     async def run(self) -> None:
         """Serve the request."""
@@ -69,11 +69,11 @@
             return
         status, headers, body = error_response(error)
         self.trace.status = status
-        identity = self._dialect.identity(self._call)
+        identity = self._dialect.own_headers(self._call)
         self._caller.write_response(status, identity + headers, body)
 
     async def _run_with_deadline(self) -> None:
-        self.plan = make_plan(self._fleet, self._call)
+        self.plan = make_plan(self._state, self._call)
         self._check_crashes(self.plan)
         try:
             async with asyncio.timeout_at(self.plan.deadline_seconds):
@@ -97,7 +97,7 @@
             )
 
     def _refused_seconds(self, plan: Plan) -> float:
-        return self._fleet.crashes.refused_seconds(
+        return self._state.crashes.refused_seconds(
             loop_now(),
             self._call,
             plan.workspace_name,
@@ -130,8 +130,8 @@
             return True
         self.trace.reason = attempt.reason
         if self._may_retry(plan, outcome):
-            self._fleet.meters.retries[outcome.name.lower()] += 1
-            self._fleet.log.write(
+            self._state.meters.retries[outcome.name.lower()] += 1
+            self._state.log.write(
                 Event.REQUEST_RETRIED,
                 request=self._call.request_id,
                 after=outcome.name.lower(),
@@ -151,7 +151,7 @@
             return False
         if self._refused_seconds(plan) > 0:
             return False
-        return self._fleet.budget(plan.pool.name).take()
+        return self._state.budget(plan.pool.name).take()
 
 
 def _final_error(outcome: SendOutcome, reason: str) -> AnsweredError:
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -38,7 +38,7 @@
 ignored."""
 
 
-class Fleet(Restarts):
+class EntryState(Restarts):
     """Configuration, servers, loads, breakers and budgets of one entry."""
 
     def __init__(self, settings: NodeSettings, log: EventLog) -> None:
@@ -68,7 +68,7 @@
         self._budgets: dict[str, RetryBudget] = {}
         self._known: dict[str, BackendServer] = {}
 
-    def reload(self, settings: NodeSettings) -> list[str]:
+    def apply_settings(self, settings: NodeSettings) -> list[str]:
         """Apply changed settings; changed addresses need a new process.
 
         :return: the names of the fields that have changed.
--- a/src/sardinetrack/relay/followers.py
+++ b/src/sardinetrack/relay/followers.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from sardinetrack.logs.events import Event
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.store.api import Listing, StoredObject
 from sardinetrack.topology.configuration import Configuration
 from sardinetrack.topology.feed import Follower
@@ -41,12 +41,12 @@
 class ConfigurationFollower(Follower):
     """Activates each newer configuration, and never an older one."""
 
-    def __init__(self, fleet: Fleet, decoder: Decoder) -> None:
+    def __init__(self, state: EntryState, decoder: Decoder) -> None:
         """Update the state of an entry.
 
         :param decoder: reads the configuration objects.
         """
-        self._fleet = fleet
+        self._state = state
         self._decoder = decoder
 
     def listed(self, listing: Listing) -> None:
@@ -61,23 +61,23 @@
         try:
             configuration = self._decoder.configuration(stored)
         except ValueError as error:
-            self._fleet.log.write(Event.CONFIG_REFUSED, cause=str(error))
+            self._state.log.write(Event.CONFIG_REFUSED, cause=str(error))
             return
-        active = self._fleet.configuration
+        active = self._state.configuration
         if configuration is None:
             return
         if active is not None and configuration.version <= active.version:
             return
-        self._fleet.configuration = configuration
-        self._fleet.server_states.lengths.keep(
+        self._state.configuration = configuration
+        self._state.server_states.lengths.keep(
             {
                 route.name
                 for routes in configuration.routes.values()
                 for route in routes
             },
         )
-        self._fleet.apply_server_changes()
-        self._fleet.log.write(
+        self._state.apply_server_changes()
+        self._state.log.write(
             Event.CONFIGURED,
             version=configuration.version,
             revision=stored.version,
@@ -87,7 +87,7 @@
 
     def confirmed(self, asked_seconds: float) -> None:
         """Reset the age of the view."""
-        self._fleet.freshness.confirm(asked_seconds)
+        self._state.freshness.confirm(asked_seconds)
 
     def lost(self) -> None:
         """Let the age of the view grow."""
@@ -100,22 +100,22 @@
     evacuates its domain all the same.
     """
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, state: EntryState) -> None:
         """Update the state of an entry."""
-        self._fleet = fleet
+        self._state = state
         self._domains: set[str] = set()
 
     def listed(self, listing: Listing) -> None:
         """Replace all evacuated domains."""
         self._domains = {_name(stored) for stored in listing.objects}
-        self._fleet.evacuate(frozenset(self._domains))
+        self._state.evacuate(frozenset(self._domains))
 
     def changed(self, stored: StoredObject) -> None:
         """Apply one change."""
         self._domains.discard(_name(stored))
         if not stored.deleted:
             self._domains.add(_name(stored))
-        self._fleet.evacuate(frozenset(self._domains))
+        self._state.evacuate(frozenset(self._domains))
 
     def confirmed(self, asked_seconds: float) -> None:
         """Do nothing: evacuations do not age; changes arrive by themselves."""
@@ -127,12 +127,12 @@
 class ServersFollower(Follower):
     """Maintains the list of servers."""
 
-    def __init__(self, fleet: Fleet, decoder: Decoder) -> None:
+    def __init__(self, state: EntryState, decoder: Decoder) -> None:
         """Update the state of an entry.
 
         :param decoder: reads the server objects.
         """
-        self._fleet = fleet
+        self._state = state
         self._decoder = decoder
         self._refused: dict[str, int] = {}
 
@@ -146,28 +146,28 @@
                 refused.append(stored)
             else:
                 found.append(server)
-        servers = self._fleet.servers
+        servers = self._state.servers
         servers.replace(boot_clock(), found)
         for unreadable in refused:
             servers.refuse(_name(unreadable), unreadable.version)
         self._keep_refused({one.key for one in refused})
-        self._fleet.apply_server_changes()
+        self._state.apply_server_changes()
 
     def changed(self, stored: StoredObject) -> None:
         """Apply one change."""
         if stored.deleted:
             self._refused.pop(stored.key, None)
-            self._fleet.servers.remove(boot_clock(), _name(stored))
+            self._state.servers.remove(boot_clock(), _name(stored))
         else:
             self._put(stored)
-        self._fleet.apply_server_changes()
+        self._state.apply_server_changes()
 
     def confirmed(self, asked_seconds: float) -> None:
         """Do nothing: the list does not age; changes arrive by themselves."""
 
     def lost(self) -> None:
         """Keep servers whose records expire during the outage for a while."""
-        self._fleet.servers.outage(boot_clock())
+        self._state.servers.outage(boot_clock())
 
     def _put(self, stored: StoredObject) -> None:
         server = self._read(stored)
@@ -175,13 +175,13 @@
             # A readable record was replaced by an unreadable one: the server
             # gets no new requests, and the requests that it runs are not
             # interrupted.
-            self._fleet.servers.refuse(_name(stored), stored.version)
+            self._state.servers.refuse(_name(stored), stored.version)
             return
         self._refused.pop(stored.key, None)
-        known = self._fleet.servers.instances.get(server.instance)
-        self._fleet.servers.put(server)
+        known = self._state.servers.instances.get(server.instance)
+        self._state.servers.put(server)
         if known is None or known.leaving != server.leaving:
-            self._fleet.log.write(
+            self._state.log.write(
                 Event.SERVER_LISTED,
                 server=server.instance,
                 pool=server.pool,
@@ -212,8 +212,8 @@
         if len(self._refused) >= MAX_REFUSED:
             self._refused.pop(next(iter(self._refused)))
         self._refused[stored.key] = stored.version
-        self._fleet.meters.refused_entries += 1
-        self._fleet.log.write(
+        self._state.meters.refused_entries += 1
+        self._state.log.write(
             Event.SERVER_REFUSED,
             entry=stored.key[:_MAX_NAME_CHARS],
             revision=stored.version,
--- a/src/sardinetrack/relay/metrics.py
+++ b/src/sardinetrack/relay/metrics.py
@@ -15,7 +15,7 @@
 from prometheus_client.metrics_core import Metric
 from prometheus_client.registry import Collector
 
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.meters import BOUNDS_SECONDS, Histogram
 from sardinetrack.store.api import StoreUse
 from sardinetrack.turns.clock import loop_now
@@ -37,12 +37,12 @@
     return generate_latest(registry)
 
 
-def entry_metrics(fleet: Fleet, store: StoreUse) -> Iterable[Metric]:
+def entry_metrics(state: EntryState, store: StoreUse) -> Iterable[Metric]:
     """Return the metrics of an entry.
 
     :param store: its calls to the store since its start.
     """
-    meters = fleet.meters
+    meters = state.meters
     yield _counter('requests', 'Requests by how they ended', meters.outcomes)
     yield _counter('retries', 'Repeated sends by their cause', meters.retries)
     yield _counter(
@@ -55,25 +55,25 @@
     yield _histogram(
         'first_event', 'Arrival to first event', meters.first_event
     )
-    yield from _view_metrics(fleet, store)
-    yield _total('log_lines_dropped', 'Dropped lines', fleet.log.dropped)
+    yield from _view_metrics(state, store)
+    yield _total('log_lines_dropped', 'Dropped lines', state.log.dropped)
 
 
-def _view_metrics(fleet: Fleet, store: StoreUse) -> Iterable[Metric]:
+def _view_metrics(state: EntryState, store: StoreUse) -> Iterable[Metric]:
     """Return the metrics of an entry's view of the fleet."""
     yield _gauge(
         'configuration_age_seconds',
         'Age of the confirmed view',
-        fleet.freshness.age_seconds(),
+        state.freshness.age_seconds(),
     )
-    version = fleet.configuration.version if fleet.configuration else 0
+    version = state.configuration.version if state.configuration else 0
     yield _gauge('configuration_version', 'Version in force', version)
     yield _gauge(
         'servers',
         'Listed backend servers',
-        len(fleet.servers.instances),
+        len(state.servers.instances),
     )
-    meters = fleet.meters
+    meters = state.meters
     yield _total(
         'refused_entries',
         'Listed entries that name no server',
@@ -87,20 +87,20 @@
     yield _gauge(
         'evacuated_domains',
         'Failure domains that get no new work',
-        len(fleet.servers.evacuated),
+        len(state.servers.evacuated),
     )
-    yield _gauge('live_sides', 'Sides that answer', len(fleet.sides.live))
-    yield _gauge('entries', 'Entries that the sides see', fleet.entries)
+    yield _gauge('live_sides', 'Sides that answer', len(state.sides.live))
+    yield _gauge('entries', 'Entries that the sides see', state.entries)
     yield _total(
         'server_connections',
         'Connections opened to servers',
-        fleet.connections.opened,
+        state.connections.opened,
     )
     yield from _store_metrics(store)
     yield _gauge(
         'view_borrowed',
         '1 while a side watches the store for this entry',
-        fleet.sides.views.borrowed,
+        state.sides.views.borrowed,
     )
 
 
--- a/src/sardinetrack/relay/neighbours.py
+++ b/src/sardinetrack/relay/neighbours.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.views.api import Neighbour, Neighbours
 from sardinetrack.views.choice import ranked_neighbours
 
@@ -10,15 +10,15 @@
 class SideNeighbours(Neighbours):
     """Lists the live sides; every entry is connected to each side anyway."""
 
-    def __init__(self, fleet: Fleet) -> None:
-        self._fleet = fleet
+    def __init__(self, state: EntryState) -> None:
+        self._state = state
 
     def ranked(self) -> list[Neighbour]:
         """List the live sides, the preferred one first."""
-        live = {link.name: link for link in self._fleet.sides.live}
+        live = {link.name: link for link in self._state.sides.live}
         names = ranked_neighbours(
-            self._fleet.settings.failure_domain,
-            self._fleet.entries,
+            self._state.settings.failure_domain,
+            self._state.entries,
             {name: link.failure_domain for name, link in live.items()},
         )
         return [live[name] for name in names]
--- a/src/sardinetrack/relay/permit.py
+++ b/src/sardinetrack/relay/permit.py
@@ -8,7 +8,7 @@
 from sardinetrack.admission.ask import Ask, Granted
 from sardinetrack.placement.choice import Candidate
 from sardinetrack.placement.load import ServerLoad
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.turns.clock import loop_now
 from sardinetrack.turns.desk import LocalDesk
@@ -119,7 +119,7 @@
 
 
 async def acquire_permit(
-    fleet: Fleet,
+    state: EntryState,
     pool: Pool,
     candidate: Candidate,
     admission_request: Ask,
@@ -131,19 +131,19 @@
 
     :raises PermitRefusedError: there is none in time.
     """
-    link = fleet.side(candidate.server)
+    link = state.side(candidate.server)
     if link is not None and link.lines is not None:
-        permit = await _request_from_side(fleet, link.lines, admission_request)
+        permit = await _request_from_side(state, link.lines, admission_request)
         if permit is not None:
             return permit
-    cold_seconds = fleet.server_states.cold_starts.no_send_seconds(
+    cold_seconds = state.server_states.cold_starts.no_send_seconds(
         candidate.server, pool
     )
     if cold_seconds > 0:
         raise PermitRefusedError(
             cold_seconds, 'cold, and its side is unreachable'
         )
-    local_admission = fleet.local_admission(candidate.server, pool)
+    local_admission = state.local_admission(candidate.server, pool)
     decision = await local_admission.turn(admission_request)
     if isinstance(decision, Granted):
         return LocalPermit(local_admission, admission_request.ask_id)
@@ -153,7 +153,7 @@
 
 
 async def _request_from_side(
-    fleet: Fleet,
+    state: EntryState,
     connection: SideLines,
     admission_request: Ask,
 ) -> Permit | None:
@@ -168,7 +168,7 @@
         round(admission_request.served_tokens),
         admission_request.part,
         round(admission_request.due_seconds, 3),
-        connection.news.rows(loop_now(), fleet.service),
+        connection.news.rows(loop_now(), state.service),
         admission_request.fingerprint,
         round(admission_request.ends_seconds, 3),
         round(admission_request.returned_seconds, 3),
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/placing.py
@@ -22,10 +22,10 @@
 )
 from sardinetrack.placement.holdings import SHARED_TOKENS
 from sardinetrack.placement.home import shared_part, shared_tokens
-from sardinetrack.relay.api import Call
+from sardinetrack.relay.api import CallerRequest
 from sardinetrack.relay.candidate_order import CandidateOrder
 from sardinetrack.relay.crashes import fingerprint
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.permit import (
     PermitRefusedError,
     PlainPermit,
@@ -70,8 +70,10 @@
 class Placer:
     """Chooses among the servers that this request has not been sent to."""
 
-    def __init__(self, fleet: Fleet, call: Call, trace: Trace) -> None:
-        self._fleet = fleet
+    def __init__(
+        self, state: EntryState, call: CallerRequest, trace: Trace
+    ) -> None:
+        self._state = state
         self._call = call
         self._trace = trace
         self._loop = asyncio.get_running_loop()
@@ -100,7 +102,7 @@
 
     def _no_server_error(self, plan: Plan) -> AnsweredError:
         """Return the error for a request that no server can run."""
-        servers = self._fleet.servers
+        servers = self._state.servers
         if servers.only_evacuated(plan.pool.name):
             return AnsweredError(
                 ErrorKind.NOT_RUN_NO_SERVER,
@@ -113,36 +115,36 @@
         )
 
     def _place_plain(self, plan: Plan, candidate: Candidate) -> Placement:
-        fleet, server = self._fleet, candidate.server
-        fleet.server_states.cold_starts.record_sent(server, plan.pool)
+        state, server = self._state, candidate.server
+        state.server_states.cold_starts.record_sent(server, plan.pool)
         return Placement(
-            candidate, PlainPermit(fleet.server_states.load(server))
+            candidate, PlainPermit(state.server_states.load(server))
         )
 
     def _record_wait(self, waited_seconds: float) -> None:
         self._trace.waited_seconds += waited_seconds
-        self._fleet.meters.waited.add(waited_seconds)
+        self._state.meters.waited.add(waited_seconds)
 
     def _candidates(self, plan: Plan) -> list[Candidate]:
-        fleet = self._fleet
-        servers = fleet.usable_servers(self._loop.time(), plan.pool.name)
+        state = self._state
+        servers = state.usable_servers(self._loop.time(), plan.pool.name)
         if plan.pool.runs_models:
             candidates = by_prompt(
                 self._call.prompt,
                 servers,
-                fleet.server_states.loads,
-                fleet.holdings.of(self._loop.time(), self._shared_prefix),
+                state.server_states.loads,
+                state.holdings.of(self._loop.time(), self._shared_prefix),
             )
         else:
             candidates = by_load(
                 [
                     one
                     for one in servers
-                    if fleet.server_states.cold_starts.accepts(one, plan.pool)
+                    if state.server_states.cold_starts.accepts(one, plan.pool)
                 ],
-                fleet.server_states.loads,
-                fleet.settings.failure_domain,
-                fleet.entries,
+                state.server_states.loads,
+                state.settings.failure_domain,
+                state.entries,
             )
         trace = self._trace
         untried = without(candidates, {*trace.servers, *trace.unreachable})
@@ -198,7 +200,7 @@
         admission_request: Ask,
     ) -> Placement:
         permit = await acquire_permit(
-            self._fleet, plan.pool, candidate, admission_request
+            self._state, plan.pool, candidate, admission_request
         )
         self._record_permit(candidate, admission_request)
         return Placement(candidate, permit)
@@ -207,12 +209,12 @@
         self, candidate: Candidate, admission_request: Ask
     ) -> None:
         now = self._loop.time()
-        self._fleet.service.add(
+        self._state.service.add(
             now, admission_request.workspace, admission_request.cost
         )
         if admission_request.part:
             ip = candidate.server.ip
-            self._fleet.holdings.note(now, ip, (admission_request.part,))
+            self._state.holdings.note(now, ip, (admission_request.part,))
 
     def _admission_request(
         self,
@@ -220,7 +222,7 @@
         candidate: Candidate,
         max_wait_seconds: float,
     ) -> Ask:
-        fleet = self._fleet
+        state = self._state
         request_id = self._call.request_id
         number = self._trace.permit_requests
         self._trace.permit_requests += 1
@@ -234,8 +236,8 @@
             patience_seconds=(
                 GUEST_SECONDS if candidate.is_guest else max_wait_seconds
             ),
-            entry=fleet.settings.instance,
-            served_tokens=fleet.service.tokens(now, plan.workspace_name),
+            entry=state.settings.instance,
+            served_tokens=state.service.tokens(now, plan.workspace_name),
             part=self._shared_prefix,
             due_seconds=self._first_event_due_seconds(plan) - now,
             ends_seconds=max(0, plan.deadline_seconds - now),
@@ -245,7 +247,7 @@
 
     def _output_tokens(self, plan: Plan) -> int:
         if self._estimated_tokens is None:
-            lengths = self._fleet.server_states.lengths
+            lengths = self._state.server_states.lengths
             self._estimated_tokens = lengths.tokens(
                 plan.route.name, self._call.prompt
             )
--- a/src/sardinetrack/relay/request_plan.py
+++ b/src/sardinetrack/relay/request_plan.py
@@ -8,8 +8,8 @@
 import xxhash
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.relay.api import Call
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.api import CallerRequest
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.topology.configuration import (
     Configuration,
     Pool,
@@ -45,18 +45,18 @@
         return self.workspace.priority
 
 
-def make_plan(fleet: Fleet, call: Call) -> Plan:
+def make_plan(state: EntryState, call: CallerRequest) -> Plan:
     """Find route, workspace and pool.
 
     :raises AnsweredError: the request is not allowed, or this instance can't
         know whether it is.
     """
-    configuration = fleet.active_configuration()
+    configuration = state.active_configuration()
     route = configuration.route(call.host, call.path)
     if route is None:
         raise AnsweredError(ErrorKind.UNKNOWN_PATH)
-    workspace = _workspace(fleet, configuration, route, call)
-    caller_seconds = call.patience_seconds
+    workspace = _workspace(state, configuration, route, call)
+    caller_seconds = call.max_wait_seconds
     allowed = route.timeout_seconds
     if caller_seconds is not None:
         allowed = min(allowed, caller_seconds)
@@ -69,14 +69,16 @@
     )
 
 
-def check_still_allowed(fleet: Fleet, plan: Plan, call: Call) -> None:
+def check_still_allowed(
+    state: EntryState, plan: Plan, call: CallerRequest
+) -> None:
     """Check key and route again just before a request is sent.
 
     :raises AnsweredError: they were removed in the meantime.
     """
-    configuration = fleet.active_configuration()
+    configuration = state.active_configuration()
     if plan.workspace is not None:
-        _workspace(fleet, configuration, plan.route, call)
+        _workspace(state, configuration, plan.route, call)
     if configuration.version == plan.version:
         return
     route = configuration.route(call.host, call.path)
@@ -90,14 +92,14 @@
 
 
 def _workspace(
-    fleet: Fleet,
+    state: EntryState,
     configuration: Configuration,
     route: Route,
-    call: Call,
+    call: CallerRequest,
 ) -> Workspace | None:
     if route.anonymous or not configuration.workspaces:
         return None
-    if not fleet.freshness.holds():
+    if not state.freshness.holds():
         raise AnsweredError(
             ErrorKind.NOT_RUN_PLATFORM_DOWN,
             'the configuration can not be confirmed',
@@ -109,7 +111,9 @@
     return workspace
 
 
-def _pool(configuration: Configuration, route: Route, call: Call) -> Pool:
+def _pool(
+    configuration: Configuration, route: Route, call: CallerRequest
+) -> Pool:
     """Choose a pool by weight, the same one for the same request."""
     total = sum(weighted.weight for weighted in route.pools)
     point = (
--- a/src/sardinetrack/relay/sender.py
+++ b/src/sardinetrack/relay/sender.py
@@ -10,10 +10,10 @@
 from sardinetrack.logs.events import Event
 from sardinetrack.placement.choice import Candidate
 from sardinetrack.placement.load import ServerLoad
-from sardinetrack.relay.api import Call, Dialect, Sending
+from sardinetrack.relay.api import CallerRequest, Dialect, Sending
 from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
 from sardinetrack.relay.caller_connection import CallerConnection
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.permit import Permit
 from sardinetrack.relay.request_plan import Plan, check_still_allowed
 from sardinetrack.relay.server_connection import (
@@ -52,11 +52,11 @@
     load: ServerLoad
 
     @classmethod
-    def of(cls, fleet: Fleet, server: BackendServer) -> Self:
+    def of(cls, state: EntryState, server: BackendServer) -> Self:
         """Return the current state of a server, and count a request to it."""
-        breaker = fleet.server_states.breaker(server)
+        breaker = state.server_states.breaker(server)
         return cls(
-            server, breaker, breaker.sent(), fleet.server_states.load(server)
+            server, breaker, breaker.sent(), state.server_states.load(server)
         )
 
     def record_success(self) -> None:
@@ -77,15 +77,15 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        state: EntryState,
         dialect: Dialect,
-        call: Call,
+        call: CallerRequest,
         caller: CallerConnection,
         trace: Trace,
     ) -> None:
         self.attempt: Attempt | None = None
         self.server: BackendServer | None = None
-        self._fleet = fleet
+        self._state = state
         self._dialect = dialect
         self._call = call
         self._caller = caller
@@ -107,7 +107,7 @@
         """
         server = placement.candidate.server
         self.server = server
-        target = _Target.of(self._fleet, server)
+        target = _Target.of(self._state, server)
         try:
             connection = await self._connect(plan, server)
         except NotConnectedError as error:
@@ -138,7 +138,7 @@
         max_idle_seconds = IDLE_SECONDS
         if not plan.route.repeatable:
             max_idle_seconds = RUN_ONCE_IDLE_SECONDS
-        return await self._fleet.connections.take(
+        return await self._state.connections.acquire(
             server.address,
             max_idle_seconds=max_idle_seconds,
         )
@@ -169,13 +169,13 @@
     ) -> None:
         server = candidate.server
         self._recheck(plan, server)
-        request = self._dialect.request(
+        request = self._dialect.encode_request(
             self._call,
             self._sending(plan, server, attempt),
         )
         self._log_sent(plan, candidate)
         self.attempt = attempt
-        load = self._fleet.server_states.load(server)
+        load = self._state.server_states.load(server)
         load.added_tokens += candidate.new_tokens
         try:
             connection.send(
@@ -200,8 +200,8 @@
         """
         if self._caller.disconnected:
             raise asyncio.CancelledError
-        check_still_allowed(self._fleet, plan, self._call)
-        if self._fleet.servers.get(server.instance) is None:
+        check_still_allowed(self._state, plan, self._call)
+        if self._state.servers.get(server.instance) is None:
             raise NotConnectedError('the server accepts no more requests')
 
     def _sending(
@@ -219,12 +219,12 @@
         )
 
     def _log_sent(self, plan: Plan, candidate: Candidate) -> None:
-        fleet, trace = self._fleet, self._trace
+        state, trace = self._state, self._trace
         if not trace.sent:
-            fleet.budget(plan.pool.name).first_attempt()
+            state.budget(plan.pool.name).first_attempt()
         trace.servers.append(candidate.server.instance)
         trace.proved_not_run = False
-        fleet.log.write(
+        state.log.write(
             Event.REQUEST_SENT,
             request=self._call.request_id,
             server=candidate.server.instance,
@@ -233,7 +233,7 @@
             send=trace.sent,
             ask=max(0, trace.permit_requests - 1),
             config_version=plan.version,
-            config_age_seconds=round(fleet.freshness.age_seconds(), _DIGITS),
+            config_age_seconds=round(state.freshness.age_seconds(), _DIGITS),
             waited_seconds=round(trace.waited_seconds, _DIGITS),
             server_wait_seconds=round(candidate.wait_seconds, _DIGITS),
             new_tokens=candidate.new_tokens,
@@ -255,8 +255,8 @@
 
     def _mark_misaddressed(self, target: _Target) -> None:
         server = target.server
-        self._fleet.mark_misaddressed(server)
-        self._fleet.log.write(
+        self._state.mark_misaddressed(server)
+        self._state.log.write(
             Event.SERVER_SUSPECT,
             request=self._call.request_id,
             server=server.instance,
@@ -271,7 +271,7 @@
         attempt: Attempt,
     ) -> None:
         """Record whether the request may have crashed the server."""
-        crashes, call = self._fleet.crashes, self._call
+        crashes, call = self._state.crashes, self._call
         if attempt.done.result() is SendOutcome.DELIVERED:
             crashes.served(call, plan.workspace_name)
         elif attempt.reason in _CONNECTION_ENDS:
@@ -282,7 +282,7 @@
                 plan.workspace_name,
             )
             if strikes:
-                self._fleet.sides.report_strikes(strikes)
+                self._state.sides.report_strikes(strikes)
 
     def _release(
         self,
@@ -295,10 +295,10 @@
         done = attempt.done
         if not done.done() or done.result() is SendOutcome.UNKNOWN:
             connection.abort()
-        self._fleet.connections.give_back(
+        self._state.connections.release(
             server.address,
             connection,
-            self._fleet.connection_limit(server),
+            self._state.connection_limit(server),
         )
 
     def _record_unreachable(
@@ -308,9 +308,9 @@
     ) -> None:
         detail, server = str(error), target.server
         if isinstance(error.__cause__, ConnectionRefusedError):
-            self._fleet.sides.server_unreachable(server.instance, detail)
+            self._state.sides.server_unreachable(server.instance, detail)
         target.record_failure(self._loop.time())
-        self._fleet.log.write(
+        self._state.log.write(
             Event.SERVER_SUSPECT,
             request=self._call.request_id,
             server=server.instance,
--- a/src/sardinetrack/relay/server_connection.py
+++ b/src/sardinetrack/relay/server_connection.py
@@ -38,19 +38,21 @@
     """Receives the response to one request, on the event loop's thread."""
 
     @abstractmethod
-    def head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
+    def head_received(
+        self, status: int, headers: list[tuple[bytes, bytes]]
+    ) -> None:
         """Handle the status and the headers."""
 
     @abstractmethod
-    def piece(self, piece: bytes) -> None:
+    def body_received(self, piece: bytes) -> None:
         """Handle bytes of the body."""
 
     @abstractmethod
-    def whole(self) -> None:
+    def completed(self) -> None:
         """Handle the end of a complete response."""
 
     @abstractmethod
-    def broken(self, reason: BreakReason) -> None:
+    def interrupted(self, reason: BreakReason) -> None:
         """Handle the failure of a response that stays incomplete."""
 
 
@@ -150,7 +152,7 @@
         unframed = self._status_seen and not self._framed
         if self._sink is not None and unframed and not self._complete:
             self._complete = True
-            self._take_sink().whole()
+            self._take_sink().completed()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -178,7 +180,7 @@
             name in {b'content-length', b'transfer-encoding'}
             for name, _ in self._headers
         )
-        sink.head(status, self._headers)
+        sink.head_received(status, self._headers)
         if self._bodiless:
             # The parser would wait for the body that the length announces.
             self._complete = True
@@ -187,7 +189,7 @@
     def on_body(self, body: bytes) -> None:
         """Pass a piece of the body to the sink."""
         if self._sink is not None and not self._complete:
-            self._sink.piece(body)
+            self._sink.body_received(body)
 
     def on_message_complete(self) -> None:
         """Mark the response as complete."""
@@ -201,13 +203,13 @@
         if not self._keep_alive or self._unusable:
             self._close()
         if self._sink is not None:
-            self._take_sink().whole()
+            self._take_sink().completed()
 
     def _fail(self, reason: BreakReason) -> None:
         if self.transport is not None:
             self.transport.abort()
         if self._sink is not None:
-            self._take_sink().broken(reason)
+            self._take_sink().interrupted(reason)
 
     def _take_sink(self) -> ReplySink:
         sink = self._sink
--- a/src/sardinetrack/relay/server_pool.py
+++ b/src/sardinetrack/relay/server_pool.py
@@ -36,7 +36,7 @@
         """Count the connections to a server, idle ones too."""
         return self._open.get(address, 0) + len(self._idle.get(address, ()))
 
-    async def take(
+    async def acquire(
         self,
         address: Address,
         *,
@@ -60,7 +60,7 @@
             connection.abort()
         return await self._connect(address)
 
-    def give_back(
+    def release(
         self,
         address: Address,
         connection: ServerConnection,
--- a/src/sardinetrack/relay/settings.py
+++ b/src/sardinetrack/relay/settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import asdict, dataclass
 
-Listen = tuple[str, int]
+SocketAddress = tuple[str, int]
 """IP and port."""
 
 
@@ -15,12 +15,12 @@
     instance: str
     ip: str
     failure_domain: str
-    callers: Listen | None
-    ready: Listen | None
+    callers: SocketAddress | None
+    ready: SocketAddress | None
     turns_port: int
     """Where the side of an engine listens, the same on every instance."""
     metrics_port: int
-    store: Listen
+    store: SocketAddress
     grace_seconds: float
     """From the signal to stop until the process is killed."""
     revoke_seconds: float | None
--- a/src/sardinetrack/turns/entry.py
+++ b/src/sardinetrack/turns/entry.py
@@ -57,7 +57,7 @@
     """Receives strikes that other entries have recorded."""
 
     @abstractmethod
-    def hear(self, now: float, strikes: Iterable[Strike]) -> None:
+    def add_strikes(self, now: float, strikes: Iterable[Strike]) -> None:
         """Add requests that were running when their servers crashed."""
 
 
@@ -166,7 +166,9 @@
             case ServerStarted():
                 self._state.restart_listener.started(decode_start(message))
             case Struck():
-                self._state.strike_listener.hear(loop_now(), message.strikes)
+                self._state.strike_listener.add_strikes(
+                    loop_now(), message.strikes
+                )
             case _:
                 self._state.view_receiver.take(self._ip, message)
 
--- a/tests/platform/steps/server_object_steps.py
+++ b/tests/platform/steps/server_object_steps.py
@@ -15,7 +15,7 @@
 
 from sardinetrack.compose.view import PlatformDecoder
 from sardinetrack.logs.events import EventLog
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.followers import ServersFollower
 from sardinetrack.store.api import Listing, StoredObject
 
@@ -52,8 +52,8 @@
     context.log = EventLog(pipe[1], 'entry-1')
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
-    context.fleet = Fleet(node_settings(), context.log)
-    context.follower = ServersFollower(context.fleet, PlatformDecoder())
+    context.state = EntryState(node_settings(), context.log)
+    context.follower = ServersFollower(context.state, PlatformDecoder())
     context.revision = 10
     context.objects = {}
     for number in range(2):
@@ -121,7 +121,7 @@
 
 
 def _available(context):
-    servers = context.fleet.servers.of_pool('models')
+    servers = context.state.servers.of_pool('models')
     return {server.instance for server in servers}
 
 
@@ -142,7 +142,7 @@
     events = [json.loads(line) for line in lines]
     refused = [line for line in events if line['event'] == 'server_refused']
     assert [line['entry'] for line in refused] == [_FIRST_KEY], events
-    assert context.fleet.meters.refused_entries == 1
+    assert context.state.meters.refused_entries == 1
 
 
 @when('objects of another writer are stored among them')
--- a/tests/platform/steps/settings_steps.py
+++ b/tests/platform/steps/settings_steps.py
@@ -22,7 +22,7 @@
         path = Path(folder) / 'node.toml'
         path.write_text(text)
         with patch.dict(os.environ, {'SARDINETRACK_BOOT': str(path)}):
-            reload_settings(context.fleet, context.log)
+            reload_settings(context.state, context.log)
     context.log.flush()
     lines = os.read(context.log_read, 100_000).splitlines()
     context.line = json.loads(lines[-1])
@@ -41,7 +41,7 @@
 
 @when('its settings file is invalid')
 def invalidate_settings(context):
-    context.before = context.fleet.settings
+    context.before = context.state.settings
     _reload(context, SETTINGS.replace('zone = "galata"', 'zone = 7'))
 
 
@@ -50,15 +50,15 @@
     ' and a log line names revoke_seconds',
 )
 def revocation_changed(context, seconds):
-    context.fleet.freshness.confirm(boot_clock() - seconds)
-    assert not context.fleet.freshness.holds()
+    context.state.freshness.confirm(boot_clock() - seconds)
+    assert not context.state.freshness.holds()
     assert context.line['event'] == 'reloaded'
     assert context.line['changed'] == ['revoke_seconds']
 
 
 @then('the settings are unchanged and a log line explains why')
 def settings_unchanged(context):
-    assert context.fleet.settings is context.before
+    assert context.state.settings is context.before
     assert context.line['event'] == 'config_refused'
     assert 'zone' in context.line['cause']
 
--- a/tests/platform/steps/translation_steps.py
+++ b/tests/platform/steps/translation_steps.py
@@ -19,7 +19,7 @@
 from sardinetrack.platform.errors import TranslationError
 from sardinetrack.platform.settings import read_settings
 from sardinetrack.relay.api import Sending
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.followers import ConfigurationFollower
 from sardinetrack.store.api import StoredObject
 from sardinetrack.topology.configuration import RouteKind
@@ -155,9 +155,9 @@
         path = Path(folder) / 'node.toml'
         path.write_text(SETTINGS)
         settings = read_settings(path)
-    context.fleet = Fleet(settings, context.log)
+    context.state = EntryState(settings, context.log)
     context.follower = ConfigurationFollower(
-        context.fleet,
+        context.state,
         PlatformDecoder(),
     )
     _receive(context, version)
@@ -180,7 +180,7 @@
 
 @then('version {version:d} is active')
 def is_active(context, version):
-    assert context.fleet.configuration.version == version
+    assert context.state.configuration.version == version
 
 
 @then(
@@ -199,7 +199,9 @@
 @given('a request as a client of the platform sends it')
 def client_request(context):
     context.dialect = PlatformDialect()
-    context.call = context.dialect.call(b'POST', b'/lohu/1?q=2', _HEAD, 5)
+    context.call = context.dialect.parse_request(
+        b'POST', b'/lohu/1?q=2', _HEAD, 5
+    )
     context.call.body = b'body'
 
 
@@ -208,8 +210,8 @@
     call = context.call
     assert call.prompt.tokens == 1460
     assert [part.part_id for part in call.prompt.parts] == ['5c', '91', 'e4']
-    assert (call.api_key, call.patience_seconds) == ('secret-key', 15)
-    assert (call.after_event, call.host, call.path) == (
+    assert (call.api_key, call.max_wait_seconds) == ('secret-key', 15)
+    assert (call.last_event_id, call.host, call.path) == (
         12,
         'ficu95.example',
         '/lohu/1',
@@ -230,7 +232,7 @@
         leaving=False,
     )
     attempt = Sending(server, 9.5, 'hule', 14)
-    context.sent_bytes = context.dialect.request(context.call, attempt)
+    context.sent_bytes = context.dialect.encode_request(context.call, attempt)
     for line in (
         b'POST /lohu/1?q=2 HTTP/1.1',
         b'x-sardinetrack-deadline-ms: 9500',
@@ -254,15 +256,17 @@
 )
 def proofs(context):
     dialect = PlatformDialect()
-    assert dialect.reply(421, ()).not_run
+    assert dialect.parse_response_head(421, ()).not_run
     header = (b'x-sardinetrack-not-processed', b'1')
-    assert dialect.reply(503, (header,)).not_run
+    assert dialect.parse_response_head(503, (header,)).not_run
 
 
 @then('these do not: 500, 503, 504')
 def no_proofs(context):
     dialect = PlatformDialect()
-    assert not any(dialect.reply(one, ()).not_run for one in (500, 503, 504))
+    assert not any(
+        dialect.parse_response_head(one, ()).not_run for one in (500, 503, 504)
+    )
 
 
 @then('no module outside the adapter contains a name of the platform')
--- a/tests/relay/steps/crash_steps.py
+++ b/tests/relay/steps/crash_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from sardinetrack.placement.prompt import Prompt
-from sardinetrack.relay.api import Call
+from sardinetrack.relay.api import CallerRequest
 from sardinetrack.relay.crashes import CrashWatch, fingerprint
 from sardinetrack.relay.side_links import broadcast_sides
 
@@ -22,7 +22,7 @@
 
 
 def _call():
-    return Call(
+    return CallerRequest(
         'r1', b'POST', b'/x/1', 'h', '/x/1', b'', _BODY, 0, 1, '', Prompt()
     )
 
@@ -74,7 +74,7 @@
 
 @then('no request is suspected')
 def none_suspected(context):
-    assert not context.world.fleet.crashes.book
+    assert not context.world.entry_state.crashes.strike_registry
 
 
 @given('a crash watch')
@@ -96,7 +96,7 @@
 @then('the request has {count:d} strikes')
 def has_strikes(context, count):
     name = fingerprint(_call(), 'pilots')
-    assert context.watch.book.count(105.0, name) == count
+    assert context.watch.strike_registry.count(105.0, name) == count
 
 
 @given('links to {sides:d} sides in each of {domains:d} failure domains')
--- a/tests/relay/steps/evacuation_steps.py
+++ b/tests/relay/steps/evacuation_steps.py
@@ -29,7 +29,7 @@
         context.world.list_servers()
 
     context.world.run(act())
-    context.follower = EvacuationsFollower(context.world.fleet)
+    context.follower = EvacuationsFollower(context.world.entry_state)
 
 
 def _change(context, domain, *, deleted=False):
@@ -84,8 +84,8 @@
 
 @when('the domain of a server is evacuated between its permit and the send')
 def evacuate_late(context):
-    fleet = context.world.fleet
-    take = fleet.connections.take
+    state = context.world.entry_state
+    take = state.connections.acquire
     chosen = []
 
     async def slow_take(address, **more):
@@ -97,7 +97,7 @@
             context.follower.changed(StoredObject(key, 5, b'{}'))
         return await take(address, **more)
 
-    fleet.connections.take = slow_take
+    state.connections.acquire = slow_take
     context.reply = context.world.run(context.world.call('stream'))
     context.chosen = chosen[0]
 
@@ -129,12 +129,12 @@
 
 @then('{domain:w} is still evacuated')
 def still_evacuated(context, domain):
-    assert context.world.fleet.servers.evacuated == {domain}
+    assert context.world.entry_state.servers.evacuated == {domain}
 
 
 @then('nothing is evacuated')
 def nothing_evacuated(context):
-    assert not context.world.fleet.servers.evacuated
+    assert not context.world.entry_state.servers.evacuated
 
 
 @then('the second server got {count:d} request')
@@ -160,8 +160,8 @@
     ' for {seconds:g} seconds',
 )
 def limit_cold(context, rate, seconds):
-    fleet = context.world.fleet
-    held = fleet.configuration
+    state = context.world.entry_state
+    held = state.configuration
     pools = {
         name: replace(
             pool,
@@ -171,12 +171,12 @@
         )
         for name, pool in held.pools.items()
     }
-    fleet.configuration = replace(held, pools=pools)
+    state.configuration = replace(held, pools=pools)
 
 
 @given('there are {count:d} entries')
 def count_entries(context, count):
-    cold_starts = context.world.fleet.server_states.cold_starts
+    cold_starts = context.world.entry_state.server_states.cold_starts
     cold_starts._sides = _Sides(count)  # noqa: SLF001
 
 
@@ -208,11 +208,11 @@
 
 
 def _cold_seconds(context, number):
-    fleet = context.world.fleet
+    state = context.world.entry_state
     name = context.world.servers[number].instance
-    server = fleet.servers.instances[name]
-    estimate = fleet.server_states.cold_starts.estimate(
-        server, fleet.configuration.pools['models']
+    server = state.servers.instances[name]
+    estimate = state.server_states.cold_starts.estimate(
+        server, state.configuration.pools['models']
     )
     return estimate.cold.left_seconds(boot_clock())
 
@@ -233,14 +233,14 @@
     ' for the cold server',
 )
 def grants_itself(context, granted, requested):
-    fleet = context.world.fleet
-    server = next(iter(fleet.servers.instances.values()))
-    pool = fleet.configuration.pools['models']
+    state = context.world.entry_state
+    server = next(iter(state.servers.instances.values()))
+    pool = state.configuration.pools['models']
 
     async def act():
-        if fleet.server_states.cold_starts.no_send_seconds(server, pool) > 0:
+        if state.server_states.cold_starts.no_send_seconds(server, pool) > 0:
             return 0
-        local_admission = fleet.local_admission(server, pool)
+        local_admission = state.local_admission(server, pool)
         admission_requests = [
             Ask(f'a{one}', 'pilots', 10, 20, 10, 0.1)
             for one in range(requested)
--- a/tests/relay/steps/metrics_steps.py
+++ b/tests/relay/steps/metrics_steps.py
@@ -13,8 +13,8 @@
 
 @then('the page counts {count:d} requests served')
 def page_counts(context, count):
-    fleet = context.world.fleet
-    context.page = page_of(lambda: entry_metrics(fleet, _STORE)).decode()
+    state = context.world.entry_state
+    context.page = page_of(lambda: entry_metrics(state, _STORE)).decode()
     expected = f'sardinetrack_requests_total{{by="served"}} {count}.0'
     assert expected in context.page, context.page
 
--- a/tests/relay/steps/relay_steps.py
+++ b/tests/relay/steps/relay_steps.py
@@ -52,7 +52,7 @@
 )
 def open_with_timeout(context, models, seconds):
     _open(context, models=models)
-    context.world.fleet.configuration = configuration(2, seconds)
+    context.world.entry_state.configuration = configuration(2, seconds)
 
 
 @given(
@@ -69,9 +69,9 @@
 )
 def open_bounded(context, plain, connections):
     _open(context, plain=plain)
-    held = context.world.fleet.configuration
+    held = context.world.entry_state.configuration
     pools = {**held.pools, 'plain': Pool('plain', connections)}
-    context.world.fleet.configuration = replace(held, pools=pools)
+    context.world.entry_state.configuration = replace(held, pools=pools)
 
 
 @when('no server is listed any more, and state of it is created late')
@@ -85,19 +85,19 @@
 
 
 async def _list_none(world, late):
-    fleet = world.fleet
-    known = list(fleet.servers.instances.values())
-    fleet.servers.replace(boot_clock(), [])
-    fleet.apply_server_changes()
+    state = world.entry_state
+    known = list(state.servers.instances.values())
+    state.servers.replace(boot_clock(), [])
+    state.apply_server_changes()
     for server in known if late else ():
-        fleet.server_states.load(server)
-        fleet.server_states.breaker(server)
+        state.server_states.load(server)
+        state.server_states.breaker(server)
 
 
 @then('the entry has no state of any server')
 def has_no_state(context):
-    fleet = context.world.fleet
-    assert not len(fleet.server_states)
+    state = context.world.entry_state
+    assert not len(state.server_states)
 
 
 @when('a caller sends a HEAD request')
@@ -138,7 +138,7 @@
 @then('the entry keeps at most {count:d} connections to the server')
 def keeps_few(context, count):
     address = ('127.0.0.1', context.world.servers[0].port)
-    kept = context.world.fleet.connections.connections(address)
+    kept = context.world.entry_state.connections.connections(address)
     assert kept <= count, kept
 
 
@@ -238,9 +238,9 @@
 def remove_after_outage(context):
     world = context.world
     now = boot_clock()
-    world.fleet.servers.outage(now)
-    world.fleet.servers.remove(now, world.servers[0].instance)
-    world.fleet.apply_server_changes()
+    world.entry_state.servers.outage(now)
+    world.entry_state.servers.remove(now, world.servers[0].instance)
+    world.entry_state.apply_server_changes()
 
 
 @when('{seconds:g} seconds pass')
@@ -250,12 +250,12 @@
 
 @when('the key is revoked')
 def revoke(context):
-    context.world.fleet.configuration = configuration(2, keys=('other',))
+    context.world.entry_state.configuration = configuration(2, keys=('other',))
 
 
 @when('the view is {seconds:g} seconds old')
 def grow_old(context, seconds):
-    freshness = context.world.fleet.freshness
+    freshness = context.world.entry_state.freshness
     freshness._confirmed_seconds = boot_clock() - seconds  # noqa: SLF001
 
 
@@ -326,7 +326,7 @@
 
 @then('{count:d} server may get requests')
 def may_get_requests(context, count):
-    assert len(context.world.fleet.servers.of_pool('plain')) == count
+    assert len(context.world.entry_state.servers.of_pool('plain')) == count
 
 
 @then('no server got more than {maximum:d} requests')
@@ -386,24 +386,24 @@
 
 @when('the breakers of {count:d} servers are open')
 def open_breakers(context, count):
-    fleet = context.world.fleet
-    for server in fleet.servers.of_pool('plain')[:count]:
-        breaker = fleet.server_states.breaker(server)
+    state = context.world.entry_state
+    for server in state.servers.of_pool('plain')[:count]:
+        breaker = state.server_states.breaker(server)
         for _ in range(FAILURES_TO_OPEN):
             breaker.failed(context.world.loop.time(), breaker.generation)
 
 
 @when('the breaker of {count:d} of them has closed again')
 def close_breaker(context, count):
-    fleet = context.world.fleet
-    for server in fleet.servers.of_pool('plain')[:count]:
-        fleet.server_states.forget(server.instance)
+    state = context.world.entry_state
+    for server in state.servers.of_pool('plain')[:count]:
+        state.server_states.forget(server.instance)
 
 
 @then('{count:d} servers may be sent a request')
 def may_be_sent(context, count):
     now = context.world.loop.time()
-    assert len(context.world.fleet.usable_servers(now, 'plain')) == count
+    assert len(context.world.entry_state.usable_servers(now, 'plain')) == count
 
 
 @when('the first server responds that it is another one')
@@ -417,7 +417,7 @@
 )
 def disconnect_in_iteration(context):
     world = context.world
-    take = world.fleet.connections.take
+    take = world.entry_state.connections.acquire
     read = []
 
     async def read_disconnect_first(address, **more):
@@ -427,7 +427,7 @@
         read.append(caller)
         return connection
 
-    world.fleet.connections.take = read_disconnect_first
+    world.entry_state.connections.acquire = read_disconnect_first
 
     async def act():
         with suppress(ConnectionError):
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -26,19 +26,19 @@
 
 
 def _first(context):
-    return context.world.fleet.servers.instances['i-0']
+    return context.world.entry_state.servers.instances['i-0']
 
 
 @given('the first server caches prefix p7, is loaded, and its breaker is open')
 def set_state(context):
     async def act():
-        fleet, server = context.world.fleet, _first(context)
+        state, server = context.world.entry_state, _first(context)
         now = asyncio.get_running_loop().time()
-        fleet.holdings.note(now, server.ip, (_PREFIX,))
-        fleet.server_states.load(server).hear(3, _RATE)
-        kept = await fleet.connections.take(server.address)
-        fleet.connections.give_back(server.address, kept)
-        breaker = fleet.server_states.breaker(server)
+        state.holdings.note(now, server.ip, (_PREFIX,))
+        state.server_states.load(server).hear(3, _RATE)
+        kept = await state.connections.acquire(server.address)
+        state.connections.release(server.address, kept)
+        breaker = state.server_states.breaker(server)
         for _ in range(FAILURES_TO_OPEN):
             breaker.failed(now, breaker.generation)
 
@@ -52,26 +52,26 @@
 def side_reports(context, started, revision):
     async def act():
         start = ServerStart('i-0', started, revision)
-        context.world.fleet.started(start)
+        context.world.entry_state.started(start)
 
     context.world.run(act())
 
 
 def _states(context):
-    fleet, server = context.world.fleet, _first(context)
-    load = fleet.server_states.load(server)
+    entry_state, server = context.world.entry_state, _first(context)
+    load = entry_state.server_states.load(server)
     return (
-        bool(fleet.holdings.of(context.world.loop.time(), _PREFIX)),
-        fleet.server_states.breaker(server).state is BreakerState.OPEN,
+        bool(entry_state.holdings.of(context.world.loop.time(), _PREFIX)),
+        entry_state.server_states.breaker(server).state is BreakerState.OPEN,
         load.rate_tokens == _RATE and load.told_wait_seconds == 3,
-        fleet.connections.connections(server.address) == 1,
+        entry_state.connections.connections(server.address) == 1,
     )
 
 
 @then('the entry has no state of the former start')
 def has_no_state(context):
     assert not any(_states(context)), _states(context)
-    load = context.world.fleet.server_states.load(_first(context))
+    load = context.world.entry_state.server_states.load(_first(context))
     assert (load.rate_tokens, load.told_wait_seconds) == (FIRST_RATE, 0)
 
 
@@ -141,13 +141,13 @@
 
 @then('the breaker of the first server is closed')
 def breaker_closed(context):
-    breaker = context.world.fleet.server_states.breaker(_first(context))
+    breaker = context.world.entry_state.server_states.breaker(_first(context))
     assert breaker.state is BreakerState.CLOSED
 
 
 @then('a request is suspected')
 def suspected(context):
-    assert len(context.world.fleet.crashes.book) == 1
+    assert len(context.world.entry_state.crashes.strike_registry) == 1
 
 
 @then(
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -10,7 +10,7 @@
 from sardinetrack.logs.events import EventLog
 from sardinetrack.platform.dialect import PlatformDialect
 from sardinetrack.relay.entry import Entry
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.topology.configuration import (
     CallerLimits,
     Configuration,
@@ -118,7 +118,7 @@
     def __init__(self):
         self.loop = asyncio.new_event_loop()
         self.servers = []
-        self.fleet = None
+        self.entry_state = None
         self.entry = None
         self.port = 0
         pipe = os.pipe()
@@ -144,10 +144,10 @@
             memory_bytes=memory_bytes,
             max_descriptors=max_descriptors,
         )
-        self.fleet = Fleet(settings, self.log)
-        self.fleet.configuration = configuration()
-        self.fleet.freshness.confirm(boot_clock())
-        self.entry = Entry(self.fleet, PlatformDialect(), None)
+        self.entry_state = EntryState(settings, self.log)
+        self.entry_state.configuration = configuration()
+        self.entry_state.freshness.confirm(boot_clock())
+        self.entry = Entry(self.entry_state, PlatformDialect(), None)
         await self.entry.__aenter__()
         self.port = self.entry.port
         for pool, count in (('models', models), ('plain', plain)):
@@ -156,7 +156,7 @@
         self.list_servers()
 
     def list_servers(self, leaving=(), started=None, revision=0):
-        self.fleet.servers.replace(
+        self.entry_state.servers.replace(
             boot_clock(),
             [
                 BackendServer(
@@ -174,7 +174,7 @@
                 for server in self.servers
             ],
         )
-        self.fleet.apply_server_changes()
+        self.entry_state.apply_server_changes()
 
     async def call(
         self,
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -258,7 +258,7 @@
 def has_strikes(context, number, count):
     async def read():
         now = asyncio.get_running_loop().time()
-        return _entry(context, number).crashes.book.count(now, 'f1')
+        return _entry(context, number).crashes.strike_registry.count(now, 'f1')
 
     assert _run(context, read()) == count
 
