--- a/src/sardinetrack/compose/view.py
+++ b/src/sardinetrack/compose/view.py
@@ -33,18 +33,18 @@
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.source import OwnFeeds, ViewSource
 from sardinetrack.views.watcher import (
-    SLOW_WATCH_SECONDS,
-    WATCH_SECONDS,
-    Feeds,
+    CONFIGURATION_WATCH_SECONDS,
+    OBJECT_WATCH_SECONDS,
+    FeedFactory,
     Mirror,
     Watcher,
 )
 
 _SIDE_WATCH_SECONDS: Final = MappingProxyType(
     {
-        CONFIGURATION_PREFIX: WATCH_SECONDS,
-        SERVERS_PREFIX: SLOW_WATCH_SECONDS,
-        EVACUATIONS_PREFIX: SLOW_WATCH_SECONDS,
+        CONFIGURATION_PREFIX: CONFIGURATION_WATCH_SECONDS,
+        SERVERS_PREFIX: OBJECT_WATCH_SECONDS,
+        EVACUATIONS_PREFIX: OBJECT_WATCH_SECONDS,
     },
 )
 """How long each watch call of a side waits, by the prefix of the objects."""
@@ -74,14 +74,14 @@
         return server_of(instance, stored.value, stored.version)
 
 
-class StoreFeedFactory(Feeds):
+class StoreFeedFactory(FeedFactory):
     """Creates feeds of the platform's store."""
 
     def __init__(self, store: PlatformStore, log: EventLog) -> None:
         self._store = store
         self._log = log
 
-    def open(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
+    def create_feeds(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
         """Create a feed for each mirror."""
         access = StoreWay(self._store)
         return [
--- a/src/sardinetrack/relay/metrics.py
+++ b/src/sardinetrack/relay/metrics.py
@@ -137,7 +137,7 @@
     yield _gauge(
         'followers',
         'Entries for which it watches the store',
-        side.watcher.followers,
+        side.watcher.subscribers,
     )
     yield from _store_metrics(store)
     yield _counter(
--- a/src/sardinetrack/turns/entry_connection.py
+++ b/src/sardinetrack/turns/entry_connection.py
@@ -14,7 +14,7 @@
     ServerStarted,
     Struck,
 )
-from sardinetrack.views.api import Follower
+from sardinetrack.views.api import ViewSubscriber
 from sardinetrack.views.messages import (
     FollowView,
     FromFollower,
@@ -27,7 +27,7 @@
     from sardinetrack.turns.side import Side
 
 
-class EntryConnection(LineProtocol, Follower):
+class EntryConnection(LineProtocol, ViewSubscriber):
     """Connection of one entry."""
 
     def __init__(self, side: Side) -> None:
--- a/src/sardinetrack/views/api.py
+++ b/src/sardinetrack/views/api.py
@@ -66,7 +66,7 @@
         """Ignore the loss: no view was subscribed to."""
 
 
-class Follower(ABC):
+class ViewSubscriber(ABC):
     """Watcher's end of the connection to one of its subscribers."""
 
     @abstractmethod
--- a/src/sardinetrack/views/watcher.py
+++ b/src/sardinetrack/views/watcher.py
@@ -15,7 +15,7 @@
 from sardinetrack.topology.feed import Feed
 from sardinetrack.topology.feed import Follower as FeedFollower
 from sardinetrack.topology.freshness import boot_clock
-from sardinetrack.views.api import Follower
+from sardinetrack.views.api import ViewSubscriber
 from sardinetrack.views.messages import (
     FromWatcher,
     ViewConfirmed,
@@ -25,13 +25,13 @@
     encode_object,
 )
 
-WATCH_SECONDS: Final = 1.0
+CONFIGURATION_WATCH_SECONDS: Final = 1.0
 """How long a watcher's call waits whose responses confirm the configuration.
 
 Subscribers take a longer time without confirmation for a loss. It costs one
 call a second for all of them together.
 """
-SLOW_WATCH_SECONDS: Final = 2.0
+OBJECT_WATCH_SECONDS: Final = 2.0
 """The same for objects whose view needs no bound on its age."""
 IDLE_SECONDS: Final = 1.0
 """How long the store is still watched after the last subscriber has left."""
@@ -56,11 +56,11 @@
         return self.stamp_seconds + own_seconds - self.received_seconds
 
 
-class Feeds(ABC):
+class FeedFactory(ABC):
     """Makes the feeds that read the store."""
 
     @abstractmethod
-    def open(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
+    def create_feeds(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
         """Make a feed for each mirror.
 
         :param mirrors: by prefix.
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        feeds: Feeds,
+        feeds: FeedFactory,
         prefixes: tuple[str, ...],
         log: EventLog,
         clock: Callable[[], float] = boot_clock,
@@ -87,7 +87,7 @@
         self._feeds = feeds
         self._log = log
         self._mirrors = {one: Mirror(one, self) for one in prefixes}
-        self._subscribers: dict[Follower, _Clock] = {}
+        self._subscribers: dict[ViewSubscriber, _Clock] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self._idle: asyncio.TimerHandle | None = None
         self._stack = ExitStack()
@@ -107,11 +107,11 @@
         self._stack.close()
 
     @property
-    def followers(self) -> int:
+    def subscribers(self) -> int:
         """Number of subscribers."""
         return len(self._subscribers)
 
-    def follow(self, subscriber: Follower, stamp_seconds: float) -> None:
+    def follow(self, subscriber: ViewSubscriber, stamp_seconds: float) -> None:
         """Add a subscriber: send it all objects, and then every change.
 
         :param stamp_seconds: its boot clock when it subscribed.
@@ -125,14 +125,14 @@
         for mirror in self._mirrors.values():
             mirror.send_all(subscriber)
 
-    def stamp(self, subscriber: Follower, stamp_seconds: float) -> None:
+    def stamp(self, subscriber: ViewSubscriber, stamp_seconds: float) -> None:
         """Update a subscriber's clock."""
         clock = self._subscribers.get(subscriber)
         if clock is not None:
             clock.stamp_seconds = stamp_seconds
             clock.received_seconds = self._clock()
 
-    def leave(self, subscriber: Follower) -> None:
+    def leave(self, subscriber: ViewSubscriber) -> None:
         """Remove a subscriber."""
         self._subscribers.pop(subscriber, None)
         if not self._subscribers and self._tasks and self._idle is None:
@@ -158,7 +158,7 @@
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(feed.run())
-            for feed in self._feeds.open(self._mirrors)
+            for feed in self._feeds.create_feeds(self._mirrors)
         ]
         for task in self._tasks:
             task.add_done_callback(self._ended)
@@ -200,7 +200,7 @@
         self._objects = None
         self._changes = []
 
-    def send_all(self, subscriber: Follower) -> None:
+    def send_all(self, subscriber: ViewSubscriber) -> None:
         """Send a new subscriber all objects."""
         if self._objects is not None:
             subscriber.tell(self._full_view(self._objects))
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -18,16 +18,15 @@
     Follower,
 )
 from sardinetrack.topology.outage import StoreWay
-from sardinetrack.views.api import Follower as ViewFollower
-from sardinetrack.views.api import Neighbour, Neighbours
+from sardinetrack.views.api import Neighbour, Neighbours, ViewSubscriber
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.choice import ranked_neighbours
 from sardinetrack.views.messages import FollowView, LeaveView, StampView
 from sardinetrack.views.source import OwnFeeds, ViewSource
 from sardinetrack.views.watcher import (
-    SLOW_WATCH_SECONDS,
-    WATCH_SECONDS,
-    Feeds,
+    CONFIGURATION_WATCH_SECONDS,
+    OBJECT_WATCH_SECONDS,
+    FeedFactory,
     Watcher,
 )
 
@@ -35,7 +34,10 @@
 SERVERS = 'servers/'
 _RESPONSE_SECONDS = 0.004
 _LINK_DELAY_SECONDS = 0.0014
-_SIDE_WATCH_SECONDS = ((CONFIG, WATCH_SECONDS), (SERVERS, SLOW_WATCH_SECONDS))
+_SIDE_WATCH_SECONDS = (
+    (CONFIG, CONFIGURATION_WATCH_SECONDS),
+    (SERVERS, OBJECT_WATCH_SECONDS),
+)
 _DIRECT_WATCH_SECONDS = ((CONFIG, CONFIRM_SECONDS), (SERVERS, CALM_SECONDS))
 
 
@@ -141,11 +143,11 @@
         return since if version == one.version else self._loop.time()
 
 
-class _SideFeeds(Feeds):
+class _SideFeeds(FeedFactory):
     def __init__(self, end, log, clock):
         self._arguments = (end, log, clock)
 
-    def open(self, mirrors):
+    def create_feeds(self, mirrors):
         end, log, clock = self._arguments
         way = StoreWay(end, clock=clock)
         return [
@@ -172,10 +174,10 @@
 
     @property
     def watches(self):
-        return bool(self.watcher.followers)
+        return bool(self.watcher.subscribers)
 
 
-class _Link(Neighbour, ViewFollower):
+class _Link(Neighbour, ViewSubscriber):
     """The connection between one entry and one side, in both directions."""
 
     def __init__(self, entry, side):
@@ -291,7 +293,7 @@
 
     @property
     def watcher(self):
-        return max(self.sides, key=lambda side: side.watcher.followers)
+        return max(self.sides, key=lambda side: side.watcher.subscribers)
 
     def kill(self, side):
         side.crashed = True
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -26,15 +26,15 @@
 from sardinetrack.turns.refused import RefusedRequests
 from sardinetrack.turns.side import Side
 from sardinetrack.views.api import NoInbox
-from sardinetrack.views.watcher import Feeds, Watcher
+from sardinetrack.views.watcher import FeedFactory, Watcher
 
 _IP = '127.0.0.1'
 
 
-class NoFeeds(Feeds):
+class NoFeeds(FeedFactory):
     """No store is watched here."""
 
-    def open(self, mirrors):
+    def create_feeds(self, mirrors):
         return []
 
 
--- a/tests/views/steps/view_steps.py
+++ b/tests/views/steps/view_steps.py
@@ -110,9 +110,9 @@
 @then('another side watches within {seconds:d} seconds')
 def other_watches(context, seconds):
     _run(context, asyncio.sleep(seconds))
-    subscribers = context.world.watcher.watcher.followers
+    subscriber_count = context.world.watcher.watcher.subscribers
     assert context.world.watcher is not context.crashed
-    assert subscribers == len(context.world.entries), subscribers
+    assert subscriber_count == len(context.world.entries), subscriber_count
 
 
 @when('entry {number:d} is disconnected from the store')
@@ -211,11 +211,13 @@
 
 @then('at most {count:d} sides watch and every entry subscribes to one')
 def all_subscribe(context, count):
-    subscribers = [
-        side.watcher.followers for side in context.world.sides if side.watches
+    subscriber_counts = [
+        side.watcher.subscribers for side in context.world.sides if side.watches
     ]
-    assert len(subscribers) <= count, subscribers
-    assert sum(subscribers) == len(context.world.entries), subscribers
+    assert len(subscriber_counts) <= count, subscriber_counts
+    assert sum(subscriber_counts) == len(context.world.entries), (
+        subscriber_counts
+    )
 
 
 @then('every entry keeps servers that are not listed around the outage')
