--- a/src/sardinetrack/admission/reading.py
+++ b/src/sardinetrack/admission/reading.py
@@ -19,7 +19,7 @@
 from sardinetrack.admission.usage import EngineUse, Usage
 from sardinetrack.admission.waiting import WaitingRequest, WaitQueue, tokens_of
 from sardinetrack.admission.warming import WarmTurns
-from sardinetrack.topology.cold import Cold
+from sardinetrack.topology.cold import ColdPeriod
 
 PREFILL_AHEAD_SECONDS: Final = 0.15
 """Prefill work that an engine gets ahead.
@@ -75,7 +75,7 @@
         )
         self._fraction = share
 
-    def cool(self, now: float, cold_period: Cold) -> Sequence[Verdict]:
+    def cool(self, now: float, cold_period: ColdPeriod) -> Sequence[Verdict]:
         """Set how long the engine stays cold, and its rate until then."""
         self.cold_start.cool(cold_period)
         return self._grant_next(now)
--- a/src/sardinetrack/admission/warming.py
+++ b/src/sardinetrack/admission/warming.py
@@ -5,7 +5,7 @@
 import math
 from typing import Final
 
-from sardinetrack.topology.cold import Cold
+from sardinetrack.topology.cold import ColdPeriod
 
 _BURST: Final = 2
 """Requests that may go together; the others keep their interval."""
@@ -26,10 +26,10 @@
     """
 
     def __init__(self) -> None:
-        self.cold_period = Cold()
+        self.cold_period = ColdPeriod()
         self._due_seconds = -math.inf
 
-    def cool(self, cold_period: Cold) -> None:
+    def cool(self, cold_period: ColdPeriod) -> None:
         """Set how long the server stays cold, and its rate until then."""
         self.cold_period = cold_period
 
--- a/src/sardinetrack/compose/view.py
+++ b/src/sardinetrack/compose/view.py
@@ -26,7 +26,11 @@
 from sardinetrack.relay.settings import NodeSettings
 from sardinetrack.store.api import StoredObject
 from sardinetrack.topology.configuration import Configuration
-from sardinetrack.topology.feed import CALM_SECONDS, CONFIRM_SECONDS, Feed
+from sardinetrack.topology.feed import (
+    CHANGE_WATCH_SECONDS,
+    CONFIRM_SECONDS,
+    Feed,
+)
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.outage import StoreWay
 from sardinetrack.topology.servers import BackendServer
@@ -129,4 +133,4 @@
 def _direct_watch_seconds(prefix: str) -> float:
     if prefix == CONFIGURATION_PREFIX:
         return CONFIRM_SECONDS
-    return CALM_SECONDS
+    return CHANGE_WATCH_SECONDS
--- a/src/sardinetrack/platform/catalogue.py
+++ b/src/sardinetrack/platform/catalogue.py
@@ -149,7 +149,7 @@
         ),
         max_servers=max(1, decoded.max_attempts),
         timeout_seconds=decoded.timeout_ms / _MILLISECONDS,
-        first_answer_seconds=decoded.target_latency_ms / _MILLISECONDS,
+        first_event_objective_seconds=decoded.target_latency_ms / _MILLISECONDS,
         event_gap_seconds=decoded.target_gap_ms / _MILLISECONDS,
         priority=decoded.priority,
         anonymous=decoded.anonymous,
@@ -178,7 +178,7 @@
     return CallerLimits(
         header_bytes=decoded.max_header_bytes,
         body_bytes=decoded.max_body_bytes,
-        header_seconds=decoded.header_timeout_ms / _MILLISECONDS,
-        idle_seconds=decoded.idle_timeout_ms / _MILLISECONDS,
+        header_timeout_seconds=decoded.header_timeout_ms / _MILLISECONDS,
+        idle_timeout_seconds=decoded.idle_timeout_ms / _MILLISECONDS,
         tokens_per_second=decoded.tokens_per_s,
     )
--- a/src/sardinetrack/relay/cold_start.py
+++ b/src/sardinetrack/relay/cold_start.py
@@ -6,7 +6,7 @@
 
 from sardinetrack.admission.warming import WarmTurns
 from sardinetrack.relay.side_links import INITIAL_ENTRIES, SideLinks
-from sardinetrack.topology.cold import Cold, ColdServers, ColdWord
+from sardinetrack.topology.cold import ColdPeriod, ColdServers, ColdWord
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.servers import BackendServer
@@ -36,11 +36,11 @@
     def update(self, servers: Iterable[BackendServer]) -> None:
         """Update the cold periods from the instance list."""
         for server in servers:
-            self._servers.hear(boot_clock(), server)
+            self._servers.update_server(boot_clock(), server)
 
     def assume_cold(self, server: BackendServer, pool: Pool) -> None:
         """Assume that a server is as cold as after a start."""
-        self._servers.presume(
+        self._servers.assume_cold_for(
             boot_clock(),
             server.instance,
             pool.cold_seconds,
@@ -48,7 +48,7 @@
 
     def estimate(self, server: BackendServer, pool: Pool) -> ColdWord:
         """Return what is known of a server's cold period, by the boot clock."""
-        return self._servers.word(server.instance, pool.cold_per_second)
+        return self._servers.estimate_for(server.instance, pool.cold_per_second)
 
     def keep(self, instances: Collection[str]) -> None:
         """Forget all other servers."""
@@ -56,7 +56,7 @@
         for stale in set(self._limiters) - set(instances):
             self._limiters.pop(stale)
 
-    def own_period(self, server: BackendServer, pool: Pool) -> Cold:
+    def own_period(self, server: BackendServer, pool: Pool) -> ColdPeriod:
         """Return a server's cold period with this entry's fraction of the rate.
 
         Its end is on the clock of the event loop; the rate is 0 where nothing
@@ -66,8 +66,8 @@
         if entries is None and not pool.runs_models:
             entries = INITIAL_ENTRIES
         rate = int(pool.cold_per_second / entries) if entries else 0
-        until_seconds = self.estimate(server, pool).cold.until_seconds
-        return Cold(until_seconds - boot_clock() + loop_now(), rate)
+        until_seconds = self.estimate(server, pool).period.until_seconds
+        return ColdPeriod(until_seconds - boot_clock() + loop_now(), rate)
 
     def no_send_seconds(self, server: BackendServer, pool: Pool) -> float:
         """Return how long this entry alone may send a server nothing."""
--- a/src/sardinetrack/relay/entry.py
+++ b/src/sardinetrack/relay/entry.py
@@ -109,7 +109,7 @@
         """Whether the load balancer should send callers here."""
         state = self._state
         known = state.configuration is not None
-        fresh = state.freshness.holds() and not self.capacity.overloaded
+        fresh = state.freshness.is_fresh() and not self.capacity.overloaded
         ready = known and fresh and not self.draining
         if ready != self._was_ready:
             self._was_ready = ready
@@ -346,9 +346,11 @@
         for connection in list(self._connections):
             if connection.busy:
                 continue
-            allowed = limits.idle_seconds
+            allowed = limits.idle_timeout_seconds
             if connection.reading:
-                allowed = limits.header_seconds + limits.idle_seconds
+                allowed = (
+                    limits.header_timeout_seconds + limits.idle_timeout_seconds
+                )
             if now - connection.changed_seconds > allowed:
                 connection.close_idle()
 
@@ -385,7 +387,7 @@
     if route.kind is not RouteKind.STREAMING or not route.resumable:
         return math.inf
     if not started:
-        return SILENT_START_SECONDS + route.first_answer_seconds
+        return SILENT_START_SECONDS + route.first_event_objective_seconds
     return max(
         MIN_SILENT_GAP_SECONDS, SILENT_GAP_FACTOR * route.event_gap_seconds
     )
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -75,7 +75,7 @@
         """
         changed = settings.changed_from(self.settings)
         self.settings = settings
-        self.freshness.bound(settings.revoke_seconds)
+        self.freshness.set_bound(settings.revoke_seconds)
         self._budgets.clear()
         return changed
 
--- a/src/sardinetrack/relay/followers.py
+++ b/src/sardinetrack/relay/followers.py
@@ -10,7 +10,7 @@
 from sardinetrack.relay.fleet import EntryState
 from sardinetrack.store.api import Listing, StoredObject
 from sardinetrack.topology.configuration import Configuration
-from sardinetrack.topology.feed import Follower
+from sardinetrack.topology.feed import FeedListener
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.servers import BackendServer
 
@@ -38,7 +38,7 @@
         """
 
 
-class ConfigurationFollower(Follower):
+class ConfigurationFollower(FeedListener):
     """Activates each newer configuration, and never an older one."""
 
     def __init__(self, state: EntryState, decoder: Decoder) -> None:
@@ -93,7 +93,7 @@
         """Let the age of the view grow."""
 
 
-class EvacuationsFollower(Follower):
+class EvacuationsFollower(FeedListener):
     """Tracks the failure domains that get no new requests.
 
     Only the names of the objects count: an object with unreadable content
@@ -124,7 +124,7 @@
         """Do nothing: evacuations stay until the store reports a change."""
 
 
-class ServersFollower(Follower):
+class ServersFollower(FeedListener):
     """Maintains the list of servers."""
 
     def __init__(self, state: EntryState, decoder: Decoder) -> None:
@@ -149,7 +149,7 @@
         servers = self._state.servers
         servers.replace(boot_clock(), found)
         for unreadable in refused:
-            servers.refuse(_name(unreadable), unreadable.version)
+            servers.drop_unreadable(_name(unreadable), unreadable.version)
         self._keep_refused({one.key for one in refused})
         self._state.apply_server_changes()
 
@@ -175,7 +175,7 @@
             # A readable record was replaced by an unreadable one: the server
             # gets no new requests, and the requests that it runs are not
             # interrupted.
-            self._state.servers.refuse(_name(stored), stored.version)
+            self._state.servers.drop_unreadable(_name(stored), stored.version)
             return
         self._refused.pop(stored.key, None)
         known = self._state.servers.instances.get(server.instance)
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/placing.py
@@ -163,7 +163,9 @@
 
         :param candidates: the order of servers, the best one first.
         """
-        max_wait_seconds = MAX_WAIT_FRACTION * plan.route.first_answer_seconds
+        max_wait_seconds = (
+            MAX_WAIT_FRACTION * plan.route.first_event_objective_seconds
+        )
         deadline_seconds = self._loop.time() + max_wait_seconds
         refusals: list[PermitRefusedError] = []
         rank = partial(self._candidates, plan)
@@ -265,7 +267,7 @@
         first_arrival_seconds = (
             self._call.arrived_seconds - self._since_refusal_seconds
         )
-        return first_arrival_seconds + plan.route.first_answer_seconds
+        return first_arrival_seconds + plan.route.first_event_objective_seconds
 
     def _refusal_error(
         self, refusals: Sequence[PermitRefusedError]
--- a/src/sardinetrack/relay/request_plan.py
+++ b/src/sardinetrack/relay/request_plan.py
@@ -99,7 +99,7 @@
 ) -> Workspace | None:
     if route.anonymous or not configuration.workspaces:
         return None
-    if not state.freshness.holds():
+    if not state.freshness.is_fresh():
         raise AnsweredError(
             ErrorKind.NOT_RUN_PLATFORM_DOWN,
             'the configuration can not be confirmed',
--- a/src/sardinetrack/topology/cold.py
+++ b/src/sardinetrack/topology/cold.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cold:
+class ColdPeriod:
     """How long a server is cold, and what it handles during that time."""
 
     until_seconds: float = -math.inf
@@ -34,10 +34,10 @@
     per_second: float = 0
 
     @property
-    def cold(self) -> Cold:
+    def period(self) -> ColdPeriod:
         """The later of both."""
         until = max(self.reported_until_seconds, self.assumed_until_seconds)
-        return Cold(until, self.per_second)
+        return ColdPeriod(until, self.per_second)
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
         self._reported: dict[str, _Reported] = {}
         self._assumed: dict[str, float] = {}
 
-    def hear(self, now: float, server: BackendServer) -> None:
+    def update_server(self, now: float, server: BackendServer) -> None:
         """Apply a server's record, new or read before."""
         known = self._reported.get(server.instance)
         record = (server.revision, server.cold_seconds)
@@ -77,12 +77,14 @@
             until_seconds = min(now, before)
         self._reported[server.instance] = _Reported(*record, until_seconds)
 
-    def presume(self, now: float, instance: str, seconds: float) -> None:
+    def assume_cold_for(
+        self, now: float, instance: str, seconds: float
+    ) -> None:
         """Assume that a server is cold, whatever it reports."""
         known = self._assumed.get(instance, -math.inf)
         self._assumed[instance] = max(known, now + seconds)
 
-    def word(self, instance: str, per_second: float) -> ColdWord:
+    def estimate_for(self, instance: str, per_second: float) -> ColdWord:
         """Return what is known of a server's cold start.
 
         :param per_second: requests a second that a cold server of its pool
--- a/src/sardinetrack/topology/configuration.py
+++ b/src/sardinetrack/topology/configuration.py
@@ -35,7 +35,7 @@
     max_servers: int
     """Backend servers that one request may be sent to."""
     timeout_seconds: float
-    first_answer_seconds: float
+    first_event_objective_seconds: float
     """Objective: to the complete response, or a stream's first event."""
     event_gap_seconds: float
     """Objective: longest time between two events; 0 if none is set."""
@@ -92,8 +92,8 @@
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
-    header_seconds: float = 3.0
-    idle_seconds: float = 15.0
+    header_timeout_seconds: float = 3.0
+    idle_timeout_seconds: float = 15.0
     tokens_per_second: float = 0
 
 
--- a/src/sardinetrack/topology/feed.py
+++ b/src/sardinetrack/topology/feed.py
@@ -21,7 +21,7 @@
 The view is two waits old at most: 3.2 s, and requests with an API key are
 served up to an age of 4.3 s. Changes arrive immediately in any case.
 """
-CALM_SECONDS: Final = 8.0
+CHANGE_WATCH_SECONDS: Final = 8.0
 """How long a watch call waits that only delivers changes.
 
 A silent connection is detected by its keep-alive probes, not by the wait.
@@ -37,7 +37,7 @@
 _BACKOFF_FACTOR: Final = 2.0
 
 
-class Follower(ABC):
+class FeedListener(ABC):
     """Receives what a feed reads."""
 
     @abstractmethod
@@ -64,7 +64,7 @@
         self,
         access: StoreWay,
         prefix: str,
-        follower: Follower,
+        follower: FeedListener,
         log: EventLog,
         wait_seconds: float,
     ) -> None:
--- a/src/sardinetrack/topology/freshness.py
+++ b/src/sardinetrack/topology/freshness.py
@@ -34,9 +34,9 @@
             the last request that may run with the key; ``None`` for no bound.
         """
         self._confirmed_seconds = -math.inf
-        self.bound(revoke_seconds)
+        self.set_bound(revoke_seconds)
 
-    def bound(self, revoke_seconds: float | None) -> None:
+    def set_bound(self, revoke_seconds: float | None) -> None:
         """Change the bound; the view keeps its age."""
         self._bound_seconds = math.inf
         if revoke_seconds is not None:
@@ -53,6 +53,6 @@
         """Return the age of the confirmed view."""
         return boot_clock() - self._confirmed_seconds
 
-    def holds(self) -> bool:
+    def is_fresh(self) -> bool:
         """Whether the view is fresh enough to accept API keys by it."""
         return self.age_seconds() < self._bound_seconds
--- a/src/sardinetrack/topology/servers.py
+++ b/src/sardinetrack/topology/servers.py
@@ -125,7 +125,7 @@
         self._rebuild_pools()
         return True
 
-    def refuse(self, instance: str, revision: int) -> None:
+    def drop_unreadable(self, instance: str, revision: int) -> None:
         """Remove a server whose new record is invalid.
 
         It gets no grace period, unlike a server whose record expired in an
--- a/src/sardinetrack/turns/desk.py
+++ b/src/sardinetrack/turns/desk.py
@@ -8,7 +8,7 @@
 
 from sardinetrack.admission.ask import Ask, Granted, Verdict
 from sardinetrack.admission.reading import ReadingAdmission
-from sardinetrack.topology.cold import Cold
+from sardinetrack.topology.cold import ColdPeriod
 from sardinetrack.turns.clock import loop_now
 
 
@@ -39,7 +39,7 @@
         """Release all permits, after a restart of the server."""
         self._deliver_all(self.admission.restart(loop_now()))
 
-    def cool(self, cold: Cold) -> None:
+    def cool(self, cold: ColdPeriod) -> None:
         """Set how long the server's cold start lasts."""
         self._deliver_all(self.admission.cool(loop_now(), cold))
 
--- a/src/sardinetrack/turns/engine_start.py
+++ b/src/sardinetrack/turns/engine_start.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 from typing import Final
 
-from sardinetrack.topology.cold import Cold, ColdWord
+from sardinetrack.topology.cold import ColdPeriod, ColdWord
 from sardinetrack.topology.starts import UNKNOWN_START_HASH, ServerStart
 from sardinetrack.turns.messages import (
     ServerStarted,
@@ -49,9 +49,9 @@
         )
 
     @property
-    def cold(self) -> Cold:
+    def cold(self) -> ColdPeriod:
         """How long the engine's cold start lasts."""
-        return self._estimate.cold
+        return self._estimate.period
 
     def message(self, now: float) -> ServerStarted:
         """Encode the current start for an entry.
--- a/src/sardinetrack/views/borrowed.py
+++ b/src/sardinetrack/views/borrowed.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from sardinetrack.store.api import Listing, StoredObject
-from sardinetrack.topology.feed import Follower
+from sardinetrack.topology.feed import FeedListener
 from sardinetrack.views.messages import (
     ViewConfirmed,
     ViewObjects,
@@ -14,7 +14,7 @@
 )
 
 
-class BorrowedView(Follower):
+class BorrowedView(FeedListener):
     """Uses the direct feed until a neighbour's view is at least as new.
 
     A neighbour may itself be disconnected from the store, and its view older
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        listener: Follower,
+        listener: FeedListener,
         clock: Callable[[], float],
     ) -> None:
         """Start without objects.
--- a/src/sardinetrack/views/watcher.py
+++ b/src/sardinetrack/views/watcher.py
@@ -12,8 +12,7 @@
 
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.store.api import Listing, StoredObject
-from sardinetrack.topology.feed import Feed
-from sardinetrack.topology.feed import Follower as FeedFollower
+from sardinetrack.topology.feed import Feed, FeedListener
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.views.api import ViewSubscriber
 from sardinetrack.views.messages import (
@@ -180,7 +179,7 @@
             self._log.write(Event.FAULT, cause=repr(task.exception()))
 
 
-class Mirror(FeedFollower):
+class Mirror(FeedListener):
     """Copy of one kind of objects of the store, sent to the subscribers."""
 
     def __init__(self, prefix: str, watcher: Watcher) -> None:
--- a/tests/admission/steps/warming_steps.py
+++ b/tests/admission/steps/warming_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from engine import Engine
 
-from sardinetrack.topology.cold import Cold
+from sardinetrack.topology.cold import ColdPeriod
 
 _COLD_SECONDS = 3
 _STEP_SECONDS = 0.005
@@ -51,7 +51,7 @@
 )
 def open_cold(context, slots, seconds, rate):
     context.engine = LoadedEngine(slots)
-    decisions = context.engine.admission.cool(0, Cold(seconds, rate))
+    decisions = context.engine.admission.cool(0, ColdPeriod(seconds, rate))
     assert not decisions
 
 
--- a/tests/platform/steps/settings_steps.py
+++ b/tests/platform/steps/settings_steps.py
@@ -51,7 +51,7 @@
 )
 def revocation_changed(context, seconds):
     context.state.freshness.confirm(boot_clock() - seconds)
-    assert not context.state.freshness.holds()
+    assert not context.state.freshness.is_fresh()
     assert context.line['event'] == 'reloaded'
     assert context.line['changed'] == ['revoke_seconds']
 
--- a/tests/platform/steps/translation_steps.py
+++ b/tests/platform/steps/translation_steps.py
@@ -112,14 +112,17 @@
     decoded = configuration_of(json.dumps(context.document).encode())
     route = decoded.routes['ficu95.example'][1]
     assert route.kind is RouteKind.STREAMING
-    assert (route.timeout_seconds, route.first_answer_seconds) == (15, 1)
+    assert (route.timeout_seconds, route.first_event_objective_seconds) == (
+        15,
+        1,
+    )
     assert [one.weight for one in route.pools] == [90, 10]
     assert route.repeatable
     assert decoded.pools['models'].runs_models
     assert decoded.pools['models'].memory_tokens == 582039
     assert not decoded.pools['plain'].runs_models
     assert decoded.workspaces['k2'].name == 'hule'
-    assert decoded.limits.idle_seconds == 15
+    assert decoded.limits.idle_timeout_seconds == 15
 
 
 @then('a path under two prefixes matches the longer one')
--- a/tests/relay/steps/evacuation_steps.py
+++ b/tests/relay/steps/evacuation_steps.py
@@ -214,7 +214,7 @@
     estimate = state.server_states.cold_starts.estimate(
         server, state.configuration.pools['models']
     )
-    return estimate.cold.left_seconds(boot_clock())
+    return estimate.period.left_seconds(boot_clock())
 
 
 @then('the second server is assumed to be cold for {seconds:g} seconds')
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -58,7 +58,7 @@
             pools=(WeightedPool(_pool_of(spec.kind), 1),),
             max_servers=spec.servers,
             timeout_seconds=timeout_seconds,
-            first_answer_seconds=1,
+            first_event_objective_seconds=1,
             event_gap_seconds=0.2,
             priority=1,
             anonymous=spec.kind is not RouteKind.STREAMING,
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -12,10 +12,10 @@
 from sardinetrack.logs.events import EventLog
 from sardinetrack.store.api import Listing, NoAnswerError, StoredObject
 from sardinetrack.topology.feed import (
-    CALM_SECONDS,
+    CHANGE_WATCH_SECONDS,
     CONFIRM_SECONDS,
     Feed,
-    Follower,
+    FeedListener,
 )
 from sardinetrack.topology.outage import StoreWay
 from sardinetrack.views.api import Neighbour, Neighbours, ViewSubscriber
@@ -38,7 +38,10 @@
     (CONFIG, CONFIGURATION_WATCH_SECONDS),
     (SERVERS, OBJECT_WATCH_SECONDS),
 )
-_DIRECT_WATCH_SECONDS = ((CONFIG, CONFIRM_SECONDS), (SERVERS, CALM_SECONDS))
+_DIRECT_WATCH_SECONDS = (
+    (CONFIG, CONFIRM_SECONDS),
+    (SERVERS, CHANGE_WATCH_SECONDS),
+)
 
 
 class SimulatedStore:
@@ -112,7 +115,7 @@
             raise NoAnswerError('away')
 
 
-class Taker(Follower):
+class Taker(FeedListener):
     """The objects of one kind that an entry has received, and when.
 
     ``known`` has the version of each object and the time of its arrival.
--- a/tests/topology/steps/cold_steps.py
+++ b/tests/topology/steps/cold_steps.py
@@ -27,7 +27,7 @@
 
 
 def _cold(context):
-    return context.cold.word('i-1', _PER_SECOND).cold
+    return context.cold.estimate_for('i-1', _PER_SECOND).period
 
 
 @given(
@@ -44,17 +44,17 @@
 def report(context, now, seconds):
     context.revision += 1
     context.record = _server(context.revision, seconds)
-    context.cold.hear(now, context.record)
+    context.cold.update_server(now, context.record)
 
 
 @when('the same record is read again at {now:g} seconds')
 def read_again(context, now):
-    context.cold.hear(now, context.record)
+    context.cold.update_server(now, context.record)
 
 
 @when('it is assumed cold at {now:g} seconds for {seconds:g} seconds')
 def assume_cold(context, now, seconds):
-    context.cold.presume(now, 'i-1', seconds)
+    context.cold.assume_cold_for(now, 'i-1', seconds)
 
 
 @when('it is no longer listed')
--- a/tests/topology/steps/feed_steps.py
+++ b/tests/topology/steps/feed_steps.py
@@ -15,13 +15,13 @@
     StoredObject,
     WatchLostError,
 )
-from sardinetrack.topology.feed import Feed, Follower
+from sardinetrack.topology.feed import Feed, FeedListener
 from sardinetrack.topology.outage import StoreWay
 
 _PREFIX = 'things/'
 
 
-class _Listener(Follower):
+class _Listener(FeedListener):
     def __init__(self, store):
         self.store = store
         self.names = set()
--- a/tests/topology/steps/topology_steps.py
+++ b/tests/topology/steps/topology_steps.py
@@ -61,7 +61,7 @@
 )
 def invalidate_first(context):
     context.servers.outage(context.now)
-    context.servers.refuse('i-0', 30)
+    context.servers.drop_unreadable('i-0', 30)
 
 
 @when(
@@ -69,7 +69,7 @@
     'at revision {revision:d}',
 )
 def invalidate_late(context, revision):
-    context.servers.refuse('i-0', revision)
+    context.servers.drop_unreadable('i-0', revision)
 
 
 @given('{count:d} listed servers')
@@ -171,12 +171,12 @@
 
 @then('keys are accepted')
 def accepted(context):
-    assert context.freshness.holds()
+    assert context.freshness.is_fresh()
 
 
 @then('keys are not accepted')
 def not_accepted(context):
-    assert not context.freshness.holds()
+    assert not context.freshness.is_fresh()
 
 
 @when('a later server is listed at the first address')
