--- a/src/sardinetrack/compose/view.py
+++ b/src/sardinetrack/compose/view.py
@@ -15,7 +15,7 @@
 )
 from sardinetrack.platform.servers import SERVERS_PREFIX, server_of
 from sardinetrack.platform.store import PlatformStore
-from sardinetrack.relay.fleet import Fleet
+from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.followers import (
     ConfigurationFollower,
     Decoder,
@@ -26,25 +26,29 @@
 from sardinetrack.relay.settings import NodeSettings
 from sardinetrack.store.api import StoredObject
 from sardinetrack.topology.configuration import Configuration
-from sardinetrack.topology.feed import CALM_SECONDS, CONFIRM_SECONDS, Feed
+from sardinetrack.topology.feed import (
+    CHANGE_WATCH_SECONDS,
+    CONFIRM_SECONDS,
+    Feed,
+)
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.outage import StoreWay
 from sardinetrack.topology.servers import BackendServer
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.source import OwnFeeds, ViewSource
 from sardinetrack.views.watcher import (
-    SLOW_WATCH_SECONDS,
-    WATCH_SECONDS,
-    Feeds,
+    CONFIGURATION_WATCH_SECONDS,
+    OBJECT_WATCH_SECONDS,
+    FeedFactory,
     Mirror,
     Watcher,
 )
 
 _SIDE_WATCH_SECONDS: Final = MappingProxyType(
     {
-        CONFIGURATION_PREFIX: WATCH_SECONDS,
-        SERVERS_PREFIX: SLOW_WATCH_SECONDS,
-        EVACUATIONS_PREFIX: SLOW_WATCH_SECONDS,
+        CONFIGURATION_PREFIX: CONFIGURATION_WATCH_SECONDS,
+        SERVERS_PREFIX: OBJECT_WATCH_SECONDS,
+        EVACUATIONS_PREFIX: OBJECT_WATCH_SECONDS,
     },
 )
 """How long each watch call of a side waits, by the prefix of the objects."""
@@ -74,14 +78,14 @@
         return server_of(instance, stored.value, stored.version)
 
 
-class StoreFeedFactory(Feeds):
+class StoreFeedFactory(FeedFactory):
     """Creates feeds of the platform's store."""
 
     def __init__(self, store: PlatformStore, log: EventLog) -> None:
         self._store = store
         self._log = log
 
-    def open(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
+    def create_feeds(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
         """Create a feed for each mirror."""
         access = StoreWay(self._store)
         return [
@@ -90,7 +94,7 @@
         ]
 
 
-def entry_view(state: Fleet, store: PlatformStore) -> ViewSource:
+def entry_view(state: EntryState, store: PlatformStore) -> ViewSource:
     """Build an entry's view of the store."""
     decoder = PlatformDecoder()
     listeners = {
@@ -129,4 +133,4 @@
 def _direct_watch_seconds(prefix: str) -> float:
     if prefix == CONFIGURATION_PREFIX:
         return CONFIRM_SECONDS
-    return CALM_SECONDS
+    return CHANGE_WATCH_SECONDS
