--- a/benchmarks/chaos/processes/faults.py
+++ b/benchmarks/chaos/processes/faults.py
@@ -19,7 +19,7 @@
     World,
 )
 from benchmarks.chaos.submission import MODEL
-from sardinetrack.standin.relay import Relay
+from sardinetrack.standin.relay import TcpProxy
 
 Fault = Callable[[World, float], Awaitable[None]]
 
@@ -106,7 +106,7 @@
         await world.blocking(world.put_server_faults, server, {})
 
 
-def _proxies(world: World) -> list[Relay]:
+def _proxies(world: World) -> list[TcpProxy]:
     return [
         *world.side_proxies.values(),
         *world.server_proxies.values(),
--- a/benchmarks/chaos/processes/world.py
+++ b/benchmarks/chaos/processes/world.py
@@ -14,7 +14,7 @@
 import httpcore
 
 from benchmarks.chaos.submission import MODEL, SERVICE, WORKSPACES, token_of
-from sardinetrack.standin.relay import Relay, relaying
+from sardinetrack.standin.relay import TcpProxy, relaying
 from support.fleet import PLATFORM_TOKEN, Fleet, eventually
 from support.process import Process
 
@@ -81,9 +81,9 @@
         """
         self.random = Random(seed)
         self.fleet = fleet
-        self.side_proxies: dict[str, Relay] = {}
-        self.server_proxies: dict[str, Relay] = {}
-        self.platform_proxies: dict[str, Relay] = {}
+        self.side_proxies: dict[str, TcpProxy] = {}
+        self.server_proxies: dict[str, TcpProxy] = {}
+        self.platform_proxies: dict[str, TcpProxy] = {}
         self.server_urls: dict[str, str] = {}
         self.killed: set[int] = set()
         """Process ids of the processes that were killed."""
@@ -223,6 +223,6 @@
         await self.blocking(listing)
 
 
-async def _open_proxy(stack: AsyncExitStack, url: str) -> Relay:
+async def _open_proxy(stack: AsyncExitStack, url: str) -> TcpProxy:
     port = int(url.rpartition(':')[2])
     return await stack.enter_async_context(relaying(_IP, port))
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -16,7 +16,7 @@
 from tests.support.object_store import ObjectStore
 
 from benchmarks.soak.engine import SoakServer
-from sardinetrack.standin.relay import Relay, relaying
+from sardinetrack.standin.relay import TcpProxy, relaying
 
 ROOT = Path(__file__).parents[2]
 START = ROOT / 'deploy' / 'start.py'
@@ -112,7 +112,7 @@
         """
         self._net = net
         self._store_ip = f'127.{net}.0.1'
-        self.store_proxies: list[Relay] = []
+        self.store_proxies: list[TcpProxy] = []
         """The proxies to the store, one for each process."""
         self.revoked: list[tuple[float, float, str]] = []
         """Start and end of the times in which a workspace's requests must not
--- a/src/sardinetrack/standin/relay.py
+++ b/src/sardinetrack/standin/relay.py
@@ -59,7 +59,7 @@
             _log.debug('caller had already disconnected: %s', error)
 
 
-class Relay:
+class TcpProxy:
     """Forwards TCP connections to a target; ``relaying`` runs it."""
 
     def __init__(self, target_ip: str, target_port: int) -> None:
@@ -99,18 +99,18 @@
         """Forward the withheld bytes and all later ones."""
         self._unfrozen.set()
 
-    def strand(self) -> None:
+    def reset_caller_connections(self) -> None:
         """Close all connections at their callers' end only.
 
         The bytes that the callers have sent are withheld, like packets that
-        a network delays, and arrive after ``deliver``. The target doesn't
-        see that the caller disconnected.
+        a network delays, and arrive after ``release_withheld_bytes``. The
+        target doesn't see that the caller disconnected.
         """
         for connection in self._connections:
             connection.reset_caller()
 
-    def deliver(self) -> None:
-        """Forward the withheld bytes of connections closed by ``strand``."""
+    def release_withheld_bytes(self) -> None:
+        """Forward the bytes withheld by ``reset_caller_connections``."""
         for connection in self._connections:
             connection.released.set()
 
@@ -272,7 +272,7 @@
     *,
     ip: str = '127.0.0.1',
     port: int = 0,
-) -> AsyncIterator[Relay]:
+) -> AsyncIterator[TcpProxy]:
     """Run a proxy while the context lasts.
 
     :param target_ip: IP address of the target.
@@ -281,7 +281,7 @@
     :param port: 0 lets the system choose.
     :return: the open proxy.
     """
-    relay = Relay(target_ip, target_port)
+    relay = TcpProxy(target_ip, target_port)
     async with anyio.create_task_group() as tasks:
         await tasks.start(relay.serve, ip, port)
         try:
--- a/tests/standin/steps/relay_steps.py
+++ b/tests/standin/steps/relay_steps.py
@@ -105,7 +105,7 @@
 
 @when("the proxy closes its callers' connections and withholds their bytes")
 def strand(context: Any) -> None:
-    context.portal.call(context.relay.strand)
+    context.portal.call(context.relay.reset_caller_connections)
     context.portal.call(context.relay.thaw)
 
 
@@ -127,4 +127,4 @@
 
 @when('the proxy forwards the withheld bytes')
 def deliver(context: Any) -> None:
-    context.portal.call(context.relay.deliver)
+    context.portal.call(context.relay.release_withheld_bytes)
--- a/tests/support/wires.py
+++ b/tests/support/wires.py
@@ -8,13 +8,13 @@
 
 from anyio.from_thread import BlockingPortal, start_blocking_portal
 
-from sardinetrack.standin.relay import Direction, Relay, relaying
+from sardinetrack.standin.relay import Direction, TcpProxy, relaying
 
 
 class Proxy:
     """One proxy; every method returns when it has taken effect."""
 
-    def __init__(self, portal: BlockingPortal, proxy: Relay) -> None:
+    def __init__(self, portal: BlockingPortal, proxy: TcpProxy) -> None:
         """Control an open proxy.
 
         :param portal: runs calls in the proxy's event loop.
@@ -45,12 +45,12 @@
         What the callers sent before stays withheld until ``release_withheld``;
         new connections work.
         """
-        self._portal.call(self._proxy.strand)
+        self._portal.call(self._proxy.reset_caller_connections)
         self._portal.call(self._proxy.thaw)
 
     def release_withheld(self) -> None:
         """Forward what the closed connections had sent."""
-        self._portal.call(self._proxy.deliver)
+        self._portal.call(self._proxy.release_withheld_bytes)
 
     def drop(self, direction: Direction) -> None:
         """Drop all bytes in one direction; connections stay open."""
