--- a/src/sardinetrack/cli/experiment.py
+++ b/src/sardinetrack/cli/experiment.py
@@ -9,14 +9,14 @@
 from sardinetrack.cli.api import Command
 from sardinetrack.cli.exit_codes import ExitCode
 from sardinetrack.cli.table import format_table
-from sardinetrack.emulator.experiment import Row, compare
-from sardinetrack.emulator.load import Shape
+from sardinetrack.emulator.experiment import ExperimentResult, compare_policies
+from sardinetrack.emulator.load import LoadProfile
 from sardinetrack.emulator.orders import ORDERS
 
 _DEFAULT_RATES: Final = (24.0, 60.0)
 _DEFAULT_SECONDS: Final = 40.0
 _DEFAULT_SEEDS: Final = 2
-_DEFAULT_SHAPE: Final = Shape()
+_DEFAULT_SHAPE: Final = LoadProfile()
 _FRACTIONS: Final = (
     'in_time',
     'late',
@@ -85,8 +85,8 @@
 
     def run(self, options: Namespace) -> int:
         """Print a row for each placement policy and rate."""
-        rows = compare(
-            Shape(engines=options.engines, jump=options.jump),
+        rows = compare_policies(
+            LoadProfile(engines=options.engines, rate_step=options.jump),
             ORDERS,
             options.rate or _DEFAULT_RATES,
             range(1, options.seeds + 1),
@@ -97,13 +97,15 @@
         return ExitCode.DONE
 
 
-def _cells(row: Row) -> list[str]:
-    thousands = row.again_tokens // _THOUSAND
-    cells = [row.order, format(row.per_second, 'g')]
-    cells.extend(format(row.part(name), '.3f') for name in _FRACTIONS)
+def _cells(row: ExperimentResult) -> list[str]:
+    thousands = row.recomputed_prefix_tokens // _THOUSAND
+    cells = [row.policy, format(row.requests_per_second, 'g')]
+    cells.extend(
+        format(row.outcome_fraction(name), '.3f') for name in _FRACTIONS
+    )
     cells.append(str(thousands))
     cells.append(f'{row.worst_workspace:.3f}')
-    cells.append(f'{row.busiest_part:.2f}')
+    cells.append(f'{row.busiest_engine_ratio:.2f}')
     return cells
 
 
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -11,7 +11,7 @@
 from sardinetrack.admission.ask import Ask, Granted, Verdict
 from sardinetrack.emulator.api import Outcome, PlacementPolicy
 from sardinetrack.emulator.engine import Engine
-from sardinetrack.emulator.load import Request, Shape
+from sardinetrack.emulator.load import LoadProfile, Request
 from sardinetrack.fairness.recent import RecentService
 from sardinetrack.placement.choice import Candidate, by_prompt, with_room
 from sardinetrack.placement.holdings import Holdings
@@ -27,10 +27,10 @@
 Action = Callable[[float], None]
 
 
-class Crowd:
+class Simulation:
     """Simulates engines, one entry that places requests, and callers."""
 
-    def __init__(self, shape: Shape, policy: PlacementPolicy) -> None:
+    def __init__(self, shape: LoadProfile, policy: PlacementPolicy) -> None:
         """Build a simulation with idle engines.
 
         :param shape: deployment and load.
@@ -53,7 +53,7 @@
             for name in self._engines
         }
 
-    def play(self, requests: Iterable[Request], seconds: float) -> Outcome:
+    def run_load(self, requests: Iterable[Request], seconds: float) -> Outcome:
         """Run until every request has ended.
 
         :param requests: the load, in order of arrival.
@@ -224,6 +224,6 @@
         self.retry_after_seconds: float | None = None
         self._started_seconds = started_seconds
 
-    def remaining_wait_seconds(self, shape: Shape, now: float) -> float:
+    def remaining_wait_seconds(self, shape: LoadProfile, now: float) -> float:
         """Return how long it may still wait."""
         return max(0, shape.max_wait_seconds - (now - self._started_seconds))
--- a/src/sardinetrack/emulator/engine.py
+++ b/src/sardinetrack/emulator/engine.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from sardinetrack.admission.reading import ReadingAdmission
-from sardinetrack.emulator.load import Request, Shape
+from sardinetrack.emulator.load import LoadProfile, Request
 from sardinetrack.placement.home import shared_part
 from sardinetrack.topology.servers import BackendServer
 
@@ -16,7 +16,7 @@
 class Engine:
     """One engine with the admission of its side."""
 
-    def __init__(self, number: int, shape: Shape) -> None:
+    def __init__(self, number: int, shape: LoadProfile) -> None:
         """Build an idle engine with an empty prefix cache.
 
         :param number: becomes part of its name and address.
--- a/src/sardinetrack/emulator/experiment.py
+++ b/src/sardinetrack/emulator/experiment.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass
 
 from sardinetrack.emulator.api import Outcome, PlacementPolicy
-from sardinetrack.emulator.crowd import Crowd
-from sardinetrack.emulator.load import Shape, draw
+from sardinetrack.emulator.crowd import Simulation
+from sardinetrack.emulator.load import LoadProfile, draw_requests
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class ExperimentResult:
     """The outcomes of one policy at one rate, over all seeds."""
 
-    order: str
-    per_second: float
+    policy: str
+    requests_per_second: float
     outcomes: tuple[Outcome, ...]
 
-    def part(self, name: str) -> float:
+    def outcome_fraction(self, name: str) -> float:
         """Return a count of the outcomes as a fraction of all requests.
 
         :param name: a field of ``Outcome``.
@@ -27,7 +27,7 @@
         return float(counted / max(1, sum(one.asked for one in self.outcomes)))
 
     @property
-    def again_tokens(self) -> int:
+    def recomputed_prefix_tokens(self) -> int:
         """Tokens of shared prefixes computed, over all seeds."""
         return sum(one.again_tokens for one in self.outcomes)
 
@@ -37,18 +37,18 @@
         return min(one.worst_workspace for one in self.outcomes)
 
     @property
-    def busiest_part(self) -> float:
+    def busiest_engine_ratio(self) -> float:
         """Highest ratio of the busiest engine to the mean, over all seeds."""
         return max(one.busiest_part for one in self.outcomes)
 
 
-def compare(
-    shape: Shape,
+def compare_policies(
+    shape: LoadProfile,
     policies: Sequence[type[PlacementPolicy]],
     rates: Sequence[float],
     seeds: Sequence[int],
     seconds: float,
-) -> Iterator[Row]:
+) -> Iterator[ExperimentResult]:
     """Simulate each rate and seed under each policy.
 
     :param shape: deployment and load.
@@ -60,10 +60,10 @@
     for per_second in rates:
         for policy in policies:
             outcomes = tuple(
-                Crowd(shape, policy()).play(
-                    draw(shape, per_second, seconds, seed),
+                Simulation(shape, policy()).run_load(
+                    draw_requests(shape, per_second, seconds, seed),
                     seconds,
                 )
                 for seed in seeds
             )
-            yield Row(policy.name, per_second, outcomes)
+            yield ExperimentResult(policy.name, per_second, outcomes)
--- a/src/sardinetrack/emulator/load.py
+++ b/src/sardinetrack/emulator/load.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class LoadProfile:
     """A deployment and its load; the defaults are of the users' ice-llm.
 
     Nine engines prefill 57 prompt tokens a millisecond, a third of which is
@@ -46,12 +46,12 @@
     deadline_seconds: float = 15
     workspaces: tuple[str, ...] = ('flood', 'flood', 'flood', 'a', 'b', 'c')
     """The sender of each request is drawn from these."""
-    jump: float = 1
+    rate_step: float = 1
     """Factor on the rate in the middle third of the time."""
 
 
 @dataclass(frozen=True, slots=True)
-class FewSlots(Shape):
+class FewSlots(LoadProfile):
     """Engines whose slots are exhausted before their prefill capacity.
 
     59 engines of 12 slots, as the users' largest ice-llm. The requests' own
@@ -87,8 +87,8 @@
         return self.prompt.parts[-1].tokens
 
 
-def draw(
-    shape: Shape,
+def draw_requests(
+    shape: LoadProfile,
     per_second: float,
     seconds: float,
     seed: int,
@@ -112,17 +112,17 @@
 
 
 def _rate(
-    shape: Shape,
+    shape: LoadProfile,
     per_second: float,
     moment: float,
     seconds: float,
 ) -> float:
     in_step = seconds <= 3 * moment <= 2 * seconds
-    return per_second * shape.jump if in_step else per_second
+    return per_second * shape.rate_step if in_step else per_second
 
 
 def _request(
-    shape: Shape,
+    shape: LoadProfile,
     rng: Random,
     name: str,
     moment: float,
--- a/tests/emulator/steps/crowd_steps.py
+++ b/tests/emulator/steps/crowd_steps.py
@@ -9,8 +9,8 @@
 
 from behave import then, when
 
-from sardinetrack.emulator.crowd import Crowd
-from sardinetrack.emulator.load import Shape, draw
+from sardinetrack.emulator.crowd import Simulation
+from sardinetrack.emulator.load import LoadProfile, draw_requests
 from sardinetrack.emulator.orders import HomeOrder
 from sardinetrack.run import main
 
@@ -18,9 +18,9 @@
 
 
 def _simulate(rate, seed):
-    shape = Shape()
-    requests = draw(shape, rate, _SECONDS, seed)
-    return Crowd(shape, HomeOrder()).play(requests, _SECONDS)
+    shape = LoadProfile()
+    requests = draw_requests(shape, rate, _SECONDS, seed)
+    return Simulation(shape, HomeOrder()).run_load(requests, _SECONDS)
 
 
 @when(
@@ -56,10 +56,10 @@
 )
 def draw_step(context, rate, step, seed):
     seconds = 60
-    shape = Shape(jump=step)
+    shape = LoadProfile(rate_step=step)
     context.thirds = Counter(
         int(one.arrived_seconds * 3 / seconds)
-        for one in draw(shape, rate, seconds, seed)
+        for one in draw_requests(shape, rate, seconds, seed)
     )
 
 
--- a/tests/placement/steps/crowd_steps.py
+++ b/tests/placement/steps/crowd_steps.py
@@ -4,8 +4,8 @@
 
 from behave import then, when
 
-from sardinetrack.emulator.crowd import Crowd
-from sardinetrack.emulator.load import FewSlots, Shape, draw
+from sardinetrack.emulator.crowd import Simulation
+from sardinetrack.emulator.load import FewSlots, LoadProfile, draw_requests
 from sardinetrack.emulator.orders import ORDERS, HomeOrder
 
 _FEW_SLOTS_SECONDS = 10
@@ -17,11 +17,11 @@
     'with seed {seed:d}',
 )
 def run(context, rate, seconds, seed):
-    shape = Shape()
+    shape = LoadProfile()
     context.outcomes = {}
     for order in ORDERS:
-        requests = draw(shape, rate, seconds, seed)
-        outcome = Crowd(shape, order()).play(requests, seconds)
+        requests = draw_requests(shape, rate, seconds, seed)
+        outcome = Simulation(shape, order()).run_load(requests, seconds)
         context.outcomes[order.name] = outcome
 
 
@@ -36,9 +36,9 @@
 )
 def run_few_slots(context, rate, seed):
     shape = FewSlots()
-    requests = draw(shape, rate, _FEW_SLOTS_SECONDS, seed)
-    crowd = Crowd(shape, HomeOrder())
-    context.outcomes = {'home': crowd.play(requests, _FEW_SLOTS_SECONDS)}
+    requests = draw_requests(shape, rate, _FEW_SLOTS_SECONDS, seed)
+    crowd = Simulation(shape, HomeOrder())
+    context.outcomes = {'home': crowd.run_load(requests, _FEW_SLOTS_SECONDS)}
 
 
 @then('at most {maximum:d} percent are refused on arrival')
