--- a/benchmarks/policy/__main__.py
+++ b/benchmarks/policy/__main__.py
@@ -18,7 +18,7 @@
 from benchmarks.policy.faults import FAULTS
 from benchmarks.policy.nodes import Policy
 from benchmarks.policy.run import Figures, run_case
-from benchmarks.policy.shapes import SHAPES, Shape
+from benchmarks.policy.shapes import DEPLOYMENTS, Deployment
 
 POLICIES: Mapping[str, type[Policy]] = MappingProxyType(
     {
@@ -51,7 +51,7 @@
 class Job:
     """One run."""
 
-    shape: Shape
+    shape: Deployment
     case: str
     policy: str
     seed: int
@@ -101,9 +101,9 @@
     return f'| {text} |'
 
 
-def selected(options: argparse.Namespace) -> list[tuple[Shape, str, str]]:
+def selected(options: argparse.Namespace) -> list[tuple[Deployment, str, str]]:
     """Return the selected rows: shape, case and policy."""
-    shapes = [one for one in SHAPES if one.pool in options.pool]
+    shapes = [one for one in DEPLOYMENTS if one.pool in options.pool]
     naive_cases = () if options.fair else NAIVE_CASES
     return [
         (shape, case, policy)
@@ -117,7 +117,7 @@
     parser = argparse.ArgumentParser(prog='python -m benchmarks.policy')
     parser.add_argument('--seeds', type=int, default=20)
     parser.add_argument('--jobs', type=int, default=4)
-    pools = [shape.pool for shape in SHAPES]
+    pools = [shape.pool for shape in DEPLOYMENTS]
     parser.add_argument('--pool', nargs='+', choices=pools, default=pools)
     parser.add_argument('--case', nargs='+', choices=CASES, default=CASES)
     parser.add_argument('--fair', action='store_true', help='no naive runs')
--- a/benchmarks/policy/run.py
+++ b/benchmarks/policy/run.py
@@ -16,7 +16,7 @@
 from benchmarks.policy.shapes import (
     PILOT,
     Demand,
-    Shape,
+    Deployment,
     demand,
     draw_cost,
     flood,
@@ -50,7 +50,7 @@
 
 
 def run_case(
-    shape: Shape,
+    shape: Deployment,
     policy: Policy,
     case: str,
     seed: int,
@@ -82,7 +82,7 @@
 
 
 def _same_minute(
-    shape: Shape,
+    shape: Deployment,
     all_tenants: tuple,
     random: Random,
 ) -> list[Demand]:
--- a/benchmarks/policy/shapes.py
+++ b/benchmarks/policy/shapes.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class Deployment:
     """One pool of one deployment, and the load on it."""
 
     deployment: str
@@ -53,11 +53,11 @@
     'hall-jankomir',
     'hall-zitnjak',
 )
-SHAPES: Final = (
-    Shape('varna', 'ice-llm', 9, 8, VARNA, 6, 4.0),
-    Shape('varna', 'chart-api', 3, 4, VARNA, 6, 0.5),
-    Shape('zagreb', 'lm-pool', 5, 8, ZAGREB, 4, 4.0),
-    Shape('zagreb', 'catalogue-api', 4, 4, ZAGREB, 4, 0.5),
+DEPLOYMENTS: Final = (
+    Deployment('varna', 'ice-llm', 9, 8, VARNA, 6, 4.0),
+    Deployment('varna', 'chart-api', 3, 4, VARNA, 6, 0.5),
+    Deployment('zagreb', 'lm-pool', 5, 8, ZAGREB, 4, 4.0),
+    Deployment('zagreb', 'catalogue-api', 4, 4, ZAGREB, 4, 0.5),
 )
 
 
@@ -84,7 +84,7 @@
     hint: float
 
 
-def tenants(shape: Shape, random: Random) -> tuple[Tenant, ...]:
+def tenants(shape: Deployment, random: Random) -> tuple[Tenant, ...]:
     """Draw sixteen workspaces: three large, one pilot, the rest small."""
     loads = [0.6, 0.5, 0.4, 0.12, 0.12, 0.12, 0.1, 0.1, 0.1]
     loads += [0.04, 0.04, 0.04, 0.03, 0.03, 0.03]
@@ -103,7 +103,7 @@
     return (*drawn, Tenant(PILOT, 1.0, load, tuple(one_entry)))
 
 
-def _spread(shape: Shape, random: Random) -> tuple[float, ...]:
+def _spread(shape: Deployment, random: Random) -> tuple[float, ...]:
     weights = [(rank + 1) ** -_SPREAD_SKEW for rank in range(shape.entries)]
     random.shuffle(weights)
     total = sum(weights)
@@ -127,7 +127,7 @@
 
 
 def demand(
-    shape: Shape,
+    shape: Deployment,
     all_tenants: tuple[Tenant, ...],
     random: Random,
     until_seconds: float | None = None,
@@ -145,7 +145,7 @@
 
 
 def _draw(
-    shape: Shape,
+    shape: Deployment,
     tenant: Tenant,
     random: Random,
     at_seconds: float,
@@ -171,7 +171,7 @@
 
 def workspaces(
     all_tenants: tuple[Tenant, ...],
-    shape: Shape,
+    shape: Deployment,
 ) -> list[Workspace]:
     """Return the workspaces as catalogue objects."""
     return [
@@ -188,7 +188,7 @@
     ]
 
 
-def catalogue_pool(shape: Shape) -> Pool:
+def catalogue_pool(shape: Deployment) -> Pool:
     """Return the pool as a catalogue object."""
     return Pool(
         shape.pool,
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -20,7 +20,7 @@
 )
 from benchmarks.policy.shapes import (
     Demand,
-    Shape,
+    Deployment,
     Tenant,
     catalogue_pool,
     mean_cost,
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        shape: Shape,
+        shape: Deployment,
         tenants: tuple[Tenant, ...],
         policy: Policy,
         seed: int,
--- a/tests/fairness/steps/fleet_steps.py
+++ b/tests/fairness/steps/fleet_steps.py
@@ -7,7 +7,7 @@
 from behave import then
 from benchmarks.policy import faults
 from benchmarks.policy.fair import FairPolicy
-from benchmarks.policy.shapes import SHAPES, Demand, Tenant
+from benchmarks.policy.shapes import DEPLOYMENTS, Demand, Tenant
 from benchmarks.policy.world import World
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
@@ -20,7 +20,7 @@
 )
 
 SHAPE = replace(
-    SHAPES[1],
+    DEPLOYMENTS[1],
     servers=2,
     slots=2,
     entries=3,
--- a/tests/fairness/steps/shares_steps.py
+++ b/tests/fairness/steps/shares_steps.py
@@ -7,14 +7,14 @@
 from behave import then, when
 from benchmarks.policy.fair import FairPolicy
 from benchmarks.policy.run import run_case
-from benchmarks.policy.shapes import SHAPES
+from benchmarks.policy.shapes import DEPLOYMENTS
 from tests.naive import FirstComePolicy
 
 SEED = 100
 
 
 def run(policy):
-    shape = next(one for one in SHAPES if one.pool == 'chart-api')
+    shape = next(one for one in DEPLOYMENTS if one.pool == 'chart-api')
     return run_case(replace(shape, seconds=60), policy, 'none', SEED)
 
 
--- a/tests/fairness/steps/textbook_steps.py
+++ b/tests/fairness/steps/textbook_steps.py
@@ -7,7 +7,7 @@
 
 from behave import then
 from benchmarks.policy.shapes import (
-    SHAPES,
+    DEPLOYMENTS,
     Demand,
     Tenant,
     catalogue_pool,
@@ -56,9 +56,9 @@
             Tenant(f'w{number}', weight, 1, (1.0,))
             for number, weight in enumerate(weights)
         )
-        catalogue = workspaces(tenants, SHAPES[0])
-        self.entry.configure(0, catalogue, [catalogue_pool(SHAPES[0])])
-        info = SideInfo('s', SHAPES[0].pool, 's', 'galata', '127.0.0.1:1')
+        catalogue = workspaces(tenants, DEPLOYMENTS[0])
+        self.entry.configure(0, catalogue, [catalogue_pool(DEPLOYMENTS[0])])
+        info = SideInfo('s', DEPLOYMENTS[0].pool, 's', 'galata', '127.0.0.1:1')
         self.entry.side_up(0, info)
         self.entry.load(0, 's', self.side.load())
 
@@ -90,7 +90,7 @@
         work = Work(
             request,
             demand.workspace,
-            SHAPES[0].pool,
+            DEPLOYMENTS[0].pool,
             demand.hint,
             FOREVER,
             idempotent=True,
