--- a/benchmarks/charts.py
+++ b/benchmarks/charts.py
@@ -136,7 +136,7 @@
             wait_seconds=1,
         )
         self._side.arrive(now, arrival)
-        self._side.finished(now, arrival.attempt_id, whole=True, cost=1)
+        self._side.finished(now, arrival.attempt_id, is_complete=True, cost=1)
 
 
 def main() -> None:
--- a/benchmarks/policy/carrier.py
+++ b/benchmarks/policy/carrier.py
@@ -9,10 +9,10 @@
 from sardinetrack.admission.api import (
     Announce,
     Arrival,
-    Refuse,
+    RefuseRequest,
     SendGrant,
     SideEffect,
-    Start,
+    StartRequest,
 )
 from sardinetrack.messages.api import Bids, Decline, ServiceReport
 from sardinetrack.routing.api import (
@@ -51,9 +51,9 @@
 
     def from_side(self, side: SideNode, effect: SideEffect) -> None:
         """Carry out a side's effect."""
-        if isinstance(effect, Start):
+        if isinstance(effect, StartRequest):
             self.start(side, effect.attempt_id)
-        elif isinstance(effect, Refuse):
+        elif isinstance(effect, RefuseRequest):
             self._refuse(side, effect)
         elif isinstance(effect, SendGrant):
             self._grant(side, effect)
@@ -132,7 +132,7 @@
         side.orders[arrival.attempt_id] = found[1]
         admission = side.admission
         world = self._world
-        world.at_side(side, epoch, admission.bids, arrival.entry, bids)
+        world.at_side(side, epoch, admission.update_bids, arrival.entry, bids)
         world.at_side(side, epoch, admission.arrive, arrival)
 
     def _to_side(self, node: EntryNode, effect: SendToSide) -> None:
@@ -143,7 +143,9 @@
             decline = side.admission.decline
             action = partial(call, decline, node.name, message.number)
         else:
-            action = partial(call, side.admission.bids, node.name, message)
+            action = partial(
+                call, side.admission.update_bids, node.name, message
+            )
         links = self._world.links
         links.control(node.name, side.name, message, action)
 
@@ -160,7 +162,7 @@
             links = self._world.links
             links.control(node.name, other.name, message, action)
 
-    def _refuse(self, side: SideNode, effect: Refuse) -> None:
+    def _refuse(self, side: SideNode, effect: RefuseRequest) -> None:
         request = side.orders.pop(effect.attempt_id, None)
         if request is None:
             return
--- a/benchmarks/policy/faults.py
+++ b/benchmarks/policy/faults.py
@@ -90,7 +90,7 @@
 
 
 def _forget_entry(world: World, node: EntryNode, side: SideNode) -> None:
-    lost = side.admission.entry_lost
+    lost = side.admission.entry_disconnected
     world.at_side(side, side.epoch, lost, node.name)
 
 
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -137,7 +137,7 @@
     def ask_side(self, side: SideNode, attempt_id: str) -> None:
         """Ask for an attempt that is not running, so that it never will."""
         side.orders.pop(attempt_id, None)
-        self._timed(side.admission.query, attempt_id, cancel=True)
+        self._timed(side.admission.resolve_status, attempt_id, cancel=True)
 
     def stop(self, side: SideNode, running: Running, *, whole: bool) -> float:
         """Free a slot, and count what it delivered."""
--- a/benchmarks/slopes/side.py
+++ b/benchmarks/slopes/side.py
@@ -28,7 +28,7 @@
             self.arrive(f'first-{number}', 0)
         self.bids = samples.bids(rows)
         for number in range(entries):
-            self.admission.bids(self.now, f'entry-{number}', self.bids)
+            self.admission.update_bids(self.now, f'entry-{number}', self.bids)
 
     def arrive(
         self, attempt_id: str, grant: int, entry: str = 'entry-0'
@@ -50,7 +50,7 @@
         effects = self.admission.finished(
             self.now,
             f'first-{number}',
-            whole=True,
+            is_complete=True,
             cost=450.0,
         )
         return [one for one in effects if isinstance(one, SendGrant)]
@@ -95,7 +95,7 @@
 def _bids(entries: int, rows: int) -> Callable[[], object]:
     counter = Counter(entries, rows)
     return partial(
-        counter.admission.bids,
+        counter.admission.update_bids,
         counter.now,
         'entry-0',
         counter.bids,
--- a/src/sardinetrack/admission/api.py
+++ b/src/sardinetrack/admission/api.py
@@ -45,14 +45,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartRequest:
     """Send the request to the backend server now."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RefuseRequest:
     """Respond to the entry that the request was not started."""
 
     attempt_id: str
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class CancelRequest:
     """Cancel the running request at the backend server."""
 
     attempt_id: str
@@ -79,7 +79,7 @@
     """Send the load to every linked entry, soon and batched."""
 
 
-SideEffect = Start | Refuse | Stop | SendGrant | Announce
+SideEffect = StartRequest | RefuseRequest | CancelRequest | SendGrant | Announce
 
 
 class Admission(ABC):
@@ -90,7 +90,7 @@
         """Start, queue or refuse a request that reached the side."""
 
     @abstractmethod
-    def bids(
+    def update_bids(
         self,
         now: float,
         entry: str,
@@ -108,7 +108,9 @@
         """Reclaim the slot of a grant that an entry declined."""
 
     @abstractmethod
-    def entry_lost(self, now: float, entry: str) -> Sequence[SideEffect]:
+    def entry_disconnected(
+        self, now: float, entry: str
+    ) -> Sequence[SideEffect]:
         """Drop the bids and grants of an entry whose link broke."""
 
     @abstractmethod
@@ -117,19 +119,19 @@
         now: float,
         attempt_id: str,
         *,
-        whole: bool,
+        is_complete: bool,
         cost: float,
         stopped: bool = False,
     ) -> Sequence[SideEffect]:
         """Free the slot of a request that ended.
 
-        :param whole: the backend server's response was complete.
+        :param is_complete: the backend server's response was complete.
         :param stopped: it was not complete because the side cancelled it.
         :param cost: what it cost, in cost units of the pool.
         """
 
     @abstractmethod
-    def query(
+    def resolve_status(
         self,
         now: float,
         attempt_id: str,
--- a/src/sardinetrack/admission/ask.py
+++ b/src/sardinetrack/admission/ask.py
@@ -16,28 +16,28 @@
 
     ask_id: str
     workspace: str
-    new_tokens: int
+    prefill_tokens: int
     """Prompt tokens that the engine would have to prefill."""
     kept_tokens: int
     """Tokens that it adds to the engine's KV cache, generated ones included."""
-    answer_tokens: int
-    patience_seconds: float
+    output_tokens: int
+    max_wait_seconds: float
     """Maximum wait for the permit."""
     priority: int = 0
     entry: str = ''
     served_tokens: float = 0
     """Service that the workspace recently received through this entry, at all
     servers."""
-    part: str = ''
+    shared_prefix: str = ''
     """Shared prefix that the engine caches once it has prefilled the request.
     """
-    due_seconds: float = math.inf
+    first_event_due_seconds: float = math.inf
     """From now to the moment after which its first event is late."""
-    ends_seconds: float = math.inf
+    until_deadline_seconds: float = math.inf
     """From now to its caller's deadline."""
     fingerprint: str = ''
     """Stays the same when the caller sends the request again."""
-    returned_seconds: float = 0
+    since_refusal_seconds: float = 0
     """Time since the request was first refused, as far as the entry knows."""
 
     @property
@@ -46,12 +46,12 @@
 
         The caller has retried after a refusal and is still waiting.
         """
-        return self.due_seconds <= 0
+        return self.first_event_due_seconds <= 0
 
     @property
     def cost(self) -> float:
         """Service that it receives, in tokens."""
-        return self.new_tokens + _OUTPUT_WEIGHT * self.answer_tokens
+        return self.prefill_tokens + _OUTPUT_WEIGHT * self.output_tokens
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/sardinetrack/admission/reading.py
+++ b/src/sardinetrack/admission/reading.py
@@ -75,9 +75,11 @@
         )
         self._fraction = share
 
-    def cool(self, now: float, cold_period: Cold) -> Sequence[Verdict]:
+    def set_cold_period(
+        self, now: float, cold_period: Cold
+    ) -> Sequence[Verdict]:
         """Set how long the engine stays cold, and its rate until then."""
-        self.cold_start.cool(cold_period)
+        self.cold_start.update_cold_period(cold_period)
         return self._grant_next(now)
 
     @property
@@ -105,7 +107,7 @@
         """Prompt tokens that the engine prefills a second."""
         return self.estimator.rate_tokens
 
-    def hold_seconds(self, now: float) -> float:
+    def prefix_retention_seconds(self, now: float) -> float:
         """Estimate how long the engine caches a prefix after its last use."""
         return self._running.retention_seconds(now)
 
@@ -132,7 +134,7 @@
             self.cold_start.wait_seconds(now, queued),
         )
 
-    def restart(self, now: float) -> Sequence[Verdict]:
+    def handle_restart(self, now: float) -> Sequence[Verdict]:
         """Handle a restart of the engine.
 
         Its requests are lost, and its rate was that of another process. The
@@ -143,7 +145,7 @@
         self._running.clear()
         return self._grant_next(now)
 
-    def hear(
+    def update_served_tokens(
         self,
         now: float,
         entry: str,
@@ -155,11 +157,13 @@
         """
         self._order.update_served(now, entry, served)
 
-    def ask(self, now: float, request: Ask) -> Sequence[Verdict]:
+    def request_permit(self, now: float, request: Ask) -> Sequence[Verdict]:
         """Grant, refuse or queue a request for a permit."""
         served = ((request.workspace, request.served_tokens),)
         self._order.update_served(now, request.entry, served)
-        self.batch.requested(now, request.answer_tokens, request.ends_seconds)
+        self.batch.requested(
+            now, request.output_tokens, request.until_deadline_seconds
+        )
         self._order.join(now, request.workspace)
         wait_seconds = self._wait_seconds(now, request)
         max_wait_seconds = self._max_wait_seconds(request)
@@ -177,33 +181,35 @@
         prompts would be refused whenever the engine prefills anything.
         """
         if request.is_late:
-            return request.patience_seconds
+            return request.max_wait_seconds
         prefill_seconds = (
-            MIN_BACKLOG_SECONDS + request.new_tokens / self.rate_tokens
+            MIN_BACKLOG_SECONDS + request.prefill_tokens / self.rate_tokens
         )
         needs_seconds = max(self._ahead_seconds, prefill_seconds)
         spare_seconds = (
-            request.due_seconds - needs_seconds - self.estimator.lag_seconds
+            request.first_event_due_seconds
+            - needs_seconds
+            - self.estimator.lag_seconds
         )
         floor_seconds = MAX_WAIT_FLOOR_SECONDS
-        return min(request.patience_seconds, max(spare_seconds, floor_seconds))
+        return min(request.max_wait_seconds, max(spare_seconds, floor_seconds))
 
-    def withdraw(
+    def release(
         self,
         now: float,
         ask_id: str,
         *,
-        whole: bool = False,
+        is_complete: bool = False,
     ) -> Sequence[Verdict]:
         """Drop a request, whether it runs or waits.
 
-        :param whole: its caller has the complete response.
+        :param is_complete: its caller has the complete response.
         """
         if ask_id in self._running:
-            return self.ended(now, ask_id, whole=whole)
+            return self.ended(now, ask_id, is_complete=is_complete)
         return self._grant_next(now) if self._queue.remove(ask_id) else ()
 
-    def begun(self, now: float, ask_id: str) -> Sequence[Verdict]:
+    def prefill_finished(self, now: float, ask_id: str) -> Sequence[Verdict]:
         """Handle the first event: the prompt is prefilled."""
         running = self._running.first_event(now, ask_id)
         if running is None:
@@ -220,13 +226,13 @@
         now: float,
         ask_id: str,
         *,
-        whole: bool = True,
+        is_complete: bool = True,
     ) -> Sequence[Verdict]:
         """Free the slot and the KV cache of a request.
 
-        :param whole: its caller has the complete response.
+        :param is_complete: its caller has the complete response.
         """
-        if not self._running.ended(now, ask_id, complete=whole):
+        if not self._running.ended(now, ask_id, complete=is_complete):
             return ()
         self.estimator.ended(now, ask_id)
         return self._grant_next(now)
@@ -247,7 +253,7 @@
         queued_tokens = self._queue.tokens + tokens_of(expired)
         queued = self.waiting + len(expired)
         for one in expired:
-            queued_tokens -= one.request.new_tokens
+            queued_tokens -= one.request.prefill_tokens
             queued -= 1
             waited_seconds = now - one.queued_seconds
             wait_seconds = self._wait_behind(now, queued_tokens, queued)
@@ -312,17 +318,17 @@
         backlog_seconds = self.estimator.backlog_seconds(now)
         if backlog_seconds <= MIN_BACKLOG_SECONDS:
             return True
-        prefill_seconds = request.new_tokens / self.rate_tokens
+        prefill_seconds = request.prefill_tokens / self.rate_tokens
         return backlog_seconds + prefill_seconds <= self._ahead_seconds
 
     def _grant(self, now: float, request: Ask) -> Verdict:
         expected_seconds = self.estimator.first_event_seconds(
-            now, request.new_tokens
+            now, request.prefill_tokens
         )
         self.cold_start.granted(now)
-        self.estimator.granted(now, request.ask_id, request.new_tokens)
+        self.estimator.granted(now, request.ask_id, request.prefill_tokens)
         self._running.add(now, request, expected_seconds)
-        self.usage.record_grant(request.new_tokens)
+        self.usage.record_grant(request.prefill_tokens)
         self._order.granted(now, request)
         return Granted(request.ask_id)
 
@@ -342,7 +348,7 @@
 
         A long prompt may be granted only when hardly any backlog is left.
         """
-        prefill_seconds = request.new_tokens / self.rate_tokens
+        prefill_seconds = request.prefill_tokens / self.rate_tokens
         allowed_seconds = max(
             MIN_BACKLOG_SECONDS, self._ahead_seconds - prefill_seconds
         )
--- a/src/sardinetrack/admission/running.py
+++ b/src/sardinetrack/admission/running.py
@@ -145,7 +145,7 @@
             if complete:
                 decode_seconds = now - running.first_event_seconds
                 self.batch.completed(
-                    decode_seconds, running.request.answer_tokens
+                    decode_seconds, running.request.output_tokens
                 )
         return True
 
--- a/src/sardinetrack/admission/slots.py
+++ b/src/sardinetrack/admission/slots.py
@@ -10,12 +10,12 @@
     Admission,
     Announce,
     Arrival,
+    CancelRequest,
     RefusalReason,
-    Refuse,
+    RefuseRequest,
     SendGrant,
     SideEffect,
-    Start,
-    Stop,
+    StartRequest,
 )
 from sardinetrack.admission.bid_table import BidTable, NextBid
 from sardinetrack.admission.book import (
@@ -79,7 +79,7 @@
         )
         return self._fill_slots(now)
 
-    def bids(
+    def update_bids(
         self,
         now: float,
         entry: str,
@@ -100,7 +100,9 @@
         self._bids.clear(entry)
         return self._fill_slots(now)
 
-    def entry_lost(self, now: float, entry: str) -> Sequence[SideEffect]:
+    def entry_disconnected(
+        self, now: float, entry: str
+    ) -> Sequence[SideEffect]:
         """Drop the bids and grants of an entry whose link broke."""
         self._bids.remove_entry(entry)
         return self._fill_slots(now)
@@ -110,7 +112,7 @@
         now: float,
         attempt_id: str,
         *,
-        whole: bool,
+        is_complete: bool,
         cost: float,
         stopped: bool = False,
     ) -> Sequence[SideEffect]:
@@ -121,12 +123,12 @@
             return ()
         self._prefetch.request_ended(now - started_seconds)
         end = AttemptEvent.STOP if stopped else AttemptEvent.FAIL
-        if whole:
+        if is_complete:
             end = AttemptEvent.FINISH
         self._attempts.apply(now, attempt_id, end)
         return self._fill_slots(now)
 
-    def query(
+    def resolve_status(
         self,
         now: float,
         attempt_id: str,
@@ -137,10 +139,10 @@
         status = self._attempts.final_status(now, attempt_id)
         if self._queued.pop(attempt_id, None) is not None:
             self._suspects.discard(attempt_id)
-            refusal = Refuse(attempt_id, RefusalReason.TOMBSTONED)
+            refusal = RefuseRequest(attempt_id, RefusalReason.TOMBSTONED)
             return status, (refusal, *self._fill_slots(now))
         if cancel and status is Fate.RUNNING:
-            return status, (Stop(attempt_id),)
+            return status, (CancelRequest(attempt_id),)
         return status, ()
 
     def resize(self, now: float, limit: int) -> Sequence[SideEffect]:
@@ -239,7 +241,7 @@
     ) -> Sequence[SideEffect]:
         if reason in {RefusalReason.BUSY, RefusalReason.DRAINING}:
             self._attempts.apply(now, attempt_id, AttemptEvent.REFUSE)
-        return (Refuse(attempt_id, reason), *self._fill_slots(now))
+        return (RefuseRequest(attempt_id, reason), *self._fill_slots(now))
 
     def _refuse_queued(
         self,
@@ -250,7 +252,7 @@
         self._queued.pop(attempt_id)
         self._suspects.discard(attempt_id)
         self._attempts.apply(now, attempt_id, AttemptEvent.REFUSE)
-        return (Refuse(attempt_id, RefusalReason(reason)),)
+        return (RefuseRequest(attempt_id, RefusalReason(reason)),)
 
     def _fill_slots(self, now: float) -> Sequence[SideEffect]:
         effects: list[SideEffect] = []
@@ -277,7 +279,7 @@
         self._queued.pop(attempt_id)
         self._running[attempt_id] = now
         self._attempts.apply(now, attempt_id, AttemptEvent.START)
-        return Start(attempt_id)
+        return StartRequest(attempt_id)
 
     def _grant_available(self, now: float) -> Sequence[SideEffect]:
         effects: list[SideEffect] = []
--- a/src/sardinetrack/admission/waiting.py
+++ b/src/sardinetrack/admission/waiting.py
@@ -104,4 +104,4 @@
 
 def tokens_of(waiting: Iterable[WaitingRequest]) -> int:
     """Return the prompt tokens to prefill for some requests."""
-    return sum(one.request.new_tokens for one in waiting)
+    return sum(one.request.prefill_tokens for one in waiting)
--- a/src/sardinetrack/admission/warming.py
+++ b/src/sardinetrack/admission/warming.py
@@ -29,7 +29,7 @@
         self.cold_period = Cold()
         self._due_seconds = -math.inf
 
-    def cool(self, cold_period: Cold) -> None:
+    def update_cold_period(self, cold_period: Cold) -> None:
         """Set how long the server stays cold, and its rate until then."""
         self.cold_period = cold_period
 
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -92,8 +92,10 @@
             served_tokens=self._service.tokens(now, request.workspace),
         )
         self._asking[ask.ask_id] = attempt
-        self._take(name, self._engines[name].admission.ask(now, ask), now)
-        self._at(now + ask.patience_seconds, partial(self._tick, name))
+        self._take(
+            name, self._engines[name].admission.request_permit(now, ask), now
+        )
+        self._at(now + ask.max_wait_seconds, partial(self._tick, name))
 
     def _best(self, attempt: _Try, now: float) -> Candidate | None:
         if len(attempt.tried) >= MOST_ASKED:
@@ -156,7 +158,7 @@
         else:
             outcome.late += 1
         admission = self._engines[name].admission
-        self._take(name, admission.begun(now, ask_id), now)
+        self._take(name, admission.prefill_finished(now, ask_id), now)
         ends = now + self._shape.run_seconds
         self._at(ends, partial(self._ended, name, ask_id))
 
--- a/src/sardinetrack/relay/cold_start.py
+++ b/src/sardinetrack/relay/cold_start.py
@@ -94,5 +94,5 @@
 
     def _limiter(self, server: BackendServer, pool: Pool) -> WarmTurns:
         limiter = self._limiters.setdefault(server.instance, WarmTurns())
-        limiter.cool(self.own_period(server, pool))
+        limiter.update_cold_period(self.own_period(server, pool))
         return limiter
--- a/src/sardinetrack/relay/permit.py
+++ b/src/sardinetrack/relay/permit.py
@@ -160,20 +160,20 @@
     message = AskTurn(
         admission_request.ask_id,
         admission_request.workspace,
-        admission_request.new_tokens,
+        admission_request.prefill_tokens,
         admission_request.kept_tokens,
-        admission_request.answer_tokens,
-        admission_request.patience_seconds,
+        admission_request.output_tokens,
+        admission_request.max_wait_seconds,
         admission_request.priority,
         round(admission_request.served_tokens),
-        admission_request.part,
-        round(admission_request.due_seconds, 3),
+        admission_request.shared_prefix,
+        round(admission_request.first_event_due_seconds, 3),
         connection.news.rows(loop_now(), fleet.service),
         admission_request.fingerprint,
-        round(admission_request.ends_seconds, 3),
-        round(admission_request.returned_seconds, 3),
+        round(admission_request.until_deadline_seconds, 3),
+        round(admission_request.since_refusal_seconds, 3),
     )
-    timeout_seconds = admission_request.patience_seconds + _RESPONSE_SECONDS
+    timeout_seconds = admission_request.max_wait_seconds + _RESPONSE_SECONDS
     response = await connection.ask(message, timeout_seconds)
     if isinstance(response, TurnGranted):
         return SidePermit(connection, admission_request.ask_id)
@@ -181,6 +181,6 @@
         raise PermitRefusedError(
             response.retry_after_seconds,
             f'side: {response.ahead_tokens} tokens ahead',
-            response.returned_seconds,
+            response.since_refusal_seconds,
         )
     return None
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/placing.py
@@ -210,15 +210,17 @@
         self._fleet.service.add(
             now, admission_request.workspace, admission_request.cost
         )
-        if admission_request.part:
+        if admission_request.shared_prefix:
             ip = candidate.server.ip
-            self._fleet.holdings.note(now, ip, (admission_request.part,))
+            self._fleet.holdings.note(
+                now, ip, (admission_request.shared_prefix,)
+            )
 
     def _admission_request(
         self,
         plan: Plan,
         candidate: Candidate,
-        max_wait_seconds: float,
+        wait_limit_seconds: float,
     ) -> Ask:
         fleet = self._fleet
         request_id = self._call.request_id
@@ -228,19 +230,19 @@
         return Ask(
             ask_id=f'{request_id}.{number}',
             workspace=plan.workspace_name,
-            new_tokens=candidate.new_tokens,
+            prefill_tokens=candidate.new_tokens,
             kept_tokens=candidate.new_tokens + self._output_tokens(plan),
-            answer_tokens=self._output_tokens(plan),
-            patience_seconds=(
-                GUEST_SECONDS if candidate.is_guest else max_wait_seconds
+            output_tokens=self._output_tokens(plan),
+            max_wait_seconds=(
+                GUEST_SECONDS if candidate.is_guest else wait_limit_seconds
             ),
             entry=fleet.settings.instance,
             served_tokens=fleet.service.tokens(now, plan.workspace_name),
-            part=self._shared_prefix,
-            due_seconds=self._first_event_due_seconds(plan) - now,
-            ends_seconds=max(0, plan.deadline_seconds - now),
+            shared_prefix=self._shared_prefix,
+            first_event_due_seconds=self._first_event_due_seconds(plan) - now,
+            until_deadline_seconds=max(0, plan.deadline_seconds - now),
             fingerprint=self._request_fingerprint(plan),
-            returned_seconds=self._since_refusal_seconds,
+            since_refusal_seconds=self._since_refusal_seconds,
         )
 
     def _output_tokens(self, plan: Plan) -> int:
--- a/src/sardinetrack/side/link_event_handler.py
+++ b/src/sardinetrack/side/link_event_handler.py
@@ -55,7 +55,7 @@
     def _disconnected(self, now: float, event: LinkUp | LinkDown) -> Effects:
         entry = event.peer.instance
         self._state.grants.forget(entry)
-        return self._state.admission.entry_lost(now, entry)
+        return self._state.admission.entry_disconnected(now, entry)
 
     def _bids(
         self,
@@ -70,7 +70,7 @@
             )
             return ()
         self._state.grants.record_seen(entry, bids.grants_seen)
-        return self._state.admission.bids(now, entry, bids)
+        return self._state.admission.update_bids(now, entry, bids)
 
     def _decline(
         self,
--- a/src/sardinetrack/side/owner.py
+++ b/src/sardinetrack/side/owner.py
@@ -17,11 +17,11 @@
 
 from sardinetrack.admission.api import (
     Announce,
-    Refuse,
+    CancelRequest,
+    RefuseRequest,
     SendGrant,
     SideEffect,
-    Start,
-    Stop,
+    StartRequest,
 )
 from sardinetrack.charts.drain import DRAIN, DrainEvent, DrainState
 from sardinetrack.links.api import LinkDown, LinkMessageReceived, LinkUp
@@ -133,14 +133,14 @@
 
     def _apply_one(self, now: float, effect: SideEffect) -> None:
         match effect:
-            case Start():
+            case StartRequest():
                 free = self._state.admission.load().free
                 self._state.attempts.start(now, effect.attempt_id, free)
-            case Refuse():
+            case RefuseRequest():
                 self._requests.carry_out_refusal(
                     now, effect.attempt_id, effect.reason
                 )
-            case Stop():
+            case CancelRequest():
                 self._state.attempts.stop(effect.attempt_id)
             case SendGrant():
                 self._state.grants.send(effect.entry, effect.grant)
--- a/src/sardinetrack/side/request_event_handler.py
+++ b/src/sardinetrack/side/request_event_handler.py
@@ -44,7 +44,7 @@
         if attempt is None or attempt.refused:
             return ()
         if attempt.undecided:
-            return self._state.admission.query(
+            return self._state.admission.resolve_status(
                 now,
                 event.attempt_id,
                 cancel=True,
@@ -52,7 +52,7 @@
         return self._state.admission.finished(
             now,
             event.attempt_id,
-            whole=event.complete,
+            is_complete=event.complete,
             cost=event.cost,
             stopped=event.stopped,
         )
@@ -73,7 +73,7 @@
                 AttemptAnswer(Fate.UNKNOWN, own_incarnation)
             )
             return ()
-        fate, effects = self._state.admission.query(
+        fate, effects = self._state.admission.resolve_status(
             now,
             query.attempt_id,
             cancel=query.cancel,
@@ -91,7 +91,9 @@
         fate = Fate.NOT_STARTED
         if reason is RefusalReason.DUPLICATE:
             # The first run request with this id may have run.
-            fate, _ = self._state.admission.query(now, attempt_id, cancel=False)
+            fate, _ = self._state.admission.resolve_status(
+                now, attempt_id, cancel=False
+            )
         self._state.attempts.refuse(attempt_id, self._result(fate, reason))
 
     def _refuse_duplicate(self, event: RunRequestReceived) -> None:
@@ -123,7 +125,7 @@
             ),
             rows=tuple(BidRow(*row) for row in run_request.bids),
         )
-        return self._state.admission.bids(now, run_request.entry, bids)
+        return self._state.admission.update_bids(now, run_request.entry, bids)
 
 
 def _arrival(run_request: RunOrder) -> Arrival:
--- a/src/sardinetrack/turns/desk.py
+++ b/src/sardinetrack/turns/desk.py
@@ -29,19 +29,19 @@
 
     def request(self, request: Ask) -> None:
         """Request a permit."""
-        self._deliver_all(self.admission.ask(loop_now(), request))
+        self._deliver_all(self.admission.request_permit(loop_now(), request))
 
     def begun(self, ask_id: str) -> None:
         """Record that the prefill of a request has finished."""
-        self._deliver_all(self.admission.begun(loop_now(), ask_id))
+        self._deliver_all(self.admission.prefill_finished(loop_now(), ask_id))
 
     def reset(self) -> None:
         """Release all permits, after a restart of the server."""
-        self._deliver_all(self.admission.restart(loop_now()))
+        self._deliver_all(self.admission.handle_restart(loop_now()))
 
     def cool(self, cold: Cold) -> None:
         """Set how long the server's cold start lasts."""
-        self._deliver_all(self.admission.cool(loop_now(), cold))
+        self._deliver_all(self.admission.set_cold_period(loop_now(), cold))
 
     def withdraw(self, ask_id: str, *, whole: bool = False) -> None:
         """Release a permit, or remove a request that still waits for one.
@@ -49,7 +49,9 @@
         :param whole: whether the caller has received the complete response.
         """
         now = loop_now()
-        self._deliver_all(self.admission.withdraw(now, ask_id, whole=whole))
+        self._deliver_all(
+            self.admission.release(now, ask_id, is_complete=whole)
+        )
 
     def _deliver_all(self, decisions: Sequence[Verdict]) -> None:
         for decision in decisions:
--- a/src/sardinetrack/turns/messages.py
+++ b/src/sardinetrack/turns/messages.py
@@ -32,29 +32,29 @@
 
     ask_id: str
     workspace: str
-    new_tokens: int
+    prefill_tokens: int
     kept_tokens: int
-    answer_tokens: int
-    patience_seconds: float
+    output_tokens: int
+    max_wait_seconds: float
     priority: int
     served_tokens: float
-    part: str
-    due_seconds: float
+    shared_prefix: str
+    first_event_due_seconds: float
     others: tuple[tuple[str, int], ...] = ()
     """Recent service that other workspaces received through the entry from
     any server; only those served since its last request to this side."""
     fingerprint: str = ''
     """Same for every retry of the request by its caller; empty if unknown."""
-    ends_seconds: float = 0
+    until_deadline_seconds: float = 0
     """How long its caller waits for the complete response; 0 if unknown."""
-    returned_seconds: float = 0
+    since_refusal_seconds: float = 0
     """Time since another side refused the request first; already subtracted
     from the due time."""
 
     @property
     def left_seconds(self) -> float:
         """How long its caller waits; infinite if unknown."""
-        return self.ends_seconds or math.inf
+        return self.until_deadline_seconds or math.inf
 
 
 class Begun(msgspec.Struct, tag='begun', array_like=True, frozen=True):
@@ -100,7 +100,7 @@
     retry_after_seconds: float
     waited_seconds: float
     ahead_tokens: int
-    returned_seconds: float = 0
+    since_refusal_seconds: float = 0
     """Time since this side refused it first; 0 if it never did."""
 
 
--- a/src/sardinetrack/turns/side.py
+++ b/src/sardinetrack/turns/side.py
@@ -200,22 +200,22 @@
         self._owners[message.ask_id] = entry
         now = loop_now()
         self._requests[message.ask_id] = message
-        self.admission.hear(now, entry.entry, message.others)
+        self.admission.update_served_tokens(now, entry.entry, message.others)
         # What another side reported is subtracted from the due time already.
         returned_seconds = self._returned_seconds(now, message)
-        more_seconds = max(0, returned_seconds - message.returned_seconds)
+        more_seconds = max(0, returned_seconds - message.since_refusal_seconds)
         request = Ask(
             message.ask_id,
             message.workspace,
-            message.new_tokens,
+            message.prefill_tokens,
             message.kept_tokens,
-            message.answer_tokens,
-            message.patience_seconds,
+            message.output_tokens,
+            message.max_wait_seconds,
             message.priority,
             entry.entry,
             message.served_tokens,
-            message.part,
-            message.due_seconds - more_seconds,
+            message.shared_prefix,
+            message.first_event_due_seconds - more_seconds,
             message.left_seconds,
         )
         self.request(request)
@@ -251,8 +251,8 @@
         self.verdicts[type(decision).__name__.lower()] += 1
         if isinstance(decision, Granted):
             self.engine.record_permit(loop_now())
-            if message.part:
-                self._new_prefixes.add(message.part)
+            if message.shared_prefix:
+                self._new_prefixes.add(message.shared_prefix)
             owner.send(TurnGranted(decision.ask_id))
             return
         self._owners.pop(decision.ask_id, None)
@@ -313,5 +313,5 @@
                 entry.send(message)
 
     def _retention_seconds(self) -> float:
-        seconds = self.admission.hold_seconds(loop_now())
+        seconds = self.admission.prefix_retention_seconds(loop_now())
         return min(MOST_HOLD_SECONDS, seconds)
--- a/tests/admission/engine.py
+++ b/tests/admission/engine.py
@@ -25,13 +25,13 @@
         name = f'{workspace}.{len(self.requests)}'
         fields = {
             'kept_tokens': 100,
-            'answer_tokens': 50,
-            'patience_seconds': MAX_WAIT_SECONDS,
+            'output_tokens': 50,
+            'max_wait_seconds': MAX_WAIT_SECONDS,
             **more,
         }
         request = Ask(name, workspace, tokens, **fields)
         self.requests[name] = request
-        self.apply(self.admission.ask(self.now, request))
+        self.apply(self.admission.request_permit(self.now, request))
 
     def apply(self, decisions):
         for decision in decisions:
@@ -46,9 +46,9 @@
 
     def prefill_one(self, rate=INITIAL_RATE_TOKENS):
         name = self.pending.pop(0)
-        self.now += self.requests[name].new_tokens / rate
+        self.now += self.requests[name].prefill_tokens / rate
         self.apply(self.admission.tick(self.now))
-        self.apply(self.admission.begun(self.now, name))
+        self.apply(self.admission.prefill_finished(self.now, name))
         return name
 
     def run_one(self, rate=INITIAL_RATE_TOKENS):
--- a/tests/admission/spread.py
+++ b/tests/admission/spread.py
@@ -129,18 +129,18 @@
         permit_request = Ask(
             ask_id=f'{next(self._numbers)}',
             workspace=request.workspace,
-            new_tokens=request.tokens,
+            prefill_tokens=request.tokens,
             kept_tokens=request.tokens,
-            answer_tokens=0,
-            patience_seconds=MAX_WAIT_SECONDS,
+            output_tokens=0,
+            max_wait_seconds=MAX_WAIT_SECONDS,
             entry=entry.name,
             served_tokens=entry.service.tokens(now, request.workspace),
         )
         self._requested[permit_request.ask_id] = request
         side = self._sides[engine]
         served = entry.updates[engine].rows(now, entry.service)
-        side.hear(now, entry.name, served)
-        self._carry_out(now, engine, side.ask(now, permit_request))
+        side.update_served_tokens(now, entry.name, served)
+        self._carry_out(now, engine, side.request_permit(now, permit_request))
 
     def _carry_out(
         self,
@@ -182,7 +182,7 @@
 
     def _begun(self, engine: int, ask_id: str, now: float) -> None:
         side = self._sides[engine]
-        self._carry_out(now, engine, side.begun(now, ask_id))
+        self._carry_out(now, engine, side.prefill_finished(now, ask_id))
 
     def _ended(self, engine: int, ask_id: str, now: float) -> None:
         side = self._sides[engine]
--- a/tests/admission/steps/reading_steps.py
+++ b/tests/admission/steps/reading_steps.py
@@ -30,7 +30,7 @@
     ' away from home, waiting for at most {seconds:g} seconds',
 )
 def request_away(context, seconds, tokens):
-    context.engine.request('guest', tokens, patience_seconds=seconds)
+    context.engine.request('guest', tokens, max_wait_seconds=seconds)
 
 
 @step(
@@ -38,7 +38,7 @@
     ' away from home, waiting for at most {seconds:g} seconds',
 )
 def request_away_of(context, workspace, seconds, tokens):
-    context.engine.request(workspace, tokens, patience_seconds=seconds)
+    context.engine.request(workspace, tokens, max_wait_seconds=seconds)
 
 
 @step(
@@ -60,7 +60,7 @@
             tokens,
             entry='e',
             served_tokens=served,
-            patience_seconds=2,
+            max_wait_seconds=2,
         )
 
 
@@ -223,8 +223,8 @@
     context.engine.request(
         workspace,
         tokens,
-        patience_seconds=seconds,
-        due_seconds=seconds,
+        max_wait_seconds=seconds,
+        first_event_due_seconds=seconds,
     )
 
 
@@ -253,13 +253,13 @@
 @then('it caches a prefix for longer than {seconds:g} seconds')
 def caches_long(context, seconds):
     engine = context.engine
-    assert engine.admission.hold_seconds(engine.now) > seconds
+    assert engine.admission.prefix_retention_seconds(engine.now) > seconds
 
 
 @then('it caches a prefix for less than {seconds:g} seconds')
 def caches_short(context, seconds):
     engine = context.engine
-    assert engine.admission.hold_seconds(engine.now) < seconds
+    assert engine.admission.prefix_retention_seconds(engine.now) < seconds
 
 
 def _flood(engine, workspaces, seconds):
@@ -273,11 +273,11 @@
             sent = engine.count(engine.requests, workspace)
             waiting = sent - engine.count(decided, workspace)
             for _ in range(4 - waiting):
-                engine.request(workspace, 3000, patience_seconds=9)
+                engine.request(workspace, 3000, max_wait_seconds=9)
         name = engine.prefill_one()
         engine.apply(engine.admission.ended(engine.now, name))
         owner = name.partition('.')[0]
-        served[owner] += engine.requests[name].new_tokens
+        served[owner] += engine.requests[name].prefill_tokens
         if owner == workspaces[0]:
             engine.served_seconds.append(engine.now)
     engine.served_seconds.append(engine.now)
@@ -323,7 +323,7 @@
 )
 def request_late(context, count, workspace, tokens):
     for _ in range(count):
-        context.engine.request(workspace, tokens, due_seconds=-1)
+        context.engine.request(workspace, tokens, first_event_due_seconds=-1)
 
 
 @then('the last request of agency is granted before the late ones')
--- a/tests/admission/steps/slots_steps.py
+++ b/tests/admission/steps/slots_steps.py
@@ -8,9 +8,9 @@
     Announce,
     Arrival,
     RefusalReason,
-    Refuse,
+    RefuseRequest,
     SendGrant,
-    Start,
+    StartRequest,
 )
 from sardinetrack.admission.slots import SlotAdmission
 from sardinetrack.messages.api import BidRow, Bids
@@ -48,13 +48,13 @@
 @step('entry {entry} bids {workspace} {count:d} times at tag {tag:g}')
 def bid(context, entry, workspace, count, tag):
     bids = Bids('ice-llm', 0, (BidRow(workspace, tag, count, 1.0),))
-    context.effects.extend(context.side.bids(context.now, entry, bids))
+    context.effects.extend(context.side.update_bids(context.now, entry, bids))
 
 
 @when('{attempt} finishes')
 def finish(context, attempt):
     context.effects.extend(
-        context.side.finished(context.now, attempt, whole=True, cost=1.0),
+        context.side.finished(context.now, attempt, is_complete=True, cost=1.0),
     )
 
 
@@ -71,12 +71,12 @@
 
 @then('{attempt} is started')
 def check_started(context, attempt):
-    assert Start(attempt) in context.effects, context.effects
+    assert StartRequest(attempt) in context.effects, context.effects
 
 
 @then('{attempt} is refused as {reason}')
 def check_refused(context, attempt, reason):
-    refusal = Refuse(attempt, RefusalReason(reason))
+    refusal = RefuseRequest(attempt, RefusalReason(reason))
     assert refusal in context.effects, context.effects
 
 
@@ -92,7 +92,9 @@
 
 @step('the status of {attempt} is {status}')
 def check_status(context, attempt, status):
-    found, effects = context.side.query(context.now, attempt, cancel=False)
+    found, effects = context.side.resolve_status(
+        context.now, attempt, cancel=False
+    )
     context.effects.extend(effects)
     assert found == status, found
 
--- a/tests/admission/steps/warming_steps.py
+++ b/tests/admission/steps/warming_steps.py
@@ -38,7 +38,7 @@
             self.apply(self.admission.tick(self.now))
             while self.pending:
                 name = self.pending.pop(0)
-                self.apply(self.admission.begun(self.now, name))
+                self.apply(self.admission.prefill_finished(self.now, name))
                 self.apply(self.admission.ended(self.now, name))
 
     def granted_between(self, begin, end):
@@ -51,7 +51,7 @@
 )
 def open_cold(context, slots, seconds, rate):
     context.engine = LoadedEngine(slots)
-    decisions = context.engine.admission.cool(0, Cold(seconds, rate))
+    decisions = context.engine.admission.set_cold_period(0, Cold(seconds, rate))
     assert not decisions
 
 
--- a/tests/admission/writing.py
+++ b/tests/admission/writing.py
@@ -76,10 +76,10 @@
             _PROMPT_TOKENS + estimate,
             estimate,
             0.6,
-            due_seconds=OBJECTIVE_SECONDS,
-            ends_seconds=DEADLINE_SECONDS,
+            first_event_due_seconds=OBJECTIVE_SECONDS,
+            until_deadline_seconds=DEADLINE_SECONDS,
         )
-        self._apply(self._admission.ask(self.now, request))
+        self._apply(self._admission.request_permit(self.now, request))
 
     def _apply(self, decisions):
         for decision in decisions:
@@ -94,7 +94,7 @@
         self.now += _STEP_SECONDS + len(decoding) * _RESPONSE_SECONDS
         self.now += prefilled_tokens / _PREFILL_TOKENS_A_SECOND
         for ask_id in prefilled:
-            self._apply(self._admission.begun(self.now, ask_id))
+            self._apply(self._admission.prefill_finished(self.now, ask_id))
         for response in decoding:
             response.tokens += 1
             self._finish(response)
@@ -122,5 +122,5 @@
         self.truncated += not complete
         self._running.remove(one)
         self._apply(
-            self._admission.ended(self.now, one.ask_id, whole=complete),
+            self._admission.ended(self.now, one.ask_id, is_complete=complete),
         )
--- a/tests/fairness/steps/textbook_steps.py
+++ b/tests/fairness/steps/textbook_steps.py
@@ -16,7 +16,12 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from sardinetrack.admission.api import Announce, Arrival, SendGrant, Start
+from sardinetrack.admission.api import (
+    Announce,
+    Arrival,
+    SendGrant,
+    StartRequest,
+)
 from sardinetrack.admission.slots import SlotAdmission
 from sardinetrack.messages.api import Bids
 from sardinetrack.routing.api import (
@@ -73,7 +78,7 @@
     def from_side(self, effects):
         """Apply effects of the side."""
         for effect in effects:
-            if isinstance(effect, Start):
+            if isinstance(effect, StartRequest):
                 self.order.append(self.sent[effect.attempt_id])
             elif isinstance(effect, SendGrant):
                 grant = effect.grant
@@ -105,7 +110,7 @@
         freed = self.side.finished(
             self.now,
             attempt,
-            whole=True,
+            is_complete=True,
             cost=demand.cost,
         )
         self.from_entry(
@@ -123,7 +128,7 @@
         demand = self.requests[effect.request_id]
         self.sent[effect.attempt_id] = demand
         bids = self.entry.bids_for('s')
-        self.from_side(self.side.bids(self.now, 'a', bids))
+        self.from_side(self.side.update_bids(self.now, 'a', bids))
         arrival = Arrival(
             effect.attempt_id,
             'a',
@@ -137,7 +142,7 @@
 
     def _message(self, message):
         if isinstance(message, Bids):
-            self.from_side(self.side.bids(self.now, 'a', message))
+            self.from_side(self.side.update_bids(self.now, 'a', message))
         else:
             self.from_side(self.side.decline(self.now, 'a', message.number))
 
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from random import Random
 
-from sardinetrack.admission.api import Admission, SendGrant, Start
+from sardinetrack.admission.api import Admission, SendGrant, StartRequest
 from sardinetrack.admission.slots import SlotAdmission
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.messages.api import BidRow, Bids, SideLoad, SidePhase
@@ -116,12 +116,12 @@
         self._line.append(arrival.attempt_id)
         return self._turn()
 
-    def finished(self, now, attempt_id, *, whole, cost, stopped=False):
+    def finished(self, now, attempt_id, *, is_complete, cost, stopped=False):
         """Start the next."""
         self._running.discard(attempt_id)
         return self._turn()
 
-    def query(self, now, attempt_id, *, cancel):
+    def resolve_status(self, now, attempt_id, *, cancel):
         """Take out of the line."""
         if attempt_id in self._line:
             self._line.remove(attempt_id)
@@ -136,15 +136,15 @@
         while self._line and len(self._running) < self._limit:
             attempt_id = self._line.pop(0)
             self._running.add(attempt_id)
-            effects.append(Start(attempt_id))
+            effects.append(StartRequest(attempt_id))
         return effects
 
     def _ignore(self, *args):
         return ()
 
-    bids = _ignore
+    update_bids = _ignore
     decline = _ignore
-    entry_lost = _ignore
+    entry_disconnected = _ignore
     resize = _ignore
     drain = _ignore
     tick = _ignore
@@ -177,13 +177,15 @@
         super().__init__(incarnation, limit)
         self._served = defaultdict(int)
 
-    def bids(self, now, entry, bids):
+    def update_bids(self, now, entry, bids):
         """Replace tags by the turns of the entry."""
         waiting = sum(row.waiting for row in bids.rows)
         turn = max(self._served[entry], min(self._served.values()))
         self._served[entry] = turn
         rows = (BidRow(entry, turn, waiting, 1),) if waiting else ()
-        effects = super().bids(now, entry, Bids('', bids.grants_seen, rows))
+        effects = super().update_bids(
+            now, entry, Bids('', bids.grants_seen, rows)
+        )
         for effect in effects:
             if isinstance(effect, SendGrant):
                 self._served[effect.entry] += 1
--- a/tests/side/side_fakes.py
+++ b/tests/side/side_fakes.py
@@ -10,12 +10,12 @@
     Admission,
     Announce,
     Arrival,
+    CancelRequest,
     RefusalReason,
-    Refuse,
+    RefuseRequest,
     SendGrant,
     SideEffect,
-    Start,
-    Stop,
+    StartRequest,
 )
 from sardinetrack.catalogue.api import Pool
 from sardinetrack.messages.api import (
@@ -55,7 +55,7 @@
         if known is not None:
             tombstone = known is Fate.NOT_STARTED
             return [
-                Refuse(
+                RefuseRequest(
                     arrival.attempt_id,
                     RefusalReason.TOMBSTONED
                     if tombstone
@@ -63,13 +63,15 @@
                 )
             ]
         if self.draining:
-            return [Refuse(arrival.attempt_id, RefusalReason.DRAINING)]
+            return [RefuseRequest(arrival.attempt_id, RefusalReason.DRAINING)]
         if self.running >= self.limit:
-            return [Refuse(arrival.attempt_id, RefusalReason.BUSY)]
+            return [RefuseRequest(arrival.attempt_id, RefusalReason.BUSY)]
         self.fates[arrival.attempt_id] = Fate.RUNNING
-        return [Start(arrival.attempt_id), Announce()]
+        return [StartRequest(arrival.attempt_id), Announce()]
 
-    def bids(self, now: float, entry: str, bids: Bids) -> Sequence[SideEffect]:
+    def update_bids(
+        self, now: float, entry: str, bids: Bids
+    ) -> Sequence[SideEffect]:
         """Grant number 7 for any bids."""
         self.calls.append(f'bids {entry}')
         return [SendGrant(entry, Grant(7, valid_seconds=1))]
@@ -81,7 +83,9 @@
         self.calls.append(f'decline {entry} {number}')
         return ()
 
-    def entry_lost(self, now: float, entry: str) -> Sequence[SideEffect]:
+    def entry_disconnected(
+        self, now: float, entry: str
+    ) -> Sequence[SideEffect]:
         """Record the call."""
         self.calls.append(f'lost {entry}')
         return ()
@@ -91,23 +95,23 @@
         now: float,
         attempt_id: str,
         *,
-        whole: bool,
+        is_complete: bool,
         cost: float,
         stopped: bool = False,
     ) -> Sequence[SideEffect]:
         """Record the end."""
         fate = Fate.STOPPED if stopped else Fate.FAILED
-        self.fates[attempt_id] = Fate.FINISHED if whole else fate
-        self.ends.append(AttemptEnded(attempt_id, whole, cost))
+        self.fates[attempt_id] = Fate.FINISHED if is_complete else fate
+        self.ends.append(AttemptEnded(attempt_id, is_complete, cost))
         return [Announce()]
 
-    def query(
+    def resolve_status(
         self, now: float, attempt_id: str, *, cancel: bool
     ) -> tuple[Fate, Sequence[SideEffect]]:
         """Return the fate; an unknown attempt never starts."""
         fate = self.fates.setdefault(attempt_id, Fate.NOT_STARTED)
         stop = cancel and fate is Fate.RUNNING
-        return fate, [Stop(attempt_id)] if stop else []
+        return fate, [CancelRequest(attempt_id)] if stop else []
 
     def resize(self, now: float, limit: int) -> Sequence[SideEffect]:
         """Change the number of slots."""
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -501,14 +501,14 @@
     '{seconds:g} seconds ago',
 )
 def received_refusal(context, seconds):
-    received = context.refusal.returned_seconds
+    received = context.refusal.since_refusal_seconds
     assert seconds <= received < seconds + 0.2, received
 
 
 @then('another caller was not refused before')
 def not_refused_before(context):
     request_for_caller(context, 2, 8)
-    assert not context.refusal.returned_seconds
+    assert not context.refusal.since_refusal_seconds
 
 
 @when('{count:d} different callers are refused')
@@ -547,7 +547,7 @@
             '',
             due,
             fingerprint=f'c{caller}',
-            returned_seconds=known,
+            since_refusal_seconds=known,
         )
         request = side.request
         side.request = handled.append
