--- a/benchmarks/slopes/memory.py
+++ b/benchmarks/slopes/memory.py
@@ -51,7 +51,7 @@
 def _ledger(peers: int) -> Ledger:
     ledger = Ledger()
     for number in range(peers):
-        ledger.hear(1.0, samples.report(850, f'entry-{number}'))
+        ledger.apply_report(1.0, samples.report(850, f'entry-{number}'))
     return ledger
 
 
--- a/src/sardinetrack/fairness/ledger.py
+++ b/src/sardinetrack/fairness/ledger.py
@@ -84,7 +84,7 @@
             if account.peer_waiting > 0
         )
 
-    def meet(self, virtual_time: float) -> None:
+    def adopt_virtual_time(self, virtual_time: float) -> None:
         """Adopt the fleet's virtual time while unsynced.
 
         :param virtual_time: as a side reports it.
@@ -95,7 +95,7 @@
         for account in self._accounts.values():
             account.settled_service = max(account.settled_service, virtual_time)
 
-    def wait(self, now: float, workspace: str, waiting: int) -> None:
+    def set_waiting(self, now: float, workspace: str, waiting: int) -> None:
         """Set how many requests of a workspace wait here.
 
         :param now: monotonic time.
@@ -178,7 +178,7 @@
             )
             account.outstanding = 0
 
-    def hear(self, now: float, report: ServiceReport) -> None:
+    def apply_report(self, now: float, report: ServiceReport) -> None:
         """Apply a peer's report.
 
         :param now: monotonic time.
@@ -186,7 +186,7 @@
         """
         peer = self._peers.get(report.entry)
         if peer is None or peer.incarnation != report.incarnation:
-            self.lose(report.entry)
+            self.remove_peer(report.entry)
             peer = Peer(report.incarnation)
             self._peers[report.entry] = peer
         peer.live = True
@@ -194,7 +194,7 @@
             self._apply_row(peer, row, report)
         self.synced = self.synced or report.synced
 
-    def lose(self, entry: str) -> None:
+    def remove_peer(self, entry: str) -> None:
         """Mark a peer as disconnected; its charges count as service received.
 
         Dropping its charges instead would lower tags and give its workspaces
@@ -275,7 +275,9 @@
         account = self._accounts.get(row.workspace)
         if account is None:
             account = self.account(row.workspace)
-            account.settled_service = max(account.settled_service, row.level)
+            account.settled_service = max(
+                account.settled_service, row.reported_settled_service
+            )
         was_backlogged = account.backlogged
         earlier = peer.rows.get(row.workspace)
         if earlier is not None:
@@ -283,7 +285,7 @@
         self._replace(account, earlier, row)
         peer.rows[row.workspace] = row
         if report.synced:
-            self._align(account, row.level)
+            self._align(account, row.reported_settled_service)
         if account.backlogged and not was_backlogged:
             self._lift(account)
 
--- a/src/sardinetrack/messages/api.py
+++ b/src/sardinetrack/messages/api.py
@@ -79,7 +79,7 @@
     """Settled cost per weight since the entry started; never decreases."""
     running: int
     waiting: int
-    level: float = 0
+    reported_settled_service: float = 0
     """Settled tag of the workspace, as the sender computes it for the fleet."""
     outstanding: float = 0
     """Charge per weight for running requests, not settled yet."""
--- a/src/sardinetrack/routing/pool.py
+++ b/src/sardinetrack/routing/pool.py
@@ -167,7 +167,7 @@
         if side is None:
             return ()
         self.sides.update(side, load)
-        self.ledger.meet(load.virtual_time)
+        self.ledger.adopt_virtual_time(load.virtual_time)
         return self.dispatch_ready(now)
 
     def send_bids(self, now: float) -> Sequence[EntryEffect]:
@@ -309,7 +309,7 @@
         return SendToSide(side.info.side, self.bids(side))
 
     def _update_waiting(self, now: float, workspace: str) -> None:
-        self.ledger.wait(now, workspace, self.queue.waiting(workspace))
+        self.ledger.set_waiting(now, workspace, self.queue.waiting(workspace))
 
     def _refresh_bids(self, now: float) -> Sequence[EntryEffect]:
         if not len(self.queue):
--- a/src/sardinetrack/routing/router.py
+++ b/src/sardinetrack/routing/router.py
@@ -157,7 +157,7 @@
         report: ServiceReport,
     ) -> Sequence[EntryEffect]:
         """Apply a report of the service that workspaces received elsewhere."""
-        self._pool(report.pool).ledger.hear(now, report)
+        self._pool(report.pool).ledger.apply_report(now, report)
         return ()
 
     def peer_linked(self, now: float, entry: str) -> Sequence[Strike]:
@@ -173,7 +173,7 @@
     def peer_lost(self, now: float, entry: str) -> Sequence[EntryEffect]:
         """Handle the loss of the link to another entry."""
         for pool in self._pools.values():
-            pool.ledger.lose(entry)
+            pool.ledger.remove_peer(entry)
         self._shared.strike_sync.untrack_peer(entry)
         return self._shared.strike_sync.due(now)
 
--- a/tests/fairness/steps/ledger_steps.py
+++ b/tests/fairness/steps/ledger_steps.py
@@ -21,9 +21,9 @@
 @given('a synced ledger')
 def synced(context):
     fresh(context)
-    context.ledger.wait(0, 'nobody', 0)
+    context.ledger.set_waiting(0, 'nobody', 0)
     context.now = SYNC_SECONDS
-    context.ledger.wait(context.now, 'nobody', 0)
+    context.ledger.set_waiting(context.now, 'nobody', 0)
 
 
 @step('peer {entry} reports {name} at service {service:g}')
@@ -37,7 +37,7 @@
     context.services[entry] = service
     level = context.ledger.account(name).settled_service + served
     row = ServiceRow(name, service, 0, 0, level, more)
-    context.ledger.hear(
+    context.ledger.apply_report(
         context.now,
         ServiceReport(entry, 'first', 'ice-llm', (row,)),
     )
@@ -55,17 +55,17 @@
 
 @step('{name} waits')
 def wait(context, name):
-    context.ledger.wait(context.now, name, 1)
+    context.ledger.set_waiting(context.now, name, 1)
 
 
 @when('peer {entry} disconnects')
 def disconnect(context, entry):
-    context.ledger.lose(entry)
+    context.ledger.remove_peer(entry)
 
 
 @when('a side reports virtual time {time:g}')
 def adopt(context, time):
-    context.ledger.meet(time)
+    context.ledger.adopt_virtual_time(time)
 
 
 @when('{name} starts a request estimated at {estimate:g}')
