--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -15,7 +15,7 @@
 from timeit import repeat
 
 from sardinetrack.placement.choice import Candidate, by_prompt
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.placement.prompt import Prompt, PromptPart
 from sardinetrack.topology.servers import BackendServer
 
@@ -53,7 +53,7 @@
 
 def _order(size: int) -> Callable[[], object]:
     servers = [_server(number) for number in range(size)]
-    loads = {one.instance: ServerLoad() for one in servers}
+    loads = {one.instance: EstimatedLoad() for one in servers}
     holders = (servers[0].ip,)
     return lambda: by_prompt(_PROMPT, servers, loads, holders)
 
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -16,7 +16,7 @@
 from sardinetrack.placement.choice import Candidate, by_prompt, with_room
 from sardinetrack.placement.holdings import Holdings
 from sardinetrack.placement.home import shared_part
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.placing import GUEST_SECONDS, MOST_ASKED
 from sardinetrack.turns.side import WORD_SECONDS
 
@@ -43,7 +43,7 @@
         engines = [Engine(one, shape) for one in range(shape.engines)]
         self._engines = {one.server.instance: one for one in engines}
         self._loads = {
-            name: ServerLoad(
+            name: EstimatedLoad(
                 rate_tokens=shape.rate_tokens,
             )
             for name in self._engines
@@ -85,7 +85,7 @@
         ask = Ask(
             f'{request.name}.{int(request.returned)}.{len(attempt.tried)}',
             request.workspace,
-            candidate.new_tokens,
+            candidate.prefill_tokens,
             request.own_tokens,
             self._shape.answer_tokens,
             GUEST_SECONDS if guest else patience,
@@ -101,7 +101,7 @@
         if len(attempt.tried) >= MOST_ASKED:
             return None
         prompt = attempt.request.prompt
-        held = self._holdings.of(now, shared_part(prompt))
+        held = self._holdings.servers_with(now, shared_part(prompt))
         servers = [engine.server for engine in self._engines.values()]
         found = by_prompt(prompt, servers, self._loads, held)
         found = [
@@ -189,11 +189,11 @@
     def _word(self, now: float) -> None:
         for name, engine in self._engines.items():
             admission = engine.admission
-            self._loads[name].hear(
+            self._loads[name].update(
                 admission.wait_seconds(now),
                 admission.rate_tokens,
             )
-            self._holdings.note(now, engine.server.ip, engine.told)
+            self._holdings.record(now, engine.server.ip, engine.told)
             engine.told.clear()
 
 
--- a/src/sardinetrack/emulator/load.py
+++ b/src/sardinetrack/emulator/load.py
@@ -82,7 +82,7 @@
     @property
     def own_tokens(self) -> int:
         """Tokens that no other request shares."""
-        return self.prompt.parts[-1].tokens
+        return self.prompt.blocks[-1].tokens
 
 
 def draw(
--- a/src/sardinetrack/placement/choice.py
+++ b/src/sardinetrack/placement/choice.py
@@ -20,7 +20,7 @@
 
 from sardinetrack.placement.holdings import SHARED_TOKENS
 from sardinetrack.placement.home import ranked, shared_part, shared_tokens
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.placement.prompt import Prompt
 from sardinetrack.topology.servers import BackendServer
 
@@ -48,9 +48,9 @@
 """
 MEAN_REPORT_AGE_SECONDS: Final = 0.08
 """Mean age of a report; it does not include what was granted since."""
-LEAVE_SECONDS: Final = 0.1
+SWITCH_SERVER_SECONDS: Final = 0.1
 """From giving up on a server to another one's first event, without prefill."""
-_UNKNOWN: Final = ServerLoad()
+_UNKNOWN: Final = EstimatedLoad()
 _COST: Final = attrgetter('cost_seconds')
 
 
@@ -65,9 +65,9 @@
     server: BackendServer
     wait_seconds: float
     cost_seconds: float
-    new_tokens: int
+    prefill_tokens: int
     """Prompt tokens that it would have to prefill."""
-    again_tokens: int = 0
+    recomputed_tokens: int = 0
     """Those of them that the home server would not have to prefill."""
     prefilled_seconds: float = 0
     """Until the prompt would be prefilled there."""
@@ -75,13 +75,13 @@
     @property
     def is_guest(self) -> bool:
         """Whether its shared prefix would be computed there once more."""
-        return self.again_tokens > 0
+        return self.recomputed_tokens > 0
 
 
 def by_prompt(
     prompt: Prompt,
     servers: Sequence[BackendServer],
-    loads: Mapping[str, ServerLoad],
+    loads: Mapping[str, EstimatedLoad],
     cached_at: Collection[str] = (),
 ) -> list[Candidate]:
     """Order the servers of a model pool, the best first.
@@ -116,7 +116,7 @@
 
 def by_load(
     servers: Sequence[BackendServer],
-    loads: Mapping[str, ServerLoad],
+    loads: Mapping[str, EstimatedLoad],
     failure_domain: str,
     entries: int,
 ) -> list[Candidate]:
@@ -126,7 +126,7 @@
     """
     candidates: list[Candidate] = []
     for server in servers:
-        load = loads.get(server.instance) or ServerLoad()
+        load = loads.get(server.instance) or EstimatedLoad()
         running = max(load.running * entries, load.reported_running)
         is_remote = server.failure_domain != failure_domain
         cost = (
@@ -180,7 +180,9 @@
         one.wait_seconds + max(0, extra_seconds) + MEAN_REPORT_AGE_SECONDS
     )
     spare_seconds = (
-        first_event_due_seconds - other.prefilled_seconds - LEAVE_SECONDS
+        first_event_due_seconds
+        - other.prefilled_seconds
+        - SWITCH_SERVER_SECONDS
     )
     if spare_seconds < 0:
         # It would be late there too, and compute a prefix again besides.
@@ -188,7 +190,7 @@
     return min(stay_seconds, spare_seconds)
 
 
-def without(
+def excluding(
     candidates: Sequence[Candidate],
     instances: Collection[str],
 ) -> list[Candidate]:
@@ -204,9 +206,9 @@
 
 
 def _own_tokens(prompt: Prompt) -> int:
-    if not prompt.parts:
+    if not prompt.blocks:
         return prompt.tokens
-    return min(prompt.tokens, prompt.parts[-1].tokens)
+    return min(prompt.tokens, prompt.blocks[-1].tokens)
 
 
 @dataclass(frozen=True, slots=True)
@@ -253,7 +255,7 @@
 
 def _model_candidate(
     server: BackendServer,
-    load: ServerLoad,
+    load: EstimatedLoad,
     work: _PrefillWork,
     rank: int,
 ) -> Candidate:
--- a/src/sardinetrack/placement/holdings.py
+++ b/src/sardinetrack/placement/holdings.py
@@ -31,18 +31,18 @@
         self._last_uses: dict[str, dict[str, float]] = {}
         self._retention_seconds: dict[str, float] = {}
 
-    def note(self, now: float, ip: str, prefixes: Iterable[str]) -> None:
+    def record(self, now: float, ip: str, prefixes: Iterable[str]) -> None:
         """Record that a server has prefilled or used prefixes."""
         for prefix in prefixes:
             self._last_uses.setdefault(prefix, {})[ip] = now
         if len(self._last_uses) > _MAX_PREFIXES:
             self._drop_expired(now)
 
-    def keeps(self, ip: str, seconds: float) -> None:
+    def set_retention(self, ip: str, seconds: float) -> None:
         """Set how long a server caches a prefix after its last use."""
         self._retention_seconds[ip] = seconds
 
-    def of(self, now: float, prefix: str) -> Mapping[str, float]:
+    def servers_with(self, now: float, prefix: str) -> Mapping[str, float]:
         """Return the servers that should cache a prefix, with the last use."""
         return {
             ip: used
@@ -51,7 +51,7 @@
             < self._retention_seconds.get(ip, DEFAULT_RETENTION_SECONDS)
         }
 
-    def lose(self, ip: str) -> None:
+    def remove_server(self, ip: str) -> None:
         """Drop the prefixes of a server that has restarted."""
         self._retention_seconds.pop(ip, None)
         for used in self._last_uses.values():
@@ -61,5 +61,5 @@
         self._last_uses = {
             prefix: servers
             for prefix in self._last_uses
-            if (servers := dict(self.of(now, prefix)))
+            if (servers := dict(self.servers_with(now, prefix)))
         }
--- a/src/sardinetrack/placement/home.py
+++ b/src/sardinetrack/placement/home.py
@@ -26,7 +26,7 @@
     :param prompt: with its blocks in order.
     :return: the id of that block, empty for a prompt without blocks.
     """
-    parts = prompt.parts
+    parts = prompt.blocks
     if not parts:
         return ''
     return parts[-2].part_id if len(parts) > 1 else parts[0].part_id
@@ -34,7 +34,7 @@
 
 def shared_tokens(prompt: Prompt) -> int:
     """Return the number of tokens in the shared prefix."""
-    return sum(part.tokens for part in prompt.parts[:-1])
+    return sum(part.tokens for part in prompt.blocks[:-1])
 
 
 def ranked(key: str, names: Iterable[str]) -> list[str]:
--- a/src/sardinetrack/placement/load.py
+++ b/src/sardinetrack/placement/load.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class ServerLoad:
+class EstimatedLoad:
     """Load of one server: its side's last report, and what was added since."""
 
     told_wait_seconds: float = 0
@@ -32,12 +32,12 @@
         """Estimate how long a request that is sent now waits."""
         return self.told_wait_seconds + self.added_tokens / self.rate_tokens
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Reset the estimates: the server has restarted and is idle."""
-        self.hear(0, FIRST_RATE)
+        self.update(0, FIRST_RATE)
         self.reported_running = 0
 
-    def hear(
+    def update(
         self,
         wait_seconds: float,
         rate_tokens: float,
--- a/src/sardinetrack/placement/prompt.py
+++ b/src/sardinetrack/placement/prompt.py
@@ -17,13 +17,13 @@
 class Prompt:
     """Blocks and lengths of a prompt, and the length of its response."""
 
-    parts: tuple[PromptPart, ...] = ()
+    blocks: tuple[PromptPart, ...] = ()
     """In order; the last one belongs to the request or its session alone."""
     tokens: int = 0
     """Length of the prompt."""
-    answer_tokens: int = 0
+    output_tokens: int = 0
     """Maximum length of the response, or the caller's estimate."""
-    most_answer_tokens: int = 0
+    max_output_tokens: int = 0
     """Maximum length of the response."""
     is_estimated: bool = False
     """Whether the caller has sent an estimate."""
--- a/src/sardinetrack/relay/candidate_order.py
+++ b/src/sardinetrack/relay/candidate_order.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-from sardinetrack.placement.choice import Candidate, with_room, without
+from sardinetrack.placement.choice import Candidate, excluding, with_room
 
 STALE_SECONDS: Final = 0.1
 """Age from which the order of servers is computed again for the next try.
@@ -46,7 +46,7 @@
     def mark_tried(self, candidate: Candidate) -> None:
         """Mark a server as tried."""
         self._tried.add(candidate.server.instance)
-        self._candidates = without(self._candidates, self._tried)
+        self._candidates = excluding(self._candidates, self._tried)
 
     def best(self, max_wait_seconds: float) -> Candidate | None:
         """Return the best server that was not tried and reports free capacity.
@@ -56,6 +56,6 @@
         """
         now = self._clock()
         if now - self._ranked_seconds > STALE_SECONDS:
-            self._candidates = without(self._rank(), self._tried)
+            self._candidates = excluding(self._rank(), self._tried)
             self._ranked_seconds = now
         return next(with_room(self._candidates, max_wait_seconds), None)
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -206,7 +206,7 @@
         self.sides.keep({one.ip for one in listed.values()})
         for removed in set(self._known) - set(listed):
             # The next server at its address starts with an empty cache.
-            self.holdings.lose(self._known[removed].ip)
+            self.holdings.remove_server(self._known[removed].ip)
             if self._known[removed].leaving:
                 self.crashes.forget(removed)
             else:
@@ -237,7 +237,7 @@
         The requests that ran when it crashed become suspect. The load of a
         model engine is reset with its link.
         """
-        self.holdings.lose(former.ip)
+        self.holdings.remove_server(former.ip)
         self.connections.forget(former.address)
         self.server_states.forget(server.instance)
         self.meters.restarts += 1
--- a/src/sardinetrack/relay/lengths.py
+++ b/src/sardinetrack/relay/lengths.py
@@ -24,13 +24,13 @@
 
     def tokens(self, route: str, prompt: Prompt) -> int:
         """Return the likely output length for a prompt."""
-        maximum = prompt.most_answer_tokens
+        maximum = prompt.max_output_tokens
         if not prompt.is_estimated:
             log_ratio = self._log_ratios.get(route, float(0))
             return math.ceil(maximum * math.exp(log_ratio))
         if maximum:
-            self._learn(route, max(1, prompt.answer_tokens) / maximum)
-        return prompt.answer_tokens
+            self._learn(route, max(1, prompt.output_tokens) / maximum)
+        return prompt.output_tokens
 
     def _learn(self, route: str, ratio: float) -> None:
         log_ratio = math.log(ratio)
--- a/src/sardinetrack/relay/permit.py
+++ b/src/sardinetrack/relay/permit.py
@@ -7,7 +7,7 @@
 
 from sardinetrack.admission.ask import Ask, Granted
 from sardinetrack.placement.choice import Candidate
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.fleet import Fleet
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.turns.clock import loop_now
@@ -40,7 +40,7 @@
     Simultaneous requests are all placed before any of them is sent.
     """
 
-    def __init__(self, load: ServerLoad) -> None:
+    def __init__(self, load: EstimatedLoad) -> None:
         """Count the request.
 
         :param load: of the chosen server.
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/placing.py
@@ -17,7 +17,7 @@
     Candidate,
     by_load,
     by_prompt,
-    without,
+    excluding,
     worth_waiting_seconds,
 )
 from sardinetrack.placement.holdings import SHARED_TOKENS
@@ -131,7 +131,9 @@
                 self._call.prompt,
                 servers,
                 fleet.server_states.loads,
-                fleet.holdings.of(self._loop.time(), self._shared_prefix),
+                fleet.holdings.servers_with(
+                    self._loop.time(), self._shared_prefix
+                ),
             )
         else:
             candidates = by_load(
@@ -145,8 +147,8 @@
                 fleet.entries,
             )
         trace = self._trace
-        untried = without(candidates, {*trace.servers, *trace.unreachable})
-        return untried or without(candidates, trace.unreachable)
+        untried = excluding(candidates, {*trace.servers, *trace.unreachable})
+        return untried or excluding(candidates, trace.unreachable)
 
     async def _acquire_permit(
         self,
@@ -212,7 +214,7 @@
         )
         if admission_request.shared_prefix:
             ip = candidate.server.ip
-            self._fleet.holdings.note(
+            self._fleet.holdings.record(
                 now, ip, (admission_request.shared_prefix,)
             )
 
@@ -230,8 +232,8 @@
         return Ask(
             ask_id=f'{request_id}.{number}',
             workspace=plan.workspace_name,
-            prefill_tokens=candidate.new_tokens,
-            kept_tokens=candidate.new_tokens + self._output_tokens(plan),
+            prefill_tokens=candidate.prefill_tokens,
+            kept_tokens=candidate.prefill_tokens + self._output_tokens(plan),
             output_tokens=self._output_tokens(plan),
             max_wait_seconds=(
                 GUEST_SECONDS if candidate.is_guest else wait_limit_seconds
--- a/src/sardinetrack/relay/sender.py
+++ b/src/sardinetrack/relay/sender.py
@@ -9,7 +9,7 @@
 
 from sardinetrack.logs.events import Event
 from sardinetrack.placement.choice import Candidate
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.api import Call, Dialect, Sending
 from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
 from sardinetrack.relay.caller_connection import CallerConnection
@@ -49,7 +49,7 @@
     server: BackendServer
     breaker: Breaker
     generation: int
-    load: ServerLoad
+    load: EstimatedLoad
 
     @classmethod
     def of(cls, fleet: Fleet, server: BackendServer) -> Self:
@@ -176,7 +176,7 @@
         self._log_sent(plan, candidate)
         self.attempt = attempt
         load = self._fleet.server_states.load(server)
-        load.added_tokens += candidate.new_tokens
+        load.added_tokens += candidate.prefill_tokens
         try:
             connection.send(
                 request,
@@ -236,8 +236,8 @@
             config_age_seconds=round(fleet.freshness.age_seconds(), _DIGITS),
             waited_seconds=round(trace.waited_seconds, _DIGITS),
             server_wait_seconds=round(candidate.wait_seconds, _DIGITS),
-            new_tokens=candidate.new_tokens,
-            again_tokens=candidate.again_tokens,
+            new_tokens=candidate.prefill_tokens,
+            again_tokens=candidate.recomputed_tokens,
         )
 
     def _record_outcome(self, target: _Target, attempt: Attempt) -> None:
--- a/src/sardinetrack/relay/server_states.py
+++ b/src/sardinetrack/relay/server_states.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.cold_start import ColdStartTracker
 from sardinetrack.relay.lengths import OutputLengths
 from sardinetrack.relay.side_links import SideLinks
@@ -24,7 +24,7 @@
         """
         self.cold_starts = ColdStartTracker(sides)
         self.lengths = OutputLengths()
-        self.loads: dict[str, ServerLoad] = {}
+        self.loads: dict[str, EstimatedLoad] = {}
         self._breakers: dict[str, Breaker] = {}
         self._local_admissions: dict[str, LocalDesk] = {}
 
@@ -32,11 +32,11 @@
         """Count the servers for which any state is kept."""
         return len({*self.loads, *self._breakers, *self._local_admissions})
 
-    def load(self, server: BackendServer) -> ServerLoad:
+    def load(self, server: BackendServer) -> EstimatedLoad:
         """Return the estimated load of a server."""
         load = self.loads.get(server.instance)
         if load is None:
-            load = ServerLoad()
+            load = EstimatedLoad()
             self.loads[server.instance] = load
         return load
 
--- a/src/sardinetrack/relay/side_links.py
+++ b/src/sardinetrack/relay/side_links.py
@@ -10,7 +10,7 @@
 from sardinetrack.messages.api import Strike
 from sardinetrack.placement.holdings import Holdings
 from sardinetrack.placement.home import ranked
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.crashes import CrashWatch
 from sardinetrack.relay.settings import NodeSettings
 from sardinetrack.topology.cold import ColdWord
@@ -93,7 +93,7 @@
         server: BackendServer,
         pool: Pool,
         cold: ColdWord,
-    ) -> ServerLoad:
+    ) -> EstimatedLoad:
         """Return the load that a side reports; open a link to a new side."""
         link = self._links.get(server.ip)
         if link is not None and link.pool != pool.name:
@@ -156,7 +156,7 @@
             (pool.name, server.failure_domain),
             Hello(self._settings.instance, pool.slots, pool.memory_tokens),
             Beliefs(
-                ServerLoad(),
+                EstimatedLoad(),
                 self._holdings,
                 self.views,
                 self._crashes,
--- a/src/sardinetrack/turns/entry.py
+++ b/src/sardinetrack/turns/entry.py
@@ -13,7 +13,7 @@
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.messages.api import Strike
 from sardinetrack.placement.holdings import Holdings
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.topology.cold import ColdWord
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.starts import UNKNOWN_START_HASH, ServerStart
@@ -73,7 +73,7 @@
 class Beliefs:
     """State of one server that the messages of its side update."""
 
-    load: ServerLoad
+    load: EstimatedLoad
     prefix_index: Holdings
     view_receiver: Inbox
     strike_listener: Crashes
@@ -175,13 +175,13 @@
         self.entries = max(1, message.entries)
         if not self._state.is_current_start(message.start_hash):
             return
-        self._state.load.hear(
+        self._state.load.update(
             message.wait_seconds,
             message.rate_tokens,
         )
         prefix_index = self._state.prefix_index
-        prefix_index.note(now, self._ip, message.prefixes)
-        prefix_index.keeps(self._ip, message.retention_seconds)
+        prefix_index.record(now, self._ip, message.prefixes)
+        prefix_index.set_retention(self._ip, message.retention_seconds)
 
     def _resolve(self, message: TurnGranted | TurnRefused) -> None:
         waiting = self._pending.pop(message.ask_id, None)
@@ -281,7 +281,7 @@
         state.start = start
         state.cold = cold
         if known is not None and start.supersedes(known):
-            state.load.restart()
+            state.load.reset()
             changed = True
         if changed:
             self.tell(state.start_message(start))
@@ -323,7 +323,7 @@
         connection.abort()
         connection.handle_disconnected()
         self.lines = None
-        self.load.hear(0, self.load.rate_tokens)
+        self.load.update(0, self.load.rate_tokens)
         self._log.write(Event.SIDE_LOST, side=self.name)
         return True
 
--- a/tests/placement/steps/choice_steps.py
+++ b/tests/placement/steps/choice_steps.py
@@ -15,7 +15,7 @@
 )
 from sardinetrack.placement.holdings import Holdings
 from sardinetrack.placement.home import ranked
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.placement.prompt import Prompt, PromptPart
 from sardinetrack.topology.servers import BackendServer
 
@@ -45,7 +45,7 @@
 
 
 def _idle():
-    return ServerLoad()
+    return EstimatedLoad()
 
 
 @given('{count:d} idle engines')
@@ -96,7 +96,7 @@
     context.loads = {server.instance: _idle() for server in context.servers}
     context.home = _best(context, _prompt('hot'))
     load = context.loads[context.home]
-    load.hear(seconds, load.rate_tokens)
+    load.update(seconds, load.rate_tokens)
 
 
 @when(
@@ -108,7 +108,7 @@
         prompt = Prompt((), 2000, 50)
         best = by_prompt(prompt, context.servers, context.loads)[0]
         name = best.server.instance
-        context.loads[name].added_tokens += best.new_tokens
+        context.loads[name].added_tokens += best.prefill_tokens
         context.placed.append(name)
 
 
@@ -246,7 +246,7 @@
 
 @then('one server would prefill it as its home server, and the others again')
 def one_home(context):
-    recomputed = [one.again_tokens for one in context.found]
+    recomputed = [one.recomputed_tokens for one in context.found]
     assert recomputed[0] == 0, recomputed
     assert set(recomputed[1:]) == {5000}, recomputed
 
@@ -257,14 +257,14 @@
 )
 def open_holdings(context, seconds):
     context.holdings = Holdings()
-    context.holdings.keeps('10.0.0.1', seconds)
+    context.holdings.set_retention('10.0.0.1', seconds)
 
 
 @when('both have used a prefix {seconds:g} seconds ago')
 def both_used(context, seconds):
     for ip in ('10.0.0.1', '10.0.0.2'):
-        context.holdings.note(100, ip, ('p7',))
-    context.cached = context.holdings.of(100 + seconds, 'p7')
+        context.holdings.record(100, ip, ('p7',))
+    context.cached = context.holdings.servers_with(100 + seconds, 'p7')
 
 
 @then('only the one that reports nothing counts as caching it')
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -34,8 +34,8 @@
     async def act():
         fleet, server = context.world.fleet, _first(context)
         now = asyncio.get_running_loop().time()
-        fleet.holdings.note(now, server.ip, (_PREFIX,))
-        fleet.server_states.load(server).hear(3, _RATE)
+        fleet.holdings.record(now, server.ip, (_PREFIX,))
+        fleet.server_states.load(server).update(3, _RATE)
         kept = await fleet.connections.take(server.address)
         fleet.connections.give_back(server.address, kept)
         breaker = fleet.server_states.breaker(server)
@@ -61,7 +61,7 @@
     fleet, server = context.world.fleet, _first(context)
     load = fleet.server_states.load(server)
     return (
-        bool(fleet.holdings.of(context.world.loop.time(), _PREFIX)),
+        bool(fleet.holdings.servers_with(context.world.loop.time(), _PREFIX)),
         fleet.server_states.breaker(server).state is BreakerState.OPEN,
         load.rate_tokens == _RATE and load.told_wait_seconds == 3,
         fleet.connections.connections(server.address) == 1,
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -10,7 +10,7 @@
 from sardinetrack.logs.events import EventLog
 from sardinetrack.messages.api import Strike
 from sardinetrack.placement.holdings import Holdings
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.crashes import STRIKE_SECONDS, CrashWatch
 from sardinetrack.topology.cold import ColdWord
 from sardinetrack.topology.freshness import boot_clock
@@ -53,7 +53,7 @@
 
     def __init__(self, name, slots):
         self.holdings = Holdings()
-        self.load = ServerLoad()
+        self.load = EstimatedLoad()
         self.crashes = CrashWatch()
         self.received = _ReceivedStarts()
         self.state = Beliefs(
@@ -330,7 +330,7 @@
     async def act():
         await asyncio.sleep(seconds)
         now = asyncio.get_running_loop().time()
-        return _entry(context, number).holdings.of(now, prefix)
+        return _entry(context, number).holdings.servers_with(now, prefix)
 
     return _run(context, act())
 
