--- a/src/sardinetrack/compose/node.py
+++ b/src/sardinetrack/compose/node.py
@@ -24,7 +24,7 @@
 from sardinetrack.relay.fleet import Fleet
 from sardinetrack.relay.ready import PageConnection, readiness_page
 from sardinetrack.relay.settings import NodeSettings
-from sardinetrack.turns.side import Side
+from sardinetrack.turns.side import SideServer
 
 _FLUSH_INTERVAL_SECONDS: Final = 0.2
 _GC_THRESHOLDS: Final = (20_000, 20, 100)
@@ -121,7 +121,7 @@
     store = PlatformStore(settings.store)
     watcher = side_watcher(settings, store, log)
     address = (settings.ip, settings.turns_port)
-    async with Side(address, watcher, log) as side:
+    async with SideServer(address, watcher, log) as side:
         await _serve_metrics(
             settings,
             lambda metrics: metrics.side_metrics(side, store.use),
--- a/src/sardinetrack/relay/crashes.py
+++ b/src/sardinetrack/relay/crashes.py
@@ -10,7 +10,7 @@
 from sardinetrack.messages.api import Strike
 from sardinetrack.relay.api import Call
 from sardinetrack.routing.strikes import StrikeBook
-from sardinetrack.turns.entry import Crashes
+from sardinetrack.turns.entry import StrikeListener
 
 SERVERS_TO_BLOCK: Final = 3
 """Different servers that crash while running a request before it is refused.
@@ -39,7 +39,7 @@
     return digest.hexdigest()
 
 
-class CrashWatch(Crashes):
+class CrashWatch(StrikeListener):
     """Suspects the requests that ran on a server when it crashed.
 
     A connection that ends while a request runs proves no crash: responses are
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -21,7 +21,7 @@
 from sardinetrack.topology.servers import BackendServer, ServerList
 from sardinetrack.topology.starts import ServerStart
 from sardinetrack.turns.desk import LocalDesk
-from sardinetrack.turns.entry import Restarts, SideLink
+from sardinetrack.turns.entry import RestartListener, SideLink
 
 _BUDGET_RATIO_FRACTION: Final = 0.8
 _BUDGET_SLACK_FRACTION: Final = 0.6
@@ -38,7 +38,7 @@
 ignored."""
 
 
-class Fleet(Restarts):
+class Fleet(RestartListener):
     """Configuration, servers, loads, breakers and budgets of one entry."""
 
     def __init__(self, settings: NodeSettings, log: EventLog) -> None:
@@ -106,7 +106,7 @@
         local_admission = self.server_states.local_admission(
             server, pool, 1 / self.entries
         )
-        local_admission.cool(
+        local_admission.set_cold_period(
             self.server_states.cold_starts.own_period(server, pool)
         )
         return local_admission
--- a/src/sardinetrack/relay/metrics.py
+++ b/src/sardinetrack/relay/metrics.py
@@ -19,7 +19,7 @@
 from sardinetrack.relay.meters import BOUNDS_SECONDS, Histogram
 from sardinetrack.store.api import StoreUse
 from sardinetrack.turns.clock import loop_now
-from sardinetrack.turns.side import Side
+from sardinetrack.turns.side import SideServer
 
 
 class _Page(Collector):
@@ -104,7 +104,7 @@
     )
 
 
-def side_metrics(side: Side, store: StoreUse) -> Iterable[Metric]:
+def side_metrics(side: SideServer, store: StoreUse) -> Iterable[Metric]:
     """Return the metrics of a side.
 
     :param store: its calls to the store since its start.
@@ -127,12 +127,12 @@
     yield _gauge(
         'cold_seconds',
         'How long the engine stays cold',
-        side.engine.cold.left_seconds(loop_now()),
+        side.engine_starts.cold.left_seconds(loop_now()),
     )
     yield _gauge(
         'starts_in_a_row',
         'Starts of the engine of which each ended before it was warm',
-        side.engine.in_a_row,
+        side.engine_starts.in_a_row,
     )
     yield _gauge(
         'followers',
--- a/src/sardinetrack/relay/permit.py
+++ b/src/sardinetrack/relay/permit.py
@@ -74,7 +74,7 @@
 
     def release(self, *, complete: bool) -> None:
         """Release the permit at the side."""
-        self._connection.ended(self._permit_id, whole=complete)
+        self._connection.ended(self._permit_id, is_complete=complete)
 
 
 class LocalPermit(Permit):
@@ -91,11 +91,13 @@
 
     def first_event_received(self) -> None:
         """Inform the local admission."""
-        self._local_admission.begun(self._permit_id)
+        self._local_admission.prefill_finished(self._permit_id)
 
     def release(self, *, complete: bool) -> None:
         """Release it at the local admission."""
-        self._local_admission.withdraw(self._permit_id, whole=complete)
+        self._local_admission.release_permit(
+            self._permit_id, is_complete=complete
+        )
 
 
 class PermitRefusedError(Exception):
@@ -132,8 +134,10 @@
     :raises PermitRefusedError: there is none in time.
     """
     link = fleet.side(candidate.server)
-    if link is not None and link.lines is not None:
-        permit = await _request_from_side(fleet, link.lines, admission_request)
+    if link is not None and link.connection is not None:
+        permit = await _request_from_side(
+            fleet, link.connection, admission_request
+        )
         if permit is not None:
             return permit
     cold_seconds = fleet.server_states.cold_starts.no_send_seconds(
@@ -144,7 +148,7 @@
             cold_seconds, 'cold, and its side is unreachable'
         )
     local_admission = fleet.local_admission(candidate.server, pool)
-    decision = await local_admission.turn(admission_request)
+    decision = await local_admission.request_permit(admission_request)
     if isinstance(decision, Granted):
         return LocalPermit(local_admission, admission_request.ask_id)
     raise PermitRefusedError(
@@ -168,13 +172,13 @@
         round(admission_request.served_tokens),
         admission_request.shared_prefix,
         round(admission_request.first_event_due_seconds, 3),
-        connection.news.rows(loop_now(), fleet.service),
+        connection.service_updates.rows(loop_now(), fleet.service),
         admission_request.fingerprint,
         round(admission_request.until_deadline_seconds, 3),
         round(admission_request.since_refusal_seconds, 3),
     )
     timeout_seconds = admission_request.max_wait_seconds + _RESPONSE_SECONDS
-    response = await connection.ask(message, timeout_seconds)
+    response = await connection.request_permit(message, timeout_seconds)
     if isinstance(response, TurnGranted):
         return SidePermit(connection, admission_request.ask_id)
     if isinstance(response, TurnRefused):
--- a/src/sardinetrack/relay/side_links.py
+++ b/src/sardinetrack/relay/side_links.py
@@ -17,7 +17,7 @@
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.servers import BackendServer
 from sardinetrack.turns.clock import loop_now
-from sardinetrack.turns.entry import Beliefs, Restarts, SideLink
+from sardinetrack.turns.entry import Beliefs, RestartListener, SideLink
 from sardinetrack.turns.messages import Hello, Struck
 from sardinetrack.views.api import Inbox, NoInbox
 
@@ -50,7 +50,7 @@
         settings: NodeSettings,
         holdings: Holdings,
         crashes: CrashWatch,
-        restarts: Restarts,
+        restarts: RestartListener,
         log: EventLog,
     ) -> None:
         """Start without links.
@@ -77,9 +77,9 @@
     def reported_entries(self) -> int | None:
         """The number of entries by the sides; ``None`` without a report."""
         seen = [
-            link.lines.entries
+            link.connection.entries
             for link in self._links.values()
-            if link.lines is not None
+            if link.connection is not None
         ]
         return max(seen, default=None)
 
@@ -102,7 +102,7 @@
             link = None
         if link is None:
             link = self._open(server, pool)
-        link.know(server.start, cold)
+        link.update_start(server.start, cold)
         return link.load
 
     def keep(self, ips: Collection[str]) -> None:
@@ -139,7 +139,7 @@
         """Send strikes to all entries, through one side per failure domain."""
         message = Struck(tuple(strikes))
         for link in broadcast_sides(self.live):
-            link.tell(message)
+            link.send_message(message)
 
     def close(self) -> None:
         """Close all links."""
--- a/src/sardinetrack/turns/desk.py
+++ b/src/sardinetrack/turns/desk.py
@@ -31,7 +31,7 @@
         """Request a permit."""
         self._deliver_all(self.admission.request_permit(loop_now(), request))
 
-    def begun(self, ask_id: str) -> None:
+    def prefill_finished(self, ask_id: str) -> None:
         """Record that the prefill of a request has finished."""
         self._deliver_all(self.admission.prefill_finished(loop_now(), ask_id))
 
@@ -39,18 +39,19 @@
         """Release all permits, after a restart of the server."""
         self._deliver_all(self.admission.handle_restart(loop_now()))
 
-    def cool(self, cold: Cold) -> None:
+    def set_cold_period(self, cold: Cold) -> None:
         """Set how long the server's cold start lasts."""
         self._deliver_all(self.admission.set_cold_period(loop_now(), cold))
 
-    def withdraw(self, ask_id: str, *, whole: bool = False) -> None:
+    def release_permit(self, ask_id: str, *, is_complete: bool = False) -> None:
         """Release a permit, or remove a request that still waits for one.
 
-        :param whole: whether the caller has received the complete response.
+        :param is_complete: whether the caller has received the complete
+            response.
         """
         now = loop_now()
         self._deliver_all(
-            self.admission.release(now, ask_id, is_complete=whole)
+            self.admission.release(now, ask_id, is_complete=is_complete)
         )
 
     def _deliver_all(self, decisions: Sequence[Verdict]) -> None:
@@ -80,7 +81,7 @@
         super().__init__()
         self._pending: dict[str, asyncio.Future[Verdict]] = {}
 
-    async def turn(self, ask: Ask) -> Verdict:
+    async def request_permit(self, ask: Ask) -> Verdict:
         """Request a permit and wait for the decision."""
         loop = asyncio.get_running_loop()
         waiting: asyncio.Future[Verdict] = loop.create_future()
@@ -89,7 +90,7 @@
             self.request(ask)
             return await waiting
         except asyncio.CancelledError:
-            self.withdraw(ask.ask_id)
+            self.release_permit(ask.ask_id)
             raise
         finally:
             self._pending.pop(ask.ask_id, None)
@@ -100,4 +101,4 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(decision)
         elif isinstance(decision, Granted):
-            self.withdraw(decision.ask_id)
+            self.release_permit(decision.ask_id)
--- a/src/sardinetrack/turns/entry.py
+++ b/src/sardinetrack/turns/entry.py
@@ -53,7 +53,7 @@
 """``None``: the side disconnected or timed out before it responded."""
 
 
-class Crashes(ABC):
+class StrikeListener(ABC):
     """Receives strikes that other entries have recorded."""
 
     @abstractmethod
@@ -61,7 +61,7 @@
         """Add requests that were running when their servers crashed."""
 
 
-class Restarts(ABC):
+class RestartListener(ABC):
     """Receives a side's report that its server has restarted."""
 
     @abstractmethod
@@ -76,8 +76,8 @@
     load: EstimatedLoad
     prefix_index: Holdings
     view_receiver: Inbox
-    strike_listener: Crashes
-    restart_listener: Restarts
+    strike_listener: StrikeListener
+    restart_listener: RestartListener
     start: ServerStart | None = None
     """The server's start by the instance list; ``None`` until it is listed."""
     cold: ColdWord = ColdWord()
@@ -116,7 +116,7 @@
         self.received_seconds = float(0)
         """When the last message arrived, by the clock of the event loop."""
         self.closed = asyncio.Event()
-        self.news = ServiceNews()
+        self.service_updates = ServiceNews()
         self._hello = hello
         self._ip = ip
         self._state = state
@@ -188,7 +188,7 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(message)
 
-    async def ask(
+    async def request_permit(
         self,
         ask: AskTurn,
         timeout_seconds: float,
@@ -218,12 +218,13 @@
         """Report that the first event of the response has arrived."""
         self.send(Begun(ask_id))
 
-    def ended(self, ask_id: str, *, whole: bool = False) -> None:
+    def ended(self, ask_id: str, *, is_complete: bool = False) -> None:
         """Release the permit.
 
-        :param whole: whether the caller has received the complete response.
+        :param is_complete: whether the caller has received the complete
+            response.
         """
-        self.send(Ended(ask_id, whole))
+        self.send(Ended(ask_id, is_complete))
 
 
 class SideLink(Neighbour):
@@ -244,7 +245,7 @@
         :param hello: sent first on every connection.
         :param state: updated by the side's messages.
         """
-        self.lines: SideLines | None = None
+        self.connection: SideLines | None = None
         self.pool = location[0]
         self.failure_domain = location[1]
         self.load = state.load
@@ -261,17 +262,17 @@
     @property
     def live(self) -> bool:
         """Whether the side is connected and sends its load reports."""
-        return self.lines is not None and self.lines.live
+        return self.connection is not None and self.connection.live
 
-    def tell(
+    def send_message(
         self,
         message: FromFollower | Struck | ServerStarted,
     ) -> None:
         """Send the side a message if it is connected."""
-        if self.lines is not None:
-            self.lines.send(message)
+        if self.connection is not None:
+            self.connection.send(message)
 
-    def know(self, start: ServerStart, cold: ColdWord) -> None:
+    def update_start(self, start: ServerStart, cold: ColdWord) -> None:
         """Apply the start that the instance list shows for the server."""
         state = self._state
         known = state.start
@@ -284,7 +285,7 @@
             state.load.reset()
             changed = True
         if changed:
-            self.tell(state.start_message(start))
+            self.send_message(state.start_message(start))
 
     async def run(self) -> None:
         """Connect and reconnect until cancelled."""
@@ -298,8 +299,8 @@
                 )
                 await asyncio.sleep(backoff_seconds)
         finally:
-            if self.lines is not None:
-                self.lines.abort()
+            if self.connection is not None:
+                self.connection.abort()
 
     async def _stay_connected(self) -> bool:
         """Connect, and wait until the connection is lost.
@@ -309,7 +310,7 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(_CONNECT_SECONDS):
-                _, connection = await loop.create_connection(
+                _, new_connection = await loop.create_connection(
                     lambda: SideLines(self._hello, self._state, self.name),
                     *self._address,
                 )
@@ -317,12 +318,12 @@
             # Only the loss of a connection is logged. As long as the side is
             # unreachable, this entry itself admits requests to the server.
             return False
-        self.lines = connection
+        self.connection = new_connection
         self._log.write(Event.SIDE_BACK, side=self.name)
-        await connection.wait_disconnected()
-        connection.abort()
-        connection.handle_disconnected()
-        self.lines = None
+        await new_connection.wait_disconnected()
+        new_connection.abort()
+        new_connection.handle_disconnected()
+        self.connection = None
         self.load.update(0, self.load.rate_tokens)
         self._log.write(Event.SIDE_LOST, side=self.name)
         return True
--- a/src/sardinetrack/turns/entry_connection.py
+++ b/src/sardinetrack/turns/entry_connection.py
@@ -24,13 +24,13 @@
 )
 
 if TYPE_CHECKING:
-    from sardinetrack.turns.side import Side
+    from sardinetrack.turns.side import SideServer
 
 
 class EntryConnection(LineProtocol, Follower):
     """Connection of one entry."""
 
-    def __init__(self, side: Side) -> None:
+    def __init__(self, side: SideServer) -> None:
         """Start without a transport.
 
         :param side: handles the messages.
@@ -57,10 +57,12 @@
                 self.permit_ids.add(message.ask_id)
                 self._side.handle_request(self, message)
             case Begun():
-                self._side.begun(message.ask_id)
+                self._side.prefill_finished(message.ask_id)
             case Ended():
                 self.permit_ids.discard(message.ask_id)
-                self._side.handle_end(message.ask_id, whole=message.complete)
+                self._side.handle_end(
+                    message.ask_id, is_complete=message.complete
+                )
             case Hello():
                 self.entry = message.entry
                 self._side.handle_hello(self, message)
@@ -81,6 +83,6 @@
             case LeaveView():
                 watcher.leave(self)
 
-    def tell(self, message: FromWatcher) -> None:
+    def send_message(self, message: FromWatcher) -> None:
         """Send the entry an update of its view of the store."""
         self.send(message)
--- a/src/sardinetrack/turns/messages.py
+++ b/src/sardinetrack/turns/messages.py
@@ -40,7 +40,7 @@
     served_tokens: float
     shared_prefix: str
     first_event_due_seconds: float
-    others: tuple[tuple[str, int], ...] = ()
+    other_workspaces: tuple[tuple[str, int], ...] = ()
     """Recent service that other workspaces received through the entry from
     any server; only those served since its last request to this side."""
     fingerprint: str = ''
--- a/src/sardinetrack/turns/side.py
+++ b/src/sardinetrack/turns/side.py
@@ -36,7 +36,7 @@
 _DIGITS: Final = 3
 
 
-class Side(AdmissionDriver):
+class SideServer(AdmissionDriver):
     """Owns the admission to one engine, and the entries' connections."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._log = log
         self._entries: set[EntryConnection] = set()
         self._owners: dict[str, EntryConnection] = {}
-        self.engine = EngineStarts()
+        self.engine_starts = EngineStarts()
         self._reported: tuple[float, int, int] | None = None
         self._reported_seconds = float(0)
         self.usage = UsageLog(log)
@@ -145,12 +145,12 @@
         engine without work until all of these requests have ended.
         """
         now = loop_now()
-        outcome = self.engine.update(now, message)
+        outcome = self.engine_starts.update(now, message)
         if outcome is StartUpdate.BEHIND:
-            sender.send(self.engine.message(now))
+            sender.send(self.engine_starts.message(now))
             return
         # Before waiting requests are granted: the new start may be cold.
-        self.cool(self.engine.cold)
+        self.set_cold_period(self.engine_starts.cold)
         if outcome is StartUpdate.RENEWED:
             self._handle_restart(sender, message)
 
@@ -167,10 +167,10 @@
             told_by=sender.entry,
             running=self.admission.running,
             waiting=self.admission.waiting,
-            starts_in_a_row=self.engine.in_a_row,
-            granted_last_second=self.engine.permits_last_second,
+            starts_in_a_row=self.engine_starts.in_a_row,
+            granted_last_second=self.engine_starts.permits_last_second,
             cold_seconds=round(
-                self.engine.cold.left_seconds(loop_now()),
+                self.engine_starts.cold.left_seconds(loop_now()),
                 _DIGITS,
             ),
         )
@@ -200,7 +200,9 @@
         self._owners[message.ask_id] = entry
         now = loop_now()
         self._requests[message.ask_id] = message
-        self.admission.update_served_tokens(now, entry.entry, message.others)
+        self.admission.update_served_tokens(
+            now, entry.entry, message.other_workspaces
+        )
         # What another side reported is subtracted from the due time already.
         returned_seconds = self._returned_seconds(now, message)
         more_seconds = max(0, returned_seconds - message.since_refusal_seconds)
@@ -225,20 +227,21 @@
             return 0
         return self._refused.waited_seconds(now, message.fingerprint)
 
-    def handle_end(self, ask_id: str, *, whole: bool = False) -> None:
+    def handle_end(self, ask_id: str, *, is_complete: bool = False) -> None:
         """Release a permit, or remove a request that still waits for one.
 
-        :param whole: whether the caller has received the complete response.
+        :param is_complete: whether the caller has received the complete
+            response.
         """
         self._owners.pop(ask_id, None)
         self._requests.pop(ask_id, None)
-        self.withdraw(ask_id, whole=whole)
+        self.release_permit(ask_id, is_complete=is_complete)
 
     def deliver(self, decision: Verdict) -> None:
         """Send a decision to the entry that requested the permit."""
         owner = self._owners.get(decision.ask_id)
         if owner is None:
-            self.withdraw(decision.ask_id)
+            self.release_permit(decision.ask_id)
         else:
             self._send_decision(owner, decision)
 
@@ -250,7 +253,7 @@
         message = self._requests.pop(decision.ask_id)
         self.verdicts[type(decision).__name__.lower()] += 1
         if isinstance(decision, Granted):
-            self.engine.record_permit(loop_now())
+            self.engine_starts.record_permit(loop_now())
             if message.shared_prefix:
                 self._new_prefixes.add(message.shared_prefix)
             owner.send(TurnGranted(decision.ask_id))
@@ -306,7 +309,7 @@
                 slots_left,
                 len(self._entries),
                 prefixes,
-                self.engine.start_hash,
+                self.engine_starts.start_hash,
                 round(self._retention_seconds(), 1),
             )
             for entry in self._entries:
--- a/src/sardinetrack/views/api.py
+++ b/src/sardinetrack/views/api.py
@@ -22,7 +22,7 @@
         """Whether it can receive messages."""
 
     @abstractmethod
-    def tell(self, message: FromFollower) -> None:
+    def send_message(self, message: FromFollower) -> None:
         """Send the neighbour a message."""
 
 
@@ -70,5 +70,5 @@
     """Watcher's end of the connection to one of its subscribers."""
 
     @abstractmethod
-    def tell(self, message: FromWatcher) -> None:
+    def send_message(self, message: FromWatcher) -> None:
         """Send the subscriber a message."""
--- a/src/sardinetrack/views/source.py
+++ b/src/sardinetrack/views/source.py
@@ -182,7 +182,7 @@
             return
         view.receive_confirmation(message)
         self._received_seconds = self._clock()
-        neighbour.tell(StampView(self._clock()))
+        neighbour.send_message(StampView(self._clock()))
         joining = self._chart.state is ViewState.JOINING
         if joining and all(one.ready for one in self._views.values()):
             self._borrow()
@@ -236,7 +236,7 @@
     async def _try(self, neighbour: Neighbour) -> None:
         self._neighbour = neighbour
         self._chart.fire(ViewEvent.ASKED)
-        neighbour.tell(FollowView(self._clock()))
+        neighbour.send_message(FollowView(self._clock()))
         await self._wait_change(JOIN_TIMEOUT_SECONDS)
         if self._chart.state is ViewState.JOINING:
             self._fail('not caught up')
@@ -280,7 +280,7 @@
         for view in self._views.values():
             view.reset()
         if neighbour.live:
-            neighbour.tell(LeaveView())
+            neighbour.send_message(LeaveView())
         self._changed.set()
 
     async def _wait_change(self, seconds: float) -> None:
--- a/src/sardinetrack/views/watcher.py
+++ b/src/sardinetrack/views/watcher.py
@@ -142,7 +142,7 @@
     def broadcast(self, message: FromWatcher) -> None:
         """Send a message to all subscribers."""
         for subscriber in list(self._subscribers):
-            subscriber.tell(message)
+            subscriber.send_message(message)
 
     def broadcast_confirmation(
         self,
@@ -152,7 +152,7 @@
         """Send all subscribers when a view was complete, by their clocks."""
         for subscriber, clock in list(self._subscribers.items()):
             at_seconds = clock.at(asked_seconds)
-            subscriber.tell(ViewConfirmed(prefix, at_seconds))
+            subscriber.send_message(ViewConfirmed(prefix, at_seconds))
 
     def _start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -203,7 +203,7 @@
     def send_all(self, subscriber: Follower) -> None:
         """Send a new subscriber all objects."""
         if self._objects is not None:
-            subscriber.tell(self._full_view(self._objects))
+            subscriber.send_message(self._full_view(self._objects))
 
     def listed(self, listing: Listing) -> None:
         """Replace all objects and send them."""
--- a/tests/relay/steps/evacuation_steps.py
+++ b/tests/relay/steps/evacuation_steps.py
@@ -246,7 +246,7 @@
             for one in range(requested)
         ]
         decisions = await asyncio.gather(
-            *map(local_admission.turn, admission_requests)
+            *map(local_admission.request_permit, admission_requests)
         )
         return sum(isinstance(one, Granted) for one in decisions)
 
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -188,7 +188,7 @@
     def live(self):
         return not self._side.dead
 
-    def tell(self, message):
+    def send_message(self, message):
         to_side = isinstance(message, FollowView | StampView | LeaveView)
         take = self._at_side if to_side else self._at_entry
         self._loop.call_later(_WIRE_SECONDS, take, message)
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -15,7 +15,7 @@
 from sardinetrack.topology.cold import ColdWord
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.starts import ServerStart
-from sardinetrack.turns.entry import Beliefs, Restarts, SideLines
+from sardinetrack.turns.entry import Beliefs, RestartListener, SideLines
 from sardinetrack.turns.messages import (
     AskTurn,
     Hello,
@@ -24,7 +24,7 @@
     TurnRefused,
 )
 from sardinetrack.turns.refused import RefusedRequests
-from sardinetrack.turns.side import Side
+from sardinetrack.turns.side import SideServer
 from sardinetrack.views.api import NoInbox
 from sardinetrack.views.watcher import Feeds, Watcher
 
@@ -38,7 +38,7 @@
         return []
 
 
-class _ReceivedStarts(Restarts):
+class _ReceivedStarts(RestartListener):
     """The starts that an entry received from its side."""
 
     def __init__(self):
@@ -63,7 +63,7 @@
             self.crashes,
             self.received,
         )
-        self.lines = SideLines(
+        self.connection = SideLines(
             Hello(name, slots, 100_000),
             self.state,
             _IP,
@@ -85,7 +85,7 @@
             2,
             others,
         )
-        task = asyncio.ensure_future(self.lines.ask(request, 3))
+        task = asyncio.ensure_future(self.connection.request_permit(request, 3))
         self.requests.append((request.ask_id, task))
         return task
 
@@ -104,7 +104,7 @@
     os.set_blocking(pipe[0], False)
     context.log = EventLog(pipe[1], 'side-1')
     watcher = Watcher(NoFeeds(), (), context.log)
-    context.side = Side((_IP, 0), watcher, context.log)
+    context.side = SideServer((_IP, 0), watcher, context.log)
     _run(context, _open(context, slots, count))
 
 
@@ -114,7 +114,7 @@
     context.entries = [_Entry(f'e{one}', slots) for one in range(1, count + 1)]
     for entry in context.entries:
         await loop.create_connection(
-            lambda entry=entry: entry.lines,
+            lambda entry=entry: entry.connection,
             _IP,
             context.side.port,
         )
@@ -181,7 +181,7 @@
     async def act():
         permit_id, task = _entry(context, 1).requests[0]
         assert isinstance(await task, TurnGranted)
-        _entry(context, 1).lines.ended(permit_id)
+        _entry(context, 1).connection.ended(permit_id)
         await _settle()
         tasks = [_entry(context, one).requests[0][1] for one in (first, second)]
         assert [task.done() for task in tasks] == [True, False], tasks
@@ -192,7 +192,7 @@
 @when('entry {number:d} disconnects')
 def disconnect(context, number):
     async def act():
-        _entry(context, number).lines.abort()
+        _entry(context, number).connection.abort()
         await _settle()
 
     _run(context, act())
@@ -233,7 +233,7 @@
         strikes = tuple(
             Strike('f1', f'i-{one}', STRIKE_SECONDS) for one in range(count)
         )
-        _entry(context, number).lines.send(Struck(strikes))
+        _entry(context, number).connection.send(Struck(strikes))
         await _settle()
 
     _run(context, act())
@@ -245,7 +245,7 @@
         entry = _Entry('late', 8)
         context.entries.append(entry)
         await asyncio.get_running_loop().create_connection(
-            lambda: entry.lines,
+            lambda: entry.connection,
             _IP,
             context.side.port,
         )
@@ -292,7 +292,7 @@
     async def act():
         assert not _entry(context, second).requests[-1][1].done()
         releasing = _entry(context, first)
-        releasing.lines.ended(releasing.requests[-1][0])
+        releasing.connection.ended(releasing.requests[-1][0])
 
     _run(context, act())
     is_granted(context, second)
@@ -317,7 +317,7 @@
     'entry {number:d} counts it as disconnected within {seconds:g} seconds',
 )
 def counts_as_disconnected(context, number, seconds):
-    lines = _entry(context, number).lines
+    lines = _entry(context, number).connection
     _run(context, asyncio.wait_for(lines.wait_disconnected(), seconds))
     assert not _run(context, _live(lines))
 
@@ -345,7 +345,7 @@
 
 @then('each entry records that {count:d} entries are connected')
 def records_count(context, count):
-    assert all(one.lines.entries == count for one in context.entries)
+    assert all(one.connection.entries == count for one in context.entries)
 
 
 @then('the side closes that connection and serves the others')
@@ -372,7 +372,7 @@
     async def act():
         entry = _entry(context, number)
         entry.state.start = ServerStart('i-1', started, revision)
-        entry.lines.send(entry.state.start_message(entry.state.start))
+        entry.connection.send(entry.state.start_message(entry.state.start))
         await _settle()
 
     _run(context, act())
@@ -444,7 +444,7 @@
 
 def _cold_seconds(context):
     now = context.loop.time()
-    return context.side.engine.cold.left_seconds(now)
+    return context.side.engine_starts.cold.left_seconds(now)
 
 
 @then('the side counts the engine as cold for at most {seconds:g} seconds')
@@ -462,8 +462,8 @@
     'and {permits:d} permits in the last second',
 )
 def counts_starts(context, starts, permits):
-    assert context.side.engine.in_a_row == starts
-    assert context.side.engine.permits_last_second == permits
+    assert context.side.engine_starts.in_a_row == starts
+    assert context.side.engine_starts.permits_last_second == permits
 
 
 @then('at least {least:d} of these are granted immediately')
@@ -490,7 +490,7 @@
             1,
             fingerprint=f'c{caller}',
         )
-        context.refusal = await entry.lines.ask(request, 3)
+        context.refusal = await entry.connection.request_permit(request, 3)
         assert isinstance(context.refusal, TurnRefused), context.refusal
 
     _run(context, act())
