--- a/benchmarks/policy/faults.py
+++ b/benchmarks/policy/faults.py
@@ -90,7 +90,7 @@
 
 
 def _disconnect_entry(world: World, node: EntryNode, side: SideNode) -> None:
-    disconnect = side.admission.entry_lost
+    disconnect = side.admission.entry_disconnected
     world.at_side(side, side.epoch, disconnect, node.name)
 
 
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -137,7 +137,7 @@
     def query_side(self, side: SideNode, attempt_id: str) -> None:
         """Query and cancel an attempt that is not running, so it never runs."""
         side.run_requests.pop(attempt_id, None)
-        self._timed(side.admission.query, attempt_id, cancel=True)
+        self._timed(side.admission.resolve_status, attempt_id, cancel=True)
 
     def stop(self, side: SideNode, running: Running, *, whole: bool) -> float:
         """Free a slot and count the service that it delivered."""
--- a/benchmarks/slopes/side.py
+++ b/benchmarks/slopes/side.py
@@ -32,7 +32,7 @@
             self.arrive(f'first-{number}', 0)
         self.bids = samples.bids(rows)
         for number in range(entries):
-            self.admission.bids(self.now, f'entry-{number}', self.bids)
+            self.admission.update_bids(self.now, f'entry-{number}', self.bids)
 
     def arrive(
         self, attempt_id: str, grant: int, entry: str = 'entry-0'
@@ -54,7 +54,7 @@
         effects = self.admission.finished(
             self.now,
             f'first-{number}',
-            whole=True,
+            is_complete=True,
             cost=450.0,
         )
         return [one for one in effects if isinstance(one, SendGrant)]
@@ -99,7 +99,7 @@
 def _prepare_bids(entries: int, rows: int) -> Callable[[], object]:
     loaded = LoadedAdmission(entries, rows)
     return partial(
-        loaded.admission.bids,
+        loaded.admission.update_bids,
         loaded.now,
         'entry-0',
         loaded.bids,
--- a/src/sardinetrack/admission/warming.py
+++ b/src/sardinetrack/admission/warming.py
@@ -29,7 +29,7 @@
         self.cold_period = ColdPeriod()
         self._due_seconds = -math.inf
 
-    def cool(self, cold_period: ColdPeriod) -> None:
+    def update_cold_period(self, cold_period: ColdPeriod) -> None:
         """Set how long the server stays cold, and its rate until then."""
         self.cold_period = cold_period
 
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -16,7 +16,7 @@
 from sardinetrack.placement.choice import Candidate, by_prompt, with_room
 from sardinetrack.placement.holdings import Holdings
 from sardinetrack.placement.home import shared_part
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.placing import GUEST_SECONDS, MOST_ASKED
 from sardinetrack.turns.side import WORD_SECONDS
 
@@ -47,7 +47,7 @@
         engines = [Engine(one, shape) for one in range(shape.engines)]
         self._engines = {one.server.instance: one for one in engines}
         self._loads = {
-            name: ServerLoad(
+            name: EstimatedLoad(
                 rate_tokens=shape.rate_tokens,
             )
             for name in self._engines
@@ -97,7 +97,7 @@
         ask = Ask(
             f'{request.name}.{int(request.is_retry)}.{len(attempt.tried)}',
             request.workspace,
-            candidate.new_tokens,
+            candidate.prefill_tokens,
             request.own_tokens,
             self._shape.output_tokens,
             GUEST_SECONDS if recomputes else remaining_wait,
@@ -105,15 +105,15 @@
         )
         self._pending[ask.ask_id] = attempt
         self._apply_decisions(
-            name, self._engines[name].admission.ask(now, ask), now
+            name, self._engines[name].admission.request_permit(now, ask), now
         )
-        self._schedule(now + ask.patience_seconds, partial(self._tick, name))
+        self._schedule(now + ask.max_wait_seconds, partial(self._tick, name))
 
     def _choose_server(self, attempt: _Attempt, now: float) -> Candidate | None:
         if len(attempt.tried) >= MOST_ASKED:
             return None
         prompt = attempt.request.prompt
-        cached_at = self._holdings.of(now, shared_part(prompt))
+        cached_at = self._holdings.servers_with(now, shared_part(prompt))
         servers = [engine.server for engine in self._engines.values()]
         candidates = by_prompt(prompt, servers, self._loads, cached_at)
         candidates = [
@@ -172,7 +172,9 @@
         else:
             outcome.late += 1
         admission = self._engines[name].admission
-        self._apply_decisions(name, admission.begun(now, ask_id), now)
+        self._apply_decisions(
+            name, admission.prefill_finished(now, ask_id), now
+        )
         end = now + self._shape.run_seconds
         self._schedule(end, partial(self._ended, name, ask_id))
 
@@ -205,11 +207,11 @@
     def _send_load_reports(self, now: float) -> None:
         for name, engine in self._engines.items():
             admission = engine.admission
-            self._loads[name].hear(
+            self._loads[name].update(
                 admission.wait_seconds(now),
                 admission.rate_tokens,
             )
-            self._holdings.note(
+            self._holdings.record(
                 now, engine.server.ip, engine.unreported_prefixes
             )
             engine.unreported_prefixes.clear()
--- a/src/sardinetrack/emulator/load.py
+++ b/src/sardinetrack/emulator/load.py
@@ -84,7 +84,7 @@
     @property
     def own_tokens(self) -> int:
         """Tokens of the prompt that no other request shares."""
-        return self.prompt.parts[-1].tokens
+        return self.prompt.blocks[-1].tokens
 
 
 def draw_requests(
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -21,7 +21,7 @@
 from sardinetrack.topology.servers import BackendServer, ServerList
 from sardinetrack.topology.starts import ServerStart
 from sardinetrack.turns.desk import LocalDesk
-from sardinetrack.turns.entry import Restarts, SideLink
+from sardinetrack.turns.entry import RestartListener, SideLink
 
 _BUDGET_RATIO_FRACTION: Final = 0.8
 _BUDGET_SLACK_FRACTION: Final = 0.6
@@ -38,7 +38,7 @@
 ignored."""
 
 
-class EntryState(Restarts):
+class EntryState(RestartListener):
     """Configuration, servers, loads, breakers and budgets of one entry."""
 
     def __init__(self, settings: NodeSettings, log: EventLog) -> None:
@@ -106,7 +106,7 @@
         local_admission = self.server_states.local_admission(
             server, pool, 1 / self.entries
         )
-        local_admission.cool(
+        local_admission.set_cold_period(
             self.server_states.cold_starts.own_period(server, pool)
         )
         return local_admission
@@ -206,7 +206,7 @@
         self.sides.keep({one.ip for one in listed.values()})
         for removed in set(self._known) - set(listed):
             # The next server at its address starts with an empty cache.
-            self.holdings.lose(self._known[removed].ip)
+            self.holdings.remove_server(self._known[removed].ip)
             if self._known[removed].leaving:
                 self.crashes.forget(removed)
             else:
@@ -237,7 +237,7 @@
         The requests that ran when it crashed become suspect. The load of a
         model engine is reset with its link.
         """
-        self.holdings.lose(former.ip)
+        self.holdings.remove_server(former.ip)
         self.connections.forget(former.address)
         self.server_states.forget(server.instance)
         self.meters.restarts += 1
--- a/src/sardinetrack/relay/permit.py
+++ b/src/sardinetrack/relay/permit.py
@@ -7,7 +7,7 @@
 
 from sardinetrack.admission.ask import Ask, Granted
 from sardinetrack.placement.choice import Candidate
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.fleet import EntryState
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.turns.clock import loop_now
@@ -40,7 +40,7 @@
     Simultaneous requests are all placed before any of them is sent.
     """
 
-    def __init__(self, load: ServerLoad) -> None:
+    def __init__(self, load: EstimatedLoad) -> None:
         """Count the request.
 
         :param load: of the chosen server.
@@ -74,7 +74,7 @@
 
     def release(self, *, complete: bool) -> None:
         """Release the permit at the side."""
-        self._connection.ended(self._permit_id, whole=complete)
+        self._connection.ended(self._permit_id, is_complete=complete)
 
 
 class LocalPermit(Permit):
@@ -91,11 +91,13 @@
 
     def first_event_received(self) -> None:
         """Inform the local admission."""
-        self._local_admission.begun(self._permit_id)
+        self._local_admission.prefill_finished(self._permit_id)
 
     def release(self, *, complete: bool) -> None:
         """Release it at the local admission."""
-        self._local_admission.withdraw(self._permit_id, whole=complete)
+        self._local_admission.release_permit(
+            self._permit_id, is_complete=complete
+        )
 
 
 class PermitRefusedError(Exception):
@@ -132,8 +134,10 @@
     :raises PermitRefusedError: there is none in time.
     """
     link = state.side(candidate.server)
-    if link is not None and link.lines is not None:
-        permit = await _request_from_side(state, link.lines, admission_request)
+    if link is not None and link.connection is not None:
+        permit = await _request_from_side(
+            state, link.connection, admission_request
+        )
         if permit is not None:
             return permit
     cold_seconds = state.server_states.cold_starts.no_send_seconds(
@@ -144,7 +148,7 @@
             cold_seconds, 'cold, and its side is unreachable'
         )
     local_admission = state.local_admission(candidate.server, pool)
-    decision = await local_admission.turn(admission_request)
+    decision = await local_admission.request_permit(admission_request)
     if isinstance(decision, Granted):
         return LocalPermit(local_admission, admission_request.ask_id)
     raise PermitRefusedError(
@@ -160,27 +164,27 @@
     message = AskTurn(
         admission_request.ask_id,
         admission_request.workspace,
-        admission_request.new_tokens,
+        admission_request.prefill_tokens,
         admission_request.kept_tokens,
-        admission_request.answer_tokens,
-        admission_request.patience_seconds,
+        admission_request.output_tokens,
+        admission_request.max_wait_seconds,
         admission_request.priority,
         round(admission_request.served_tokens),
-        admission_request.part,
-        round(admission_request.due_seconds, 3),
-        connection.news.rows(loop_now(), state.service),
+        admission_request.shared_prefix,
+        round(admission_request.first_event_due_seconds, 3),
+        connection.service_updates.rows(loop_now(), state.service),
         admission_request.fingerprint,
-        round(admission_request.ends_seconds, 3),
-        round(admission_request.returned_seconds, 3),
+        round(admission_request.until_deadline_seconds, 3),
+        round(admission_request.since_refusal_seconds, 3),
     )
-    timeout_seconds = admission_request.patience_seconds + _RESPONSE_SECONDS
-    response = await connection.ask(message, timeout_seconds)
+    timeout_seconds = admission_request.max_wait_seconds + _RESPONSE_SECONDS
+    response = await connection.request_permit(message, timeout_seconds)
     if isinstance(response, TurnGranted):
         return SidePermit(connection, admission_request.ask_id)
     if isinstance(response, TurnRefused):
         raise PermitRefusedError(
             response.retry_after_seconds,
             f'side: {response.ahead_tokens} tokens ahead',
-            response.returned_seconds,
+            response.since_refusal_seconds,
         )
     return None
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/placing.py
@@ -17,7 +17,7 @@
     Candidate,
     by_load,
     by_prompt,
-    without,
+    excluding,
     worth_waiting_seconds,
 )
 from sardinetrack.placement.holdings import SHARED_TOKENS
@@ -133,7 +133,9 @@
                 self._call.prompt,
                 servers,
                 state.server_states.loads,
-                state.holdings.of(self._loop.time(), self._shared_prefix),
+                state.holdings.servers_with(
+                    self._loop.time(), self._shared_prefix
+                ),
             )
         else:
             candidates = by_load(
@@ -147,8 +149,8 @@
                 state.entries,
             )
         trace = self._trace
-        untried = without(candidates, {*trace.servers, *trace.unreachable})
-        return untried or without(candidates, trace.unreachable)
+        untried = excluding(candidates, {*trace.servers, *trace.unreachable})
+        return untried or excluding(candidates, trace.unreachable)
 
     async def _acquire_permit(
         self,
@@ -214,15 +216,17 @@
         self._state.service.add(
             now, admission_request.workspace, admission_request.cost
         )
-        if admission_request.part:
+        if admission_request.shared_prefix:
             ip = candidate.server.ip
-            self._state.holdings.note(now, ip, (admission_request.part,))
+            self._state.holdings.record(
+                now, ip, (admission_request.shared_prefix,)
+            )
 
     def _admission_request(
         self,
         plan: Plan,
         candidate: Candidate,
-        max_wait_seconds: float,
+        wait_limit_seconds: float,
     ) -> Ask:
         state = self._state
         request_id = self._call.request_id
@@ -232,19 +236,19 @@
         return Ask(
             ask_id=f'{request_id}.{number}',
             workspace=plan.workspace_name,
-            new_tokens=candidate.new_tokens,
-            kept_tokens=candidate.new_tokens + self._output_tokens(plan),
-            answer_tokens=self._output_tokens(plan),
-            patience_seconds=(
-                GUEST_SECONDS if candidate.is_guest else max_wait_seconds
+            prefill_tokens=candidate.prefill_tokens,
+            kept_tokens=candidate.prefill_tokens + self._output_tokens(plan),
+            output_tokens=self._output_tokens(plan),
+            max_wait_seconds=(
+                GUEST_SECONDS if candidate.is_guest else wait_limit_seconds
             ),
             entry=state.settings.instance,
             served_tokens=state.service.tokens(now, plan.workspace_name),
-            part=self._shared_prefix,
-            due_seconds=self._first_event_due_seconds(plan) - now,
-            ends_seconds=max(0, plan.deadline_seconds - now),
+            shared_prefix=self._shared_prefix,
+            first_event_due_seconds=self._first_event_due_seconds(plan) - now,
+            until_deadline_seconds=max(0, plan.deadline_seconds - now),
             fingerprint=self._request_fingerprint(plan),
-            returned_seconds=self._since_refusal_seconds,
+            since_refusal_seconds=self._since_refusal_seconds,
         )
 
     def _output_tokens(self, plan: Plan) -> int:
--- a/src/sardinetrack/turns/entry.py
+++ b/src/sardinetrack/turns/entry.py
@@ -13,7 +13,7 @@
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.messages.api import Strike
 from sardinetrack.placement.holdings import Holdings
-from sardinetrack.placement.load import ServerLoad
+from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.topology.cold import ColdWord
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.starts import UNKNOWN_START_HASH, ServerStart
@@ -53,7 +53,7 @@
 """``None``: the side disconnected or timed out before it responded."""
 
 
-class Crashes(ABC):
+class StrikeListener(ABC):
     """Receives strikes that other entries have recorded."""
 
     @abstractmethod
@@ -61,7 +61,7 @@
         """Add requests that were running when their servers crashed."""
 
 
-class Restarts(ABC):
+class RestartListener(ABC):
     """Receives a side's report that its server has restarted."""
 
     @abstractmethod
@@ -73,11 +73,11 @@
 class Beliefs:
     """State of one server that the messages of its side update."""
 
-    load: ServerLoad
+    load: EstimatedLoad
     prefix_index: Holdings
     view_receiver: Inbox
-    strike_listener: Crashes
-    restart_listener: Restarts
+    strike_listener: StrikeListener
+    restart_listener: RestartListener
     start: ServerStart | None = None
     """The server's start by the instance list; ``None`` until it is listed."""
     cold: ColdWord = ColdWord()
@@ -116,7 +116,7 @@
         self.received_seconds = float(0)
         """When the last message arrived, by the clock of the event loop."""
         self.closed = asyncio.Event()
-        self.news = ServiceNews()
+        self.service_updates = ServiceNews()
         self._hello = hello
         self._ip = ip
         self._state = state
@@ -177,20 +177,20 @@
         self.entries = max(1, message.entries)
         if not self._state.is_current_start(message.start_hash):
             return
-        self._state.load.hear(
+        self._state.load.update(
             message.wait_seconds,
             message.rate_tokens,
         )
         prefix_index = self._state.prefix_index
-        prefix_index.note(now, self._ip, message.prefixes)
-        prefix_index.keeps(self._ip, message.retention_seconds)
+        prefix_index.record(now, self._ip, message.prefixes)
+        prefix_index.set_retention(self._ip, message.retention_seconds)
 
     def _resolve(self, message: TurnGranted | TurnRefused) -> None:
         waiting = self._pending.pop(message.ask_id, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(message)
 
-    async def ask(
+    async def request_permit(
         self,
         ask: AskTurn,
         timeout_seconds: float,
@@ -220,12 +220,13 @@
         """Report that the first event of the response has arrived."""
         self.send(Begun(ask_id))
 
-    def ended(self, ask_id: str, *, whole: bool = False) -> None:
+    def ended(self, ask_id: str, *, is_complete: bool = False) -> None:
         """Release the permit.
 
-        :param whole: whether the caller has received the complete response.
+        :param is_complete: whether the caller has received the complete
+            response.
         """
-        self.send(Ended(ask_id, whole))
+        self.send(Ended(ask_id, is_complete))
 
 
 class SideLink(Neighbour):
@@ -246,7 +247,7 @@
         :param hello: sent first on every connection.
         :param state: updated by the side's messages.
         """
-        self.lines: SideLines | None = None
+        self.connection: SideLines | None = None
         self.pool = location[0]
         self.failure_domain = location[1]
         self.load = state.load
@@ -263,17 +264,17 @@
     @property
     def live(self) -> bool:
         """Whether the side is connected and sends its load reports."""
-        return self.lines is not None and self.lines.live
+        return self.connection is not None and self.connection.live
 
-    def tell(
+    def send_message(
         self,
         message: FromFollower | Struck | ServerStarted,
     ) -> None:
         """Send the side a message if it is connected."""
-        if self.lines is not None:
-            self.lines.send(message)
+        if self.connection is not None:
+            self.connection.send(message)
 
-    def know(self, start: ServerStart, cold: ColdWord) -> None:
+    def update_start(self, start: ServerStart, cold: ColdWord) -> None:
         """Apply the start that the instance list shows for the server."""
         state = self._state
         known = state.start
@@ -283,10 +284,10 @@
         state.start = start
         state.cold = cold
         if known is not None and start.supersedes(known):
-            state.load.restart()
+            state.load.reset()
             changed = True
         if changed:
-            self.tell(state.start_message(start))
+            self.send_message(state.start_message(start))
 
     async def run(self) -> None:
         """Connect and reconnect until cancelled."""
@@ -300,8 +301,8 @@
                 )
                 await asyncio.sleep(backoff_seconds)
         finally:
-            if self.lines is not None:
-                self.lines.abort()
+            if self.connection is not None:
+                self.connection.abort()
 
     async def _stay_connected(self) -> bool:
         """Connect, and wait until the connection is lost.
@@ -311,7 +312,7 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(_CONNECT_SECONDS):
-                _, connection = await loop.create_connection(
+                _, new_connection = await loop.create_connection(
                     lambda: SideLines(self._hello, self._state, self.name),
                     *self._address,
                 )
@@ -319,13 +320,13 @@
             # Only the loss of a connection is logged. As long as the side is
             # unreachable, this entry itself admits requests to the server.
             return False
-        self.lines = connection
+        self.connection = new_connection
         self._log.write(Event.SIDE_BACK, side=self.name)
-        await connection.wait_disconnected()
-        connection.abort()
-        connection.handle_disconnected()
-        self.lines = None
-        self.load.hear(0, self.load.rate_tokens)
+        await new_connection.wait_disconnected()
+        new_connection.abort()
+        new_connection.handle_disconnected()
+        self.connection = None
+        self.load.update(0, self.load.rate_tokens)
         self._log.write(Event.SIDE_LOST, side=self.name)
         return True
 
--- a/src/sardinetrack/views/watcher.py
+++ b/src/sardinetrack/views/watcher.py
@@ -141,7 +141,7 @@
     def broadcast(self, message: FromWatcher) -> None:
         """Send a message to all subscribers."""
         for subscriber in list(self._subscribers):
-            subscriber.tell(message)
+            subscriber.send_message(message)
 
     def broadcast_confirmation(
         self,
@@ -151,7 +151,7 @@
         """Send all subscribers when a view was complete, by their clocks."""
         for subscriber, clock in list(self._subscribers.items()):
             at_seconds = clock.at(asked_seconds)
-            subscriber.tell(ViewConfirmed(prefix, at_seconds))
+            subscriber.send_message(ViewConfirmed(prefix, at_seconds))
 
     def _start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -202,7 +202,7 @@
     def send_all(self, subscriber: ViewSubscriber) -> None:
         """Send a new subscriber all objects."""
         if self._objects is not None:
-            subscriber.tell(self._full_view(self._objects))
+            subscriber.send_message(self._full_view(self._objects))
 
     def listed(self, listing: Listing) -> None:
         """Replace all objects and send them."""
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from random import Random
 
-from sardinetrack.admission.api import Admission, SendGrant, Start
+from sardinetrack.admission.api import Admission, SendGrant, StartRequest
 from sardinetrack.admission.slots import SlotAdmission
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.messages.api import BidRow, Bids, SideLoad, SidePhase
@@ -116,12 +116,12 @@
         self._queue.append(arrival.attempt_id)
         return self._start_next()
 
-    def finished(self, now, attempt_id, *, whole, cost, stopped=False):
+    def finished(self, now, attempt_id, *, is_complete, cost, stopped=False):
         """Start the next requests."""
         self._running.discard(attempt_id)
         return self._start_next()
 
-    def query(self, now, attempt_id, *, cancel):
+    def resolve_status(self, now, attempt_id, *, cancel):
         """Remove a queued request."""
         if attempt_id in self._queue:
             self._queue.remove(attempt_id)
@@ -136,15 +136,15 @@
         while self._queue and len(self._running) < self._limit:
             attempt_id = self._queue.pop(0)
             self._running.add(attempt_id)
-            effects.append(Start(attempt_id))
+            effects.append(StartRequest(attempt_id))
         return effects
 
     def _ignore(self, *args):
         return ()
 
-    bids = _ignore
+    update_bids = _ignore
     decline = _ignore
-    entry_lost = _ignore
+    entry_disconnected = _ignore
     resize = _ignore
     drain = _ignore
     tick = _ignore
@@ -177,13 +177,15 @@
         super().__init__(incarnation, limit)
         self._served = defaultdict(int)
 
-    def bids(self, now, entry, bids):
+    def update_bids(self, now, entry, bids):
         """Replace the workspaces' tags by the number of grants of the entry."""
         waiting = sum(row.waiting for row in bids.rows)
         start_tag = max(self._served[entry], min(self._served.values()))
         self._served[entry] = start_tag
         rows = (BidRow(entry, start_tag, waiting, 1),) if waiting else ()
-        effects = super().bids(now, entry, Bids('', bids.grants_seen, rows))
+        effects = super().update_bids(
+            now, entry, Bids('', bids.grants_seen, rows)
+        )
         for effect in effects:
             if isinstance(effect, SendGrant):
                 self._served[effect.entry] += 1
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -34,8 +34,8 @@
     async def act():
         state, server = context.world.entry_state, _first(context)
         now = asyncio.get_running_loop().time()
-        state.holdings.note(now, server.ip, (_PREFIX,))
-        state.server_states.load(server).hear(3, _RATE)
+        state.holdings.record(now, server.ip, (_PREFIX,))
+        state.server_states.load(server).update(3, _RATE)
         kept = await state.connections.acquire(server.address)
         state.connections.release(server.address, kept)
         breaker = state.server_states.breaker(server)
@@ -61,7 +61,11 @@
     entry_state, server = context.world.entry_state, _first(context)
     load = entry_state.server_states.load(server)
     return (
-        bool(entry_state.holdings.of(context.world.loop.time(), _PREFIX)),
+        bool(
+            entry_state.holdings.servers_with(
+                context.world.loop.time(), _PREFIX
+            )
+        ),
         entry_state.server_states.breaker(server).state is BreakerState.OPEN,
         load.rate_tokens == _RATE and load.told_wait_seconds == 3,
         entry_state.connections.connections(server.address) == 1,
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -196,7 +196,7 @@
     def live(self):
         return not self._side.crashed
 
-    def tell(self, message):
+    def send_message(self, message):
         to_side = isinstance(message, FollowView | StampView | LeaveView)
         deliver = self._at_side if to_side else self._at_entry
         self._loop.call_later(_LINK_DELAY_SECONDS, deliver, message)
