--- a/benchmarks/policy/carrier.py
+++ b/benchmarks/policy/carrier.py
@@ -16,7 +16,7 @@
 )
 from sardinetrack.messages.api import Bids, Decline, ServiceReport
 from sardinetrack.routing.api import (
-    AttemptEnd,
+    AttemptOutcome,
     Dispatch,
     EntryEffect,
     Reject,
@@ -64,7 +64,7 @@
         self,
         node: EntryNode,
         attempt_id: str,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         cost: float,
     ) -> None:
         """Tell an entry, once, how an attempt ended."""
@@ -73,7 +73,7 @@
             return
         self._world.at_entry(
             node,
-            node.routing.ended,
+            node.routing.settle_attempt,
             attempt_id,
             end,
             cost=cost,
@@ -107,7 +107,7 @@
                 self.end,
                 node,
                 effect.attempt_id,
-                AttemptEnd.NOT_STARTED,
+                AttemptOutcome.NOT_STARTED,
                 0,
             )
             self._world.events.after(DETECT_SECONDS, lost)
@@ -127,7 +127,7 @@
         if found is None:
             return
         if side.epoch != epoch or side.name in self._world.links.down:
-            self.end(node, arrival.attempt_id, AttemptEnd.NOT_STARTED, 0)
+            self.end(node, arrival.attempt_id, AttemptOutcome.NOT_STARTED, 0)
             return
         side.orders[arrival.attempt_id] = found[1]
         admission = side.admission
@@ -156,7 +156,7 @@
             if isinstance(message, ServiceReport):
                 action = partial(call, other.routing.peer_service, message)
             else:
-                action = partial(call, other.routing.strike, message)
+                action = partial(call, other.routing.apply_strike, message)
             links = self._world.links
             links.control(node.name, other.name, message, action)
 
@@ -170,7 +170,7 @@
             side,
             request,
             effect.attempt_id,
-            AttemptEnd.NOT_STARTED,
+            AttemptOutcome.NOT_STARTED,
             0,
         )
 
@@ -202,7 +202,7 @@
             action = partial(
                 self._world.at_entry,
                 node,
-                node.routing.load,
+                node.routing.update_side_load,
                 side.name,
                 load,
             )
@@ -234,7 +234,7 @@
             side,
             running.request,
             running.attempt_id,
-            AttemptEnd.WHOLE,
+            AttemptOutcome.COMPLETED,
             running.request.demand.cost,
         )
 
@@ -243,7 +243,7 @@
         side: SideNode,
         request: Request,
         attempt_id: str,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         cost: float,
     ) -> None:
         links = self._world.links
--- a/benchmarks/policy/faults.py
+++ b/benchmarks/policy/faults.py
@@ -9,7 +9,7 @@
 from benchmarks.policy.carrier import DETECT_SECONDS
 from benchmarks.policy.nodes import EntryNode, SideNode
 from benchmarks.policy.world import World
-from sardinetrack.routing.api import AttemptEnd
+from sardinetrack.routing.api import AttemptOutcome
 
 FAULT_SECONDS = 30.0
 PARTITION_SECONDS = 60.0
@@ -72,9 +72,9 @@
         cost = costs.get(attempt_id)
         if cost is None:
             world.ask_side(side, attempt_id)
-            world.carrier.end(node, attempt_id, AttemptEnd.NOT_STARTED, 0)
+            world.carrier.end(node, attempt_id, AttemptOutcome.NOT_STARTED, 0)
         else:
-            world.carrier.end(node, attempt_id, AttemptEnd.UNKNOWN, cost)
+            world.carrier.end(node, attempt_id, AttemptOutcome.UNKNOWN, cost)
 
 
 def _stop_all(
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -27,7 +27,7 @@
     workspaces,
 )
 from sardinetrack.admission.api import SideEffect
-from sardinetrack.routing.api import EntryEffect, SideInfo, Work
+from sardinetrack.routing.api import EntryEffect, RoutedRequest, SideInfo
 from sardinetrack.routing.shared import Identity
 
 TICK_SECONDS = 0.1
@@ -94,7 +94,7 @@
         )
         self.at_entry(node, node.routing.side_up, info)
         load = side.admission.load()
-        self.at_entry(node, node.routing.load, side.name, load)
+        self.at_entry(node, node.routing.update_side_load, side.name, load)
 
     def live_entries(self) -> list[EntryNode]:
         """List the entries that are up."""
@@ -177,7 +177,7 @@
         self.requests[request.request_id] = request
         self.account()
         self.meter.enter(demand, name)
-        work = Work(
+        work = RoutedRequest(
             request.request_id,
             demand.workspace,
             self.shape.pool,
@@ -249,7 +249,7 @@
             if running is None or self.links.cut(node.name, side_name):
                 continue
             cost = self.cost_so_far(running)
-            self.at_entry(node, node.routing.progress, attempt_id, cost)
+            self.at_entry(node, node.routing.adjust_charge, attempt_id, cost)
 
     def _account_half(self, half: int, seconds: float) -> None:
         busy = [
--- a/benchmarks/slopes/entry.py
+++ b/benchmarks/slopes/entry.py
@@ -12,7 +12,7 @@
 from benchmarks.slopes import samples
 from benchmarks.slopes.figure import Figure, once_us, processor_us
 from sardinetrack.messages.api import Grant
-from sardinetrack.routing.api import AttemptEnd, Dispatch
+from sardinetrack.routing.api import AttemptOutcome, Dispatch
 from sardinetrack.routing.router import Router
 from sardinetrack.routing.shared import Identity
 
@@ -49,7 +49,9 @@
         for number in range(sides):
             info = samples.side_info(number)
             self.router.side_up(self.now, info)
-            self.router.load(self.now, info.side, samples.load(free))
+            self.router.update_side_load(
+                self.now, info.side, samples.load(free)
+            )
 
     def submit(self, workspace: int = 0) -> list[Dispatch]:
         """Hand in one request; return what it dispatched."""
@@ -66,10 +68,10 @@
 
     def end(self, dispatch: Dispatch) -> None:
         """Settle an attempt."""
-        self.router.ended(
+        self.router.settle_attempt(
             self.now,
             dispatch.attempt_id,
-            AttemptEnd.WHOLE,
+            AttemptOutcome.COMPLETED,
             cost=400.0,
             answered=True,
         )
@@ -121,7 +123,7 @@
         size,
         'us',
         processor_us(
-            partial(desk.router.progress, desk.now, attempt_id, 200.0),
+            partial(desk.router.adjust_charge, desk.now, attempt_id, 200.0),
         ),
     )
 
--- a/benchmarks/slopes/samples.py
+++ b/benchmarks/slopes/samples.py
@@ -24,7 +24,7 @@
     SideLoad,
     SidePhase,
 )
-from sardinetrack.routing.api import SideInfo, Work
+from sardinetrack.routing.api import RoutedRequest, SideInfo
 from sardinetrack.store.api import InstanceState, ListedInstance
 
 POOL: Final = 'model-0'
@@ -69,9 +69,9 @@
     )
 
 
-def work(number: int, workspace: int) -> Work:
+def work(number: int, workspace: int) -> RoutedRequest:
     """Describe one request."""
-    return Work(
+    return RoutedRequest(
         f'request-{number}',
         workspace_name(workspace),
         POOL,
--- a/src/sardinetrack/entry/attempt.py
+++ b/src/sardinetrack/entry/attempt.py
@@ -22,7 +22,7 @@
 from sardinetrack.links.run_reply import RunReply
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.messages.run import RUN_PATH, Fate
-from sardinetrack.routing.api import AttemptEnd, Dispatch
+from sardinetrack.routing.api import AttemptOutcome, Dispatch
 
 _LOG: Final = PartLogger(Part.ENTRY)
 _TRUNCATE_AFTER_SECONDS: Final = 1.0
@@ -34,11 +34,11 @@
 class AttemptResult:
     """The outcome of an attempt and its cost."""
 
-    end: AttemptEnd
+    end: AttemptOutcome
     cost: float = 0
 
 
-_NOT_STARTED: Final = AttemptResult(AttemptEnd.NOT_STARTED)
+_NOT_STARTED: Final = AttemptResult(AttemptOutcome.NOT_STARTED)
 
 
 class Attempt:
@@ -76,7 +76,7 @@
         end = await self._query_outcome(side)
         return AttemptResult(end, self._cost())
 
-    async def _query_outcome(self, side: SideEndpoint) -> AttemptEnd:
+    async def _query_outcome(self, side: SideEndpoint) -> AttemptOutcome:
         query = StatusQuery(self._sides, side)
         async with anyio.create_task_group() as tasks:
             if self._caller.started:
@@ -128,7 +128,7 @@
         except NotSentError:
             return _NOT_STARTED
         except CallerGoneError:
-            return AttemptResult(AttemptEnd.ABANDONED, self._cost())
+            return AttemptResult(AttemptOutcome.ABANDONED, self._cost())
         except BrokenError as error:
             _LOG.info(
                 'connection to the side broke',
@@ -146,13 +146,13 @@
             case Fate.NOT_STARTED:
                 return _NOT_STARTED
             case Fate.FAILED:
-                return AttemptResult(AttemptEnd.FAILED)
+                return AttemptResult(AttemptOutcome.FAILED)
             case Fate.STOPPED:
-                return AttemptResult(AttemptEnd.UNKNOWN)
+                return AttemptResult(AttemptOutcome.UNKNOWN)
             case Fate.UNKNOWN:
                 return None
         await self._relay_response(reply)
-        return AttemptResult(AttemptEnd.WHOLE, self._cost())
+        return AttemptResult(AttemptOutcome.COMPLETED, self._cost())
 
     async def _relay_response(self, reply: RunReply) -> None:
         self._meter = meter_for(
--- a/src/sardinetrack/entry/call.py
+++ b/src/sardinetrack/entry/call.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from sardinetrack.catalogue.api import Pool, Workspace
-from sardinetrack.routing.api import Work
+from sardinetrack.routing.api import RoutedRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,7 +14,7 @@
 
     external_request_id: str
     """The request id that the caller sent or received (``x-request-id``)."""
-    work: Work
+    work: RoutedRequest
     workspace: Workspace
     pool: Pool
     method: str
--- a/src/sardinetrack/entry/decision_log.py
+++ b/src/sardinetrack/entry/decision_log.py
@@ -6,7 +6,12 @@
 
 from sardinetrack.entry.pending_request import PendingRequest
 from sardinetrack.logs.lines import DecisionRecord, Part, PartLogger
-from sardinetrack.routing.api import AttemptEnd, Dispatch, Held, Reject
+from sardinetrack.routing.api import (
+    AttemptOutcome,
+    Dispatch,
+    Reject,
+    WaitNotice,
+)
 
 _LOG: Final = PartLogger(Part.ENTRY)
 _DIGITS: Final = 3
@@ -35,7 +40,7 @@
     )
 
 
-def log_wait(pending: PendingRequest, notice: Held) -> None:
+def log_wait(pending: PendingRequest, notice: WaitNotice) -> None:
     """Log why a request still waits."""
     work = pending.work
     _LOG.info(
@@ -70,7 +75,7 @@
 
 def log_end(
     dispatch: Dispatch,
-    end: AttemptEnd,
+    end: AttemptOutcome,
     server: str,
     cost: float,
 ) -> None:
--- a/src/sardinetrack/entry/dispatcher.py
+++ b/src/sardinetrack/entry/dispatcher.py
@@ -19,15 +19,15 @@
 from sardinetrack.entry.pending_request import PendingRequest
 from sardinetrack.messages.api import Bids, Decline, ServiceReport, Strike
 from sardinetrack.routing.api import (
-    AttemptEnd,
+    AttemptOutcome,
     Dispatch,
     EntryEffect,
-    Held,
     Reject,
+    RoutedRequest,
     Routing,
     SendToEntries,
     SendToSide,
-    Work,
+    WaitNotice,
 )
 
 Effects = Sequence[EntryEffect]
@@ -88,7 +88,7 @@
         return tuple(self._pending.values())
 
     @contextmanager
-    def submitted(self, work: Work) -> Iterator[PendingRequest]:
+    def submitted(self, work: RoutedRequest) -> Iterator[PendingRequest]:
         """Submit a request to the routing policy while the context is open.
 
         :param work: the request; its id is unique at this entry.
@@ -105,7 +105,7 @@
     def attempt_ended(
         self,
         dispatch: Dispatch,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         *,
         cost: float = 0,
         answered: bool = False,
@@ -118,7 +118,7 @@
         server = self._outbox.backend_server(dispatch.side)
         log_end(dispatch, end, server, cost)
         self.apply_effects(
-            self.routing.ended(
+            self.routing.settle_attempt(
                 self.clock(),
                 dispatch.attempt_id,
                 end,
@@ -131,7 +131,7 @@
         """Update the charge of a running attempt to its cost so far."""
         now = self.clock()
         self.apply_effects(
-            self.routing.progress(now, dispatch.attempt_id, cost)
+            self.routing.adjust_charge(now, dispatch.attempt_id, cost)
         )
 
     def tick(self) -> None:
@@ -154,17 +154,17 @@
                 self._outbox.to_side(effect.side, effect.message)
             case SendToEntries():
                 self._outbox.to_entries(effect.message)
-            case Held():
+            case WaitNotice():
                 self._report_wait(effect)
         return ()
 
     def _dispatch(self, dispatch: Dispatch) -> Effects:
         pending = self._pending.get(dispatch.request_id)
         if pending is None:
-            return self.routing.ended(
+            return self.routing.settle_attempt(
                 self.clock(),
                 dispatch.attempt_id,
-                AttemptEnd.ABANDONED,
+                AttemptOutcome.ABANDONED,
                 cost=0,
                 answered=False,
             )
@@ -178,12 +178,12 @@
         if pending is None:
             return ()
         if reject.strike:
-            return self.routing.answer(self.clock(), reject)
+            return self.routing.deliver_rejection(self.clock(), reject)
         log_reject(pending, reject)
         pending.deliver(reject)
         return ()
 
-    def _report_wait(self, notice: Held) -> None:
+    def _report_wait(self, notice: WaitNotice) -> None:
         pending = self._pending.get(notice.request_id)
         if pending is None:
             return
@@ -195,7 +195,7 @@
         # caller's disconnect cancelled its task, would occupy its slot and be
         # charged indefinitely.
         for dispatch in pending.open_attempts():
-            self.attempt_ended(dispatch, AttemptEnd.ABANDONED)
+            self.attempt_ended(dispatch, AttemptOutcome.ABANDONED)
         request_id = pending.work.request_id
         self._pending.pop(request_id, None)
         if not pending.finished:
--- a/src/sardinetrack/entry/history.py
+++ b/src/sardinetrack/entry/history.py
@@ -6,7 +6,7 @@
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.errors.table import answer_for
-from sardinetrack.routing.api import AttemptEnd, Reject
+from sardinetrack.routing.api import AttemptOutcome, Reject
 
 
 class RunHistory:
@@ -26,11 +26,11 @@
         """Record that a run request is about to be sent."""
         self._on_change(True)
 
-    def attempt_ended(self, end: AttemptEnd) -> None:
+    def attempt_ended(self, end: AttemptOutcome) -> None:
         """Record the outcome of an attempt."""
-        if end is AttemptEnd.UNKNOWN:
+        if end is AttemptOutcome.UNKNOWN:
             self._unknown = True
-        elif end is not AttemptEnd.NOT_STARTED:
+        elif end is not AttemptOutcome.NOT_STARTED:
             self._ran = True
         self._on_change(self._ran or self._unknown)
 
--- a/src/sardinetrack/entry/metrics.py
+++ b/src/sardinetrack/entry/metrics.py
@@ -16,7 +16,7 @@
 
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.links.api import PeerRole
-from sardinetrack.routing.api import AttemptEnd, HoldReason
+from sardinetrack.routing.api import AttemptOutcome, HoldReason
 
 _POOL: Final = 'pool'
 _WAIT_BUCKETS: Final = (0.005, 0.02, 0.1, 0.5, 1, 2, 5, 10, 30, 60)
@@ -110,10 +110,12 @@
         """Count a reason for which a request or its response waits."""
         self._wait_reasons.labels(pool, reason.value).inc()
 
-    def count_attempt(self, pool: str, end: AttemptEnd, cost: float) -> None:
+    def count_attempt(
+        self, pool: str, end: AttemptOutcome, cost: float
+    ) -> None:
         """Count an attempt, and observe its cost if it completed."""
         self._attempts.labels(pool, end.value).inc()
-        if end is AttemptEnd.WHOLE:
+        if end is AttemptOutcome.COMPLETED:
             self._cost.labels(pool).observe(cost)
 
     def exposition(self) -> bytes:
--- a/src/sardinetrack/entry/peer_events.py
+++ b/src/sardinetrack/entry/peer_events.py
@@ -180,7 +180,7 @@
 
     def _apply_strike(self, link: Link, strike: Strike) -> Effects:
         now = self._dispatcher.clock()
-        effects = self._dispatcher.routing.strike(now, strike)
+        effects = self._dispatcher.routing.apply_strike(now, strike)
         if strike.number:
             link.post(StrikeNoted(strike.number))
         return effects
@@ -191,7 +191,7 @@
             return ()
         linked.load = load
         now = self._dispatcher.clock()
-        return self._dispatcher.routing.load(now, name, load)
+        return self._dispatcher.routing.update_side_load(now, name, load)
 
     def _apply_effects(self, effects: Effects) -> None:
         self._dispatcher.apply_effects(effects)
--- a/src/sardinetrack/entry/pending_request.py
+++ b/src/sardinetrack/entry/pending_request.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from sardinetrack.routing.api import Dispatch, Reject, Work
+from sardinetrack.routing.api import Dispatch, Reject, RoutedRequest
 
 _DECISIONS: Final = 8
 
@@ -14,7 +14,7 @@
 class PendingRequest:
     """Receives the routing decisions about one request and queues them."""
 
-    def __init__(self, work: Work) -> None:
+    def __init__(self, work: RoutedRequest) -> None:
         """Open the stream of decisions.
 
         :param work: the request as submitted to the routing policy.
--- a/src/sardinetrack/entry/reader.py
+++ b/src/sardinetrack/entry/reader.py
@@ -22,7 +22,7 @@
 from sardinetrack.entry.services import ServiceTarget, is_repeatable
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.asgi import Exchange
-from sardinetrack.routing.api import Work
+from sardinetrack.routing.api import RoutedRequest
 
 COMPLETIONS_PATH: Final = '/v1/chat/completions'
 KEY_HEADER: Final = 'idempotency-key'
@@ -159,7 +159,7 @@
 
     def _work(
         self, method: str, origin: RequestOrigin, target: _Target
-    ) -> Work:
+    ) -> RoutedRequest:
         chat_request = target.completion
         key = CostKey(origin.workspace.name, target.pool.name)
         expected = self._costs.estimate(key, target.pool.pool_class)
@@ -168,7 +168,7 @@
             and chat_request.max_output_tokens is not None
         ):
             expected = chat_request.max_output_tokens
-        return Work(
+        return RoutedRequest(
             request_id=origin.request_id,
             workspace=origin.workspace.name,
             pool=target.pool.name,
--- a/src/sardinetrack/entry/runner.py
+++ b/src/sardinetrack/entry/runner.py
@@ -18,7 +18,7 @@
 from sardinetrack.entry.truncation import truncate_response
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.asgi import CallerGoneError, Exchange
-from sardinetrack.routing.api import AttemptEnd, Dispatch, Reject
+from sardinetrack.routing.api import AttemptOutcome, Dispatch, Reject
 
 
 class CallRunner:
@@ -73,7 +73,7 @@
                 history.attempt_started()
                 result = await self._attempt(call, caller, decision)
                 history.attempt_ended(result.end)
-                if result.end is AttemptEnd.WHOLE:
+                if result.end is AttemptOutcome.COMPLETED:
                     pending.finished = True
                     return
                 decision = await self._next_decision(
@@ -103,9 +103,9 @@
         pending: PendingRequest,
         call: Call,
         caller: Caller,
-        end: AttemptEnd,
+        end: AttemptOutcome,
     ) -> Dispatch | Reject:
-        if caller.disconnected or end is AttemptEnd.ABANDONED:
+        if caller.disconnected or end is AttemptOutcome.ABANDONED:
             raise CallerGoneError
         decision = await pending.next_decision()
         if caller.started:
@@ -123,7 +123,7 @@
         dispatch: Dispatch,
         result: AttemptResult,
     ) -> None:
-        if result.end is AttemptEnd.WHOLE:
+        if result.end is AttemptOutcome.COMPLETED:
             key = CostKey(call.workspace.name, call.pool.name)
             self._costs.update(key, result.cost - call.prompt_cost)
         self._dispatcher.attempt_ended(
--- a/src/sardinetrack/entry/status_query.py
+++ b/src/sardinetrack/entry/status_query.py
@@ -17,7 +17,7 @@
     AttemptQuery,
     Fate,
 )
-from sardinetrack.routing.api import AttemptEnd, Dispatch
+from sardinetrack.routing.api import AttemptOutcome, Dispatch
 
 _LOG: Final = PartLogger(Part.ENTRY)
 _DELAYS_SECONDS: Final = (0, 0.2, 0.6)
@@ -26,14 +26,14 @@
 """Less than a side keeps records: ``admission.attempts.KEEP_SECONDS``."""
 _OUTCOMES: Final = MappingProxyType(
     {
-        Fate.NOT_STARTED: AttemptEnd.NOT_STARTED,
+        Fate.NOT_STARTED: AttemptOutcome.NOT_STARTED,
         # Only the connection broke: reporting a failure would record a strike
         # against the request for a crash that did not happen.
-        Fate.RUNNING: AttemptEnd.UNKNOWN,
-        Fate.FINISHED: AttemptEnd.UNKNOWN,
-        Fate.STOPPED: AttemptEnd.UNKNOWN,
-        Fate.FAILED: AttemptEnd.FAILED,
-        Fate.UNKNOWN: AttemptEnd.UNKNOWN,
+        Fate.RUNNING: AttemptOutcome.UNKNOWN,
+        Fate.FINISHED: AttemptOutcome.UNKNOWN,
+        Fate.STOPPED: AttemptOutcome.UNKNOWN,
+        Fate.FAILED: AttemptOutcome.FAILED,
+        Fate.UNKNOWN: AttemptOutcome.UNKNOWN,
     },
 )
 
@@ -53,7 +53,7 @@
         self,
         dispatch: Dispatch,
         began_seconds: float,
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         """Query and cancel an attempt, with retries.
 
         :param dispatch: the attempt.
@@ -65,7 +65,7 @@
             status = await self.query_once(dispatch.attempt_id, cancel=True)
             if status is not None:
                 return _trusted(_OUTCOMES[status], began_seconds)
-        return AttemptEnd.UNKNOWN
+        return AttemptOutcome.UNKNOWN
 
     async def query_once(self, attempt_id: str, *, cancel: bool) -> Fate | None:
         """Query the status of an attempt once.
@@ -97,12 +97,12 @@
         return msgspec.json.decode(reply.body, type=AttemptAnswer).fate
 
 
-def _trusted(end: AttemptEnd, began_seconds: float) -> AttemptEnd:
+def _trusted(end: AttemptOutcome, began_seconds: float) -> AttemptOutcome:
     # An entry that was suspended for long may query after the side has deleted
     # the record of a run, and receives "not started" although the request did
     # run. Until the side deletes its records the status is true, so it is
     # trusted for less than that time.
     age_seconds = anyio.current_time() - began_seconds
-    if end is AttemptEnd.NOT_STARTED and age_seconds > STATUS_TRUST_SECONDS:
-        return AttemptEnd.UNKNOWN
+    if end is AttemptOutcome.NOT_STARTED and age_seconds > STATUS_TRUST_SECONDS:
+        return AttemptOutcome.UNKNOWN
     return end
--- a/src/sardinetrack/relay/exchange.py
+++ b/src/sardinetrack/relay/exchange.py
@@ -151,7 +151,7 @@
             return False
         if self._refused_seconds(plan) > 0:
             return False
-        return self._fleet.budget(plan.pool.name).take()
+        return self._fleet.budget(plan.pool.name).try_withdraw()
 
 
 def _final_error(outcome: SendOutcome, reason: str) -> AnsweredError:
--- a/src/sardinetrack/relay/sender.py
+++ b/src/sardinetrack/relay/sender.py
@@ -56,20 +56,23 @@
         """Return the current state of a server, and count a request to it."""
         breaker = fleet.server_states.breaker(server)
         return cls(
-            server, breaker, breaker.sent(), fleet.server_states.load(server)
+            server,
+            breaker,
+            breaker.request_sent(),
+            fleet.server_states.load(server),
         )
 
     def record_success(self) -> None:
         """Record a response."""
-        self.breaker.succeeded(self.generation)
+        self.breaker.request_succeeded(self.generation)
 
     def record_failure(self, now: float) -> None:
         """Record a failure."""
-        self.breaker.failed(now, self.generation)
+        self.breaker.request_failed(now, self.generation)
 
     def record_inconclusive(self) -> None:
         """Record an outcome that shows nothing about the server."""
-        self.breaker.undecided(self.generation)
+        self.breaker.request_inconclusive(self.generation)
 
 
 class Sender:
@@ -221,7 +224,7 @@
     def _log_sent(self, plan: Plan, candidate: Candidate) -> None:
         fleet, trace = self._fleet, self._trace
         if not trace.sent:
-            fleet.budget(plan.pool.name).first_attempt()
+            fleet.budget(plan.pool.name).deposit()
         trace.servers.append(candidate.server.instance)
         trace.proved_not_run = False
         fleet.log.write(
--- a/src/sardinetrack/routing/admission_checks.py
+++ b/src/sardinetrack/routing/admission_checks.py
@@ -8,7 +8,7 @@
 from sardinetrack.fairness.account import Account
 from sardinetrack.fairness.bucket import TokenBucket
 from sardinetrack.fairness.ledger import Ledger
-from sardinetrack.routing.api import Reject, Work
+from sardinetrack.routing.api import Reject, RoutedRequest
 from sardinetrack.routing.queue import RequestQueues
 from sardinetrack.routing.shared import SharedState
 
@@ -34,7 +34,7 @@
         self._queue = queue
         self._buckets: dict[str, TokenBucket] = {}
 
-    def check(self, now: float, work: Work) -> Reject | None:
+    def check(self, now: float, work: RoutedRequest) -> Reject | None:
         """Check a new request.
 
         :param now: monotonic time.
@@ -53,7 +53,7 @@
             )
         return self._check_rate(now, work) or self._check_waiting(work)
 
-    def _check_rate(self, now: float, work: Work) -> Reject | None:
+    def _check_rate(self, now: float, work: RoutedRequest) -> Reject | None:
         rate = self._shared.limits(work.workspace).rate_per_second
         rate *= self._local_fraction(self._ledger.account(work.workspace))
         bucket = self._buckets.get(work.workspace)
@@ -74,7 +74,7 @@
         peers = account.peer_running + account.peer_waiting
         return own / (own + peers)
 
-    def _check_waiting(self, work: Work) -> Reject | None:
+    def _check_waiting(self, work: RoutedRequest) -> Reject | None:
         limit = self._shared.limits(work.workspace).waiting
         if self._queue.waiting(work.workspace) < limit:
             return None
--- a/src/sardinetrack/routing/api.py
+++ b/src/sardinetrack/routing/api.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class RoutedRequest:
     """A caller's request that waits for a slot."""
 
     request_id: str
@@ -52,10 +52,10 @@
     address: str
 
 
-class AttemptEnd(StrEnum):
+class AttemptOutcome(StrEnum):
     """How an attempt ended, as far as the entry could determine."""
 
-    WHOLE = 'whole'
+    COMPLETED = 'whole'
     """The caller got the complete response."""
     NOT_STARTED = 'not_started'
     """The side confirmed that the request did not run and never will."""
@@ -130,7 +130,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class WaitNotice:
     """Log why a request still waits; nothing is sent."""
 
     request_id: str
@@ -144,7 +144,7 @@
     """Total slots of these sides, as last reported."""
 
 
-EntryEffect = Dispatch | Reject | SendToSide | SendToEntries | Held
+EntryEffect = Dispatch | Reject | SendToSide | SendToEntries | WaitNotice
 
 
 class Routing(ABC):
@@ -168,7 +168,7 @@
         """Stop using a side: its link broke or it is draining."""
 
     @abstractmethod
-    def load(
+    def update_side_load(
         self,
         now: float,
         side: str,
@@ -177,7 +177,7 @@
         """Apply a load report of a side."""
 
     @abstractmethod
-    def submit(self, now: float, work: Work) -> Sequence[EntryEffect]:
+    def submit(self, now: float, work: RoutedRequest) -> Sequence[EntryEffect]:
         """Dispatch, queue or reject a new request."""
 
     @abstractmethod
@@ -194,7 +194,7 @@
         """Use a slot that a side granted, or decline the grant."""
 
     @abstractmethod
-    def progress(
+    def adjust_charge(
         self,
         now: float,
         attempt_id: str,
@@ -203,11 +203,11 @@
         """Adjust the charge of a running attempt to its cost so far."""
 
     @abstractmethod
-    def ended(
+    def settle_attempt(
         self,
         now: float,
         attempt_id: str,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         *,
         cost: float,
         answered: bool,
@@ -239,7 +239,7 @@
         """Handle the loss of the link to another entry."""
 
     @abstractmethod
-    def strike(self, now: float, strike: Strike) -> Sequence[EntryEffect]:
+    def apply_strike(self, now: float, strike: Strike) -> Sequence[EntryEffect]:
         """Record that a request was running when a backend server crashed."""
 
     @abstractmethod
@@ -252,7 +252,9 @@
         """Handle another entry's acknowledgement of strikes up to a number."""
 
     @abstractmethod
-    def answer(self, now: float, reject: Reject) -> Sequence[EntryEffect]:
+    def deliver_rejection(
+        self, now: float, reject: Reject
+    ) -> Sequence[EntryEffect]:
         """Return an error response, or delay it until peers have the strike."""
 
     @abstractmethod
--- a/src/sardinetrack/routing/breaker.py
+++ b/src/sardinetrack/routing/breaker.py
@@ -61,7 +61,7 @@
             return True
         return state is BreakerState.OPEN and now >= self._retry_at_seconds
 
-    def sent(self) -> int:
+    def request_sent(self) -> int:
         """Record that a request is sent.
 
         :return: the current generation, to be passed with its outcome.
@@ -70,7 +70,7 @@
             self._chart.fire(BreakerEvent.PROBE)
         return self.generation
 
-    def succeeded(self, generation: int) -> None:
+    def request_succeeded(self, generation: int) -> None:
         """Record a complete response."""
         if generation != self.generation:
             return
@@ -79,7 +79,7 @@
         if self.state is BreakerState.HALF_OPEN:
             self._chart.fire(BreakerEvent.PROBE_OK)
 
-    def failed(self, now: float, generation: int) -> None:
+    def request_failed(self, now: float, generation: int) -> None:
         """Record a failure; those of an older generation have been counted."""
         if generation != self.generation:
             return
@@ -89,7 +89,7 @@
         elif self._failures >= FAILURES_TO_OPEN:
             self._open(now, BreakerEvent.FAILURE_LIMIT)
 
-    def undecided(self, generation: int) -> None:
+    def request_inconclusive(self, generation: int) -> None:
         """Record that a request ended without showing the server's state."""
         probing = self.state is BreakerState.HALF_OPEN
         if probing and generation == self.generation:
--- a/src/sardinetrack/routing/outcome_handler.py
+++ b/src/sardinetrack/routing/outcome_handler.py
@@ -8,7 +8,7 @@
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.messages.api import Strike
 from sardinetrack.routing.api import (
-    AttemptEnd,
+    AttemptOutcome,
     EntryEffect,
     SendToEntries,
 )
@@ -33,7 +33,7 @@
         now: float,
         pool: PoolRouter,
         attempt: Attempt,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         *,
         answered: bool,
     ) -> Sequence[EntryEffect]:
@@ -47,21 +47,21 @@
         :return: a retry, a rejection, or nothing.
         """
         breaker = self._shared.breaker(attempt.backend_server)
-        if end in {AttemptEnd.WHOLE, AttemptEnd.ABANDONED}:
+        if end in {AttemptOutcome.COMPLETED, AttemptOutcome.ABANDONED}:
             pool.open_requests -= 1
-        if end is AttemptEnd.WHOLE:
-            breaker.succeeded(attempt.generation)
+        if end is AttemptOutcome.COMPLETED:
+            breaker.request_succeeded(attempt.generation)
             return [
                 *self._clear_strikes(attempt),
                 *self._reuse_slot(now, pool, attempt),
             ]
-        if end is AttemptEnd.NOT_STARTED:
-            breaker.undecided(attempt.generation)
+        if end is AttemptOutcome.NOT_STARTED:
+            breaker.request_inconclusive(attempt.generation)
             return self._requeue(now, pool, attempt)
-        if end is AttemptEnd.ABANDONED:
-            breaker.undecided(attempt.generation)
+        if end is AttemptOutcome.ABANDONED:
+            breaker.request_inconclusive(attempt.generation)
             return pool.dispatch_ready(now)
-        breaker.failed(now, attempt.generation)
+        breaker.request_failed(now, attempt.generation)
         return self._handle_failure(now, pool, attempt, end, answered=answered)
 
     def _clear_strikes(self, attempt: Attempt) -> Sequence[EntryEffect]:
@@ -115,14 +115,14 @@
         now: float,
         pool: PoolRouter,
         attempt: Attempt,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         *,
         answered: bool,
     ) -> Sequence[EntryEffect]:
         effects: list[EntryEffect] = []
         queued = attempt.queued
         queued.previous_error = ErrorKind.OUTCOME_UNKNOWN
-        if end is AttemptEnd.FAILED:
+        if end is AttemptOutcome.FAILED:
             queued.previous_error = ErrorKind.SERVER_FAILED
             effects.extend(self._record_strike(now, attempt))
         if answered:
@@ -131,7 +131,7 @@
         strikes = self._shared.strikes
         retry = queued.work.idempotent and not answered
         retry = retry and not strikes.condemned_seconds(now, fingerprint)
-        if retry and self._shared.retries.take():
+        if retry and self._shared.retries.try_withdraw():
             queued.failed_sides |= {attempt.side}
             effects.extend(pool.enqueue(now, queued, at_front=True))
             return effects
--- a/src/sardinetrack/routing/pool.py
+++ b/src/sardinetrack/routing/pool.py
@@ -19,8 +19,8 @@
     Dispatch,
     EntryEffect,
     Reject,
+    RoutedRequest,
     SendToSide,
-    Work,
 )
 from sardinetrack.routing.attempt import Attempt, rejection_for
 from sardinetrack.routing.queue import QueuedRequest, RequestQueues
@@ -70,7 +70,7 @@
         self._slots_seen_seconds = float('-inf')
         self._rebid_seconds = float('-inf')
 
-    def submit(self, now: float, work: Work) -> Sequence[EntryEffect]:
+    def submit(self, now: float, work: RoutedRequest) -> Sequence[EntryEffect]:
         """Dispatch, queue or reject a new request."""
         if self.sides.has_slots():
             self._slots_seen_seconds = now
@@ -79,7 +79,7 @@
         rejection = self._checks.check(now, work)
         if rejection is not None:
             return (rejection,)
-        self._shared.retries.first_attempt()
+        self._shared.retries.deposit()
         self.open_requests += 1
         return self.enqueue(now, QueuedRequest(work, now))
 
@@ -275,7 +275,7 @@
             queued,
             side.info.side,
             side.info.backend_server,
-            side.breaker.sent(),
+            side.breaker.request_sent(),
             self._scheduler.is_suspect(now, work),
         )
         self.attempts[attempt.attempt_id] = attempt
--- a/src/sardinetrack/routing/queue.py
+++ b/src/sardinetrack/routing/queue.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from sardinetrack.errors.api import ErrorKind
-from sardinetrack.routing.api import HoldReason, Work
+from sardinetrack.routing.api import HoldReason, RoutedRequest
 
 _LOOKAHEAD: Final = 4
 """Requests at the front among which one with a cached prefix goes first."""
@@ -22,7 +22,7 @@
 class QueuedRequest:
     """A request that is queued or running, with its earlier attempts."""
 
-    work: Work
+    work: RoutedRequest
     submitted_seconds: float
     attempts: int = 0
     failed_sides: frozenset[str] = frozenset()
--- a/src/sardinetrack/routing/retries.py
+++ b/src/sardinetrack/routing/retries.py
@@ -25,11 +25,11 @@
         self._burst = burst
         self._tokens = burst
 
-    def first_attempt(self) -> None:
+    def deposit(self) -> None:
         """Add the fraction of a retry for one first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def take(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Spend one retry; return whether the budget allowed it."""
         if self._tokens < 1:
             return False
--- a/src/sardinetrack/routing/router.py
+++ b/src/sardinetrack/routing/router.py
@@ -18,13 +18,13 @@
     Strike,
 )
 from sardinetrack.routing.api import (
-    AttemptEnd,
+    AttemptOutcome,
     EntryEffect,
     Reject,
+    RoutedRequest,
     Routing,
     SendToSide,
     SideInfo,
-    Work,
 )
 from sardinetrack.routing.outcome_handler import OutcomeHandler
 from sardinetrack.routing.pool import PoolRouter
@@ -78,7 +78,7 @@
             pool.sides.remove(side)
         return ()
 
-    def load(
+    def update_side_load(
         self,
         now: float,
         side: str,
@@ -90,7 +90,7 @@
             return ()
         return pool.update_load(now, side, load)
 
-    def submit(self, now: float, work: Work) -> Sequence[EntryEffect]:
+    def submit(self, now: float, work: RoutedRequest) -> Sequence[EntryEffect]:
         """Dispatch, queue or reject a new request."""
         pool = self._pools.get(work.pool)
         if pool is None:
@@ -115,7 +115,7 @@
             return (SendToSide(side, Decline(grant.number)),)
         return pool.grant(now, side, grant)
 
-    def progress(
+    def adjust_charge(
         self,
         now: float,
         attempt_id: str,
@@ -127,11 +127,11 @@
             pool.ledger.progress(now, attempt_id, cost)
         return ()
 
-    def ended(
+    def settle_attempt(
         self,
         now: float,
         attempt_id: str,
-        end: AttemptEnd,
+        end: AttemptOutcome,
         *,
         cost: float,
         answered: bool,
@@ -165,7 +165,7 @@
         strike_sync = self._shared.strike_sync
         strikes = [
             replace(strike, number=strike_sync.next_number())
-            for strike in self._shared.strikes.holding(now)
+            for strike in self._shared.strikes.active(now)
         ]
         strike_sync.track_peer(entry, strikes[-1].number if strikes else 0)
         return strikes
@@ -177,7 +177,7 @@
         self._shared.strike_sync.untrack_peer(entry)
         return self._shared.strike_sync.due(now)
 
-    def strike(self, now: float, strike: Strike) -> Sequence[EntryEffect]:
+    def apply_strike(self, now: float, strike: Strike) -> Sequence[EntryEffect]:
         """Record that a request was running when a backend server crashed."""
         self._shared.strikes.add(now, strike)
         return ()
@@ -192,7 +192,9 @@
         self._shared.strike_sync.acknowledge(entry, number)
         return self._shared.strike_sync.due(now)
 
-    def answer(self, now: float, reject: Reject) -> Sequence[EntryEffect]:
+    def deliver_rejection(
+        self, now: float, reject: Reject
+    ) -> Sequence[EntryEffect]:
         """Return an error response, or delay it until peers have the strike."""
         return self._shared.strike_sync.deliver(now, reject)
 
--- a/src/sardinetrack/routing/scheduler.py
+++ b/src/sardinetrack/routing/scheduler.py
@@ -10,7 +10,7 @@
 from sardinetrack.fairness.invariant import ensure
 from sardinetrack.fairness.ledger import Ledger
 from sardinetrack.messages.api import BidRow, Bids
-from sardinetrack.routing.api import Held, HoldReason, Work
+from sardinetrack.routing.api import HoldReason, RoutedRequest, WaitNotice
 from sardinetrack.routing.attempt import Attempt
 from sardinetrack.routing.queue import QueuedRequest, RequestQueues
 from sardinetrack.routing.shared import SharedState
@@ -129,18 +129,18 @@
         share = math.ceil((left + unreported) / (1 + account.peers_waiting))
         return min(left, share - unreported)
 
-    def is_suspect(self, now: float, work: Work) -> bool:
+    def is_suspect(self, now: float, work: RoutedRequest) -> bool:
         """Whether a request has an active strike."""
         return self._shared.strikes.count(now, work.fingerprint) > 0
 
-    def wait_notice(self, now: float, queued: QueuedRequest) -> Held:
+    def wait_notice(self, now: float, queued: QueuedRequest) -> WaitNotice:
         """Return why the first request of a queue waits."""
         others = [
             side
             for side in self._sides.usable(now)
             if side.info.side not in queued.failed_sides
         ]
-        return Held(
+        return WaitNotice(
             queued.work.request_id,
             self._wait_reason(now, queued),
             tuple(sorted(queued.failed_sides)),
--- a/src/sardinetrack/routing/strike_sync.py
+++ b/src/sardinetrack/routing/strike_sync.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from sardinetrack.routing.api import EntryEffect, Held, HoldReason, Reject
+from sardinetrack.routing.api import EntryEffect, HoldReason, Reject, WaitNotice
 
 MAX_DELAY_SECONDS: Final = 4.0
 """Longer than a link may be silent before it counts as down."""
@@ -108,5 +108,5 @@
         reject: Reject,
         reason: HoldReason,
         entries: tuple[str, ...],
-    ) -> Held:
-        return Held(reject.request_id, reason, (), entries, 0)
+    ) -> WaitNotice:
+        return WaitNotice(reject.request_id, reason, (), entries, 0)
--- a/src/sardinetrack/routing/strikes.py
+++ b/src/sardinetrack/routing/strikes.py
@@ -56,7 +56,7 @@
         expiries = sorted(self._expiries[fingerprint].values(), reverse=True)
         return max(0, expiries[self._servers_to_block - 1] - now)
 
-    def holding(self, now: float) -> list[Strike]:
+    def active(self, now: float) -> list[Strike]:
         """Return the active strikes of the newest fingerprints."""
         newest = list(self._expiries)[-_MAX_SENT_FINGERPRINTS:]
         return [
--- a/src/sardinetrack/routing/wait_notices.py
+++ b/src/sardinetrack/routing/wait_notices.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import Final
 
-from sardinetrack.routing.api import Held
+from sardinetrack.routing.api import WaitNotice
 from sardinetrack.routing.queue import RequestQueues
 from sardinetrack.routing.scheduler import Scheduler
 
@@ -22,7 +22,7 @@
         self._queue = queue
         self._scheduler = scheduler
 
-    def due(self, now: float) -> Sequence[Held]:
+    def due(self, now: float) -> Sequence[WaitNotice]:
         """Return notices about requests whose reason to wait has changed.
 
         :param now: monotonic time.
@@ -30,7 +30,7 @@
         """
         return list(islice(self._new_notices(now), _MAX_NOTICES))
 
-    def _new_notices(self, now: float) -> Iterator[Held]:
+    def _new_notices(self, now: float) -> Iterator[WaitNotice]:
         for workspace in self._queue.workspaces():
             queued = self._queue.head(workspace)
             if now - queued.queued_seconds < NOTICE_DELAY_SECONDS:
--- a/src/sardinetrack/turns/side.py
+++ b/src/sardinetrack/turns/side.py
@@ -106,7 +106,7 @@
     def handle_hello(self, entry: EntryConnection, hello: Hello) -> None:
         """Set the engine's size, and send the entry all active strikes."""
         self.admission.resize(hello.slots, hello.memory_tokens)
-        strikes = self._strikes.holding(loop_now())
+        strikes = self._strikes.active(loop_now())
         if strikes:
             entry.send(Struck(tuple(strikes)))
         self._log.write(
--- a/tests/entry/steps/parts_steps.py
+++ b/tests/entry/steps/parts_steps.py
@@ -16,7 +16,7 @@
 from sardinetrack.entry.services import is_repeatable
 from sardinetrack.entry.sse import EventReader
 from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.routing.api import AttemptEnd, Reject
+from sardinetrack.routing.api import AttemptOutcome, Reject
 
 CALLS = (RepeatableCall('GET', '/charts'),)
 EVENTS = (b'data: {"a": 1}\n\n', b': note\n\n', b'data: x\r\n\r\n')
@@ -70,7 +70,7 @@
     for end in ends.split(', '):
         history.attempt_started()
         assert reports[-1]
-        history.attempt_ended(AttemptEnd(end))
+        history.attempt_ended(AttemptOutcome(end))
     assert reports[-1] == (ends != 'not_started')
     failure = history.failure(Reject('1', ErrorKind(decided)))
     assert failure.kind == reported, failure
--- a/tests/fairness/steps/textbook_steps.py
+++ b/tests/fairness/steps/textbook_steps.py
@@ -20,11 +20,11 @@
 from sardinetrack.admission.slots import SlotAdmission
 from sardinetrack.messages.api import Bids
 from sardinetrack.routing.api import (
-    AttemptEnd,
+    AttemptOutcome,
     Dispatch,
+    RoutedRequest,
     SendToSide,
     SideInfo,
-    Work,
 )
 from sardinetrack.routing.router import Router
 from sardinetrack.routing.shared import Identity
@@ -60,7 +60,7 @@
         self.entry.configure(0, catalogue, [catalogue_pool(SHAPES[0])])
         info = SideInfo('s', SHAPES[0].pool, 's', 'galata', '127.0.0.1:1')
         self.entry.side_up(0, info)
-        self.entry.load(0, 's', self.side.load())
+        self.entry.update_side_load(0, 's', self.side.load())
 
     def from_entry(self, effects):
         """Apply effects of the entry."""
@@ -80,14 +80,16 @@
                 self.from_entry(self.entry.grant(self.now, 's', grant))
             elif isinstance(effect, Announce):
                 load = self.side.load()
-                self.from_entry(self.entry.load(self.now, 's', load))
+                self.from_entry(
+                    self.entry.update_side_load(self.now, 's', load)
+                )
 
     def submit(self, demand):
         """Send a request of a caller."""
         self.now = demand.at_seconds
         request = str(demand.at_seconds)
         self.requests[request] = demand
-        work = Work(
+        work = RoutedRequest(
             request,
             demand.workspace,
             SHAPES[0].pool,
@@ -109,10 +111,10 @@
             cost=demand.cost,
         )
         self.from_entry(
-            self.entry.ended(
+            self.entry.settle_attempt(
                 self.now,
                 attempt,
-                AttemptEnd.WHOLE,
+                AttemptOutcome.COMPLETED,
                 cost=demand.cost,
                 answered=True,
             ),
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -55,7 +55,7 @@
         self._outstanding[work.workspace] += 1
         return (self._dispatch(work),)
 
-    def ended(self, now, attempt_id, end, *, cost, answered):
+    def settle_attempt(self, now, attempt_id, end, *, cost, answered):
         """Dispatch again or give up."""
         work = self._attempts.pop(attempt_id)
         self._outstanding[work.workspace] -= 1
@@ -89,15 +89,15 @@
     def _ignore(self, *args):
         return ()
 
-    load = _ignore
+    update_side_load = _ignore
     cancel = _ignore
     grant = _ignore
-    progress = _ignore
+    adjust_charge = _ignore
     peer_service = _ignore
     peer_lost = _ignore
-    strike = _ignore
+    apply_strike = _ignore
     strike_noted = _ignore
-    answer = _ignore
+    deliver_rejection = _ignore
     peer_linked = _ignore
     tick = _ignore
 
--- a/tests/relay/steps/relay_steps.py
+++ b/tests/relay/steps/relay_steps.py
@@ -390,7 +390,9 @@
     for server in fleet.servers.of_pool('plain')[:count]:
         breaker = fleet.server_states.breaker(server)
         for _ in range(FAILURES_TO_OPEN):
-            breaker.failed(context.world.loop.time(), breaker.generation)
+            breaker.request_failed(
+                context.world.loop.time(), breaker.generation
+            )
 
 
 @when('the breaker of {count:d} of them has closed again')
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -40,7 +40,7 @@
         fleet.connections.give_back(server.address, kept)
         breaker = fleet.server_states.breaker(server)
         for _ in range(FAILURES_TO_OPEN):
-            breaker.failed(now, breaker.generation)
+            breaker.request_failed(now, breaker.generation)
 
     context.world.run(act())
 
--- a/tests/routing/crash_simulation.py
+++ b/tests/routing/crash_simulation.py
@@ -10,12 +10,12 @@
 
 from sardinetrack.messages.api import SideLoad, SidePhase, Strike
 from sardinetrack.routing.api import (
-    AttemptEnd,
+    AttemptOutcome,
     Dispatch,
     Reject,
+    RoutedRequest,
     SendToEntries,
     SideInfo,
-    Work,
 )
 from sardinetrack.routing.router import Router
 from sardinetrack.routing.shared import Identity
@@ -46,7 +46,7 @@
         self._response = None
         self._number += 1
         name = self._random.choice(ENTRIES)
-        work = Work(
+        work = RoutedRequest(
             f'r{self._number}', 'pilot', POOL, 1, self._now + 60, True, 'print'
         )
         self._handle_effects(name, self._routers[name].submit(self._now, work))
@@ -62,7 +62,7 @@
         for server in SERVERS:
             info = SideInfo(server, POOL, server, 'galata', '127.0.0.1:1')
             router.side_up(0, info)
-            router.load(
+            router.update_side_load(
                 0, server, SideLoad('first', SidePhase.SERVING, 4, 0, 4)
             )
         return router
@@ -82,11 +82,11 @@
         self.crashed.add(dispatch.side)
         no_slots = SideLoad('first', SidePhase.SERVING, 0, 0, 0)
         for other in self._routers.values():
-            other.load(self._now, dispatch.side, no_slots)
-        effects = router.ended(
+            other.update_side_load(self._now, dispatch.side, no_slots)
+        effects = router.settle_attempt(
             self._now,
             dispatch.attempt_id,
-            AttemptEnd.FAILED,
+            AttemptOutcome.FAILED,
             cost=0,
             answered=self._random.randrange(3) == 0,
         )
@@ -96,7 +96,7 @@
         message = self._links[sender, receiver].popleft()
         router = self._routers[receiver]
         if isinstance(message, Strike):
-            router.strike(self._now, message)
+            router.apply_strike(self._now, message)
             self._links[receiver, sender].append(message.number)
         else:
             effects = router.strike_noted(self._now, sender, message)
@@ -116,7 +116,7 @@
 
     def _reject(self, name: str, reject: Reject):
         if reject.strike:
-            return self._routers[name].answer(self._now, reject)
+            return self._routers[name].deliver_rejection(self._now, reject)
         self._response = reject
         return ()
 
--- a/tests/routing/steps/breaker_steps.py
+++ b/tests/routing/steps/breaker_steps.py
@@ -18,18 +18,20 @@
 def start_breaker(context):
     context.now = 0
     context.breaker = Breaker()
-    context.first = context.breaker.sent()
+    context.first = context.breaker.request_sent()
 
 
 @when('{count:d} requests fail')
 def fail_requests(context, count):
     for _ in range(count):
-        context.breaker.failed(context.now, context.breaker.sent())
+        context.breaker.request_failed(
+            context.now, context.breaker.request_sent()
+        )
 
 
 @when('the first request succeeds late')
 def succeed_late(context):
-    context.breaker.succeeded(context.first)
+    context.breaker.request_succeeded(context.first)
 
 
 @when('the cooldown passes')
@@ -39,28 +41,28 @@
 
 @when('the probe fails')
 def fail_probe(context):
-    context.breaker.failed(context.now, context.breaker.sent())
+    context.breaker.request_failed(context.now, context.breaker.request_sent())
 
 
 @when('the probe succeeds')
 def succeed_probe(context):
-    context.breaker.succeeded(context.breaker.sent())
+    context.breaker.request_succeeded(context.breaker.request_sent())
 
 
 @when('the probe ends inconclusively')
 def end_probe(context):
-    context.breaker.undecided(context.breaker.sent())
+    context.breaker.request_inconclusive(context.breaker.request_sent())
 
 
 @when('a probe is sent')
 def send_probe(context):
     assert context.breaker.allows(context.now)
-    context.breaker.sent()
+    context.breaker.request_sent()
 
 
 @when('the first request fails late')
 def fail_late(context):
-    context.breaker.failed(context.now, context.first)
+    context.breaker.request_failed(context.now, context.first)
 
 
 @then('the breaker has the state "{state}"')
@@ -82,7 +84,7 @@
 @then('one request is allowed and no second one')
 def check_probe(context):
     assert context.breaker.allows(context.now)
-    context.breaker.sent()
+    context.breaker.request_sent()
     assert not context.breaker.allows(context.now)
 
 
@@ -94,16 +96,16 @@
 @given('a retry budget that is used up')
 def use_up(context):
     context.budget = RetryBudget(burst=1)
-    assert context.budget.take()
-    assert not context.budget.take()
+    assert context.budget.try_withdraw()
+    assert not context.budget.try_withdraw()
 
 
 @when('{count:d} first attempts are each retried if the budget allows it')
 def attempt(context, count):
     context.retries = 0
     for _ in range(count):
-        context.budget.first_attempt()
-        context.retries += context.budget.take()
+        context.budget.deposit()
+        context.retries += context.budget.try_withdraw()
 
 
 @then('at most {count:d} retries were allowed')
--- a/tests/routing/steps/router_steps.py
+++ b/tests/routing/steps/router_steps.py
@@ -24,13 +24,13 @@
     Strike,
 )
 from sardinetrack.routing.api import (
-    AttemptEnd,
+    AttemptOutcome,
     Dispatch,
-    Held,
     Reject,
+    RoutedRequest,
     SendToSide,
     SideInfo,
-    Work,
+    WaitNotice,
 )
 from sardinetrack.routing.router import Router
 from sardinetrack.routing.shared import Identity
@@ -60,7 +60,9 @@
 
 
 def submit(context, name, request):
-    work = Work(request, name, POOL, 5.0, context.now + 60, True, 'print')
+    work = RoutedRequest(
+        request, name, POOL, 5.0, context.now + 60, True, 'print'
+    )
     context.effects.extend(context.router.submit(context.now, work))
 
 
@@ -82,12 +84,14 @@
     info = SideInfo('s1', POOL, 'engine1', 'galata', '127.0.0.1:1')
     context.router.side_up(0, info)
     load = SideLoad('first', SidePhase.SERVING, 1, 0, 1)
-    context.router.load(0, 's1', load)
+    context.router.update_side_load(0, 's1', load)
 
 
 @step('{name} submits {request} of cost {cost:g}')
 def submit_work(context, name, request, cost):
-    work = Work(request, name, POOL, cost, context.now + 60, True, 'print')
+    work = RoutedRequest(
+        request, name, POOL, cost, context.now + 60, True, 'print'
+    )
     context.effects.extend(context.router.submit(context.now, work))
 
 
@@ -99,13 +103,15 @@
 
 @given('a peer reports a strike against {fingerprint} at server {server}')
 def report_strike(context, fingerprint, server):
-    context.router.strike(context.now, Strike(fingerprint, server, 60.0))
+    context.router.apply_strike(context.now, Strike(fingerprint, server, 60.0))
 
 
 @when('the side loses its slots')
 def lose_slots(context):
     load = SideLoad('first', SidePhase.SERVING, 0, 0, 0)
-    context.effects.extend(context.router.load(context.now, 's1', load))
+    context.effects.extend(
+        context.router.update_side_load(context.now, 's1', load)
+    )
     context.effects.extend(context.router.tick(context.now))
 
 
@@ -119,7 +125,7 @@
 def end(context, request, how):
     attempt = attempts(context, request)[-1]
     context.effects.extend(
-        context.router.ended(
+        context.router.settle_attempt(
             context.now,
             attempt.attempt_id,
             how,
@@ -131,12 +137,12 @@
 
 @when('the side refuses {request}')
 def refuse(context, request):
-    end(context, request, AttemptEnd.NOT_STARTED)
+    end(context, request, AttemptOutcome.NOT_STARTED)
 
 
 @when('the server fails while it runs {request}')
 def fail(context, request):
-    end(context, request, AttemptEnd.FAILED)
+    end(context, request, AttemptOutcome.FAILED)
 
 
 @when('{seconds:g} seconds pass at the entry')
@@ -190,7 +196,9 @@
 @when('the side reports {count:d} free slot')
 def report_load(context, count):
     load = SideLoad('first', SidePhase.SERVING, 1, 0, count)
-    context.effects.extend(context.router.load(context.now, 's1', load))
+    context.effects.extend(
+        context.router.update_side_load(context.now, 's1', load)
+    )
 
 
 @given('a peer reports {name} with {running:d} running and {waiting:d} waiting')
@@ -215,7 +223,7 @@
     for name in names.split(' and '):
         info = SideInfo(name, POOL, f'engine-{name}', 'galata', '127.0.0.1:2')
         context.router.side_up(0, info)
-        context.router.load(0, name, load)
+        context.router.update_side_load(0, name, load)
 
 
 @then('no side without slots receives a bid')
@@ -242,6 +250,6 @@
     reasons = [
         effect.reason.value
         for effect in context.effects
-        if isinstance(effect, Held) and effect.request_id == request
+        if isinstance(effect, WaitNotice) and effect.request_id == request
     ]
     assert reasons == [reason], reasons
--- a/tests/routing/steps/suspects_steps.py
+++ b/tests/routing/steps/suspects_steps.py
@@ -17,14 +17,14 @@
     Strike,
 )
 from sardinetrack.routing.api import (
-    AttemptEnd,
-    Held,
+    AttemptOutcome,
     HoldReason,
     Reject,
+    RoutedRequest,
     SendToEntries,
     SendToSide,
     SideInfo,
-    Work,
+    WaitNotice,
 )
 from sardinetrack.routing.router import Router
 from sardinetrack.routing.shared import Identity
@@ -35,11 +35,13 @@
 
 def report_load(context, side, *, limit, free):
     load = SideLoad('first', SidePhase.SERVING, limit, limit - free, free)
-    context.effects.extend(context.router.load(context.now, side, load))
+    context.effects.extend(
+        context.router.update_side_load(context.now, side, load)
+    )
 
 
 def submit(context, request):
-    work = Work(
+    work = RoutedRequest(
         request, 'pilot', POOL, 5, context.now + 60, True, f'print-{request}'
     )
     context.effects.extend(context.router.submit(context.now, work))
@@ -92,10 +94,12 @@
     submit(context, 'p1')
     for _ in context.sides:
         report_load(context, where(context, 'p1'), limit=0, free=0)
-        end(context, 'p1', AttemptEnd.FAILED)
+        end(context, 'p1', AttemptOutcome.FAILED)
     rejection = only_reject(context)
     context.effects.remove(rejection)
-    context.effects.extend(context.router.answer(context.now, rejection))
+    context.effects.extend(
+        context.router.deliver_rejection(context.now, rejection)
+    )
     context.numbers = [
         effect.message.number
         for effect in context.effects
@@ -182,13 +186,13 @@
 
 
 def notices(context):
-    return [one for one in context.effects if isinstance(one, Held)]
+    return [one for one in context.effects if isinstance(one, WaitNotice)]
 
 
 @when('a peer reports that p1 ran at a crash of server {server}')
 @given('a peer has reported that p1 ran at a crash of server {server}')
 def peer_strikes(context, server):
-    context.router.strike(context.now, Strike('print-p1', server, 60.0))
+    context.router.apply_strike(context.now, Strike('print-p1', server, 60.0))
 
 
 @when("pilot's p1 runs at one of them and gets a complete response")
@@ -196,7 +200,7 @@
     submit(context, 'p1')
     context.now += 0.1
     context.effects.extend(context.router.tick(context.now))
-    end(context, 'p1', AttemptEnd.WHOLE)
+    end(context, 'p1', AttemptOutcome.COMPLETED)
 
 
 @then(
@@ -218,9 +222,9 @@
 def peer_clears(context, server):
     context.router = Router(Identity('b', 'first'), Random(1))
     context.router.configure(0, [workspace('pilot')], [pool()])
-    context.router.strike(context.now, Strike('print-p1', 'one', 60.0))
-    context.router.strike(context.now, Strike('print-p1', 'one', 0))
-    context.router.strike(context.now, Strike('print-p1', server, 60.0))
+    context.router.apply_strike(context.now, Strike('print-p1', 'one', 60.0))
+    context.router.apply_strike(context.now, Strike('print-p1', 'one', 0))
+    context.router.apply_strike(context.now, Strike('print-p1', server, 60.0))
 
 
 @then('p1 is still served')
@@ -239,18 +243,18 @@
 @when('its server crashes while it runs p1 and its side loses its slots')
 def server_crashes(context):
     report_load(context, context.struck, limit=0, free=0)
-    end(context, 'p1', AttemptEnd.FAILED)
+    end(context, 'p1', AttemptOutcome.FAILED)
 
 
 @when('its server fails while it runs p1')
 def server_fails(context):
-    end(context, 'p1', AttemptEnd.FAILED)
+    end(context, 'p1', AttemptOutcome.FAILED)
 
 
 @when('the other side refuses it')
 def other_refuses(context):
     assert where(context, 'p1') == context.other
-    end(context, 'p1', AttemptEnd.NOT_STARTED)
+    end(context, 'p1', AttemptOutcome.NOT_STARTED)
 
 
 @when('the two sides that p1 is sent to refuse it')
@@ -258,7 +262,7 @@
     refusing = set()
     for _ in range(2):
         refusing.add(where(context, 'p1'))
-        end(context, 'p1', AttemptEnd.NOT_STARTED)
+        end(context, 'p1', AttemptOutcome.NOT_STARTED)
     assert len(refusing) == 2, refusing
     assert context.struck not in refusing, refusing
     context.refusing = sorted(refusing)
