--- a/src/sardinetrack/catalogue/editor.py
+++ b/src/sardinetrack/catalogue/editor.py
@@ -12,7 +12,7 @@
 from sardinetrack.catalogue.parse import WrittenEntry, parse_stored_entry
 from sardinetrack.catalogue.problems import InvalidEntryError
 from sardinetrack.catalogue.view import CatalogueView
-from sardinetrack.errors.problem import Problem
+from sardinetrack.errors.problem import ValidationProblem
 from sardinetrack.messages.api import ConfigObject
 from sardinetrack.store.api import (
     ConflictError,
@@ -235,5 +235,7 @@
     view.apply(covering(listing.revision, version, (change,)))
     for rejected in view.rejected():
         if rejected.key == catalogue_entry.key:
-            problems = [Problem('', reason) for reason in rejected.reasons]
+            problems = [
+                ValidationProblem('', reason) for reason in rejected.reasons
+            ]
             raise InvalidEntryError(catalogue_entry.key, problems)
--- a/src/sardinetrack/catalogue/parse.py
+++ b/src/sardinetrack/catalogue/parse.py
@@ -15,7 +15,7 @@
     InvalidEntryError,
     problems_from,
 )
-from sardinetrack.errors.problem import Problem
+from sardinetrack.errors.problem import ValidationProblem
 from sardinetrack.store.api import MAX_VALUE_BYTES
 
 _ADAPTER: Final[TypeAdapter[CatalogueEntryModel]] = TypeAdapter(
@@ -44,7 +44,7 @@
     model = _validate(key, value)
     expected = key_of(EntryKind(model.kind), model.name)
     if key != expected:
-        problem = Problem('name', f'this entry belongs at {expected}')
+        problem = ValidationProblem('name', f'this entry belongs at {expected}')
         raise InvalidEntryError(key, [problem])
     return model.to_catalogue_entry()
 
@@ -57,11 +57,13 @@
     try:
         content = pyjson5.decode(text)
     except pyjson5.Json5Exception as error:
-        problem = Problem('', f'not JSON with comments: {error.args[0]}')
+        problem = ValidationProblem(
+            '', f'not JSON with comments: {error.args[0]}'
+        )
         raise InvalidEntryError(_OPERATOR_FILE, [problem]) from error
     value = json.dumps(content, sort_keys=True).encode()
     if len(value) > MAX_VALUE_BYTES:
-        problem = Problem('', f'larger than {MAX_VALUE_BYTES} bytes')
+        problem = ValidationProblem('', f'larger than {MAX_VALUE_BYTES} bytes')
         raise InvalidEntryError(_OPERATOR_FILE, [problem])
     model = _validate(_OPERATOR_FILE, value)
     return WrittenEntry(key_of(EntryKind(model.kind), model.name), value)
--- a/src/sardinetrack/catalogue/problems.py
+++ b/src/sardinetrack/catalogue/problems.py
@@ -6,13 +6,13 @@
 
 from pydantic import ValidationError
 
-from sardinetrack.errors.problem import Problem, path_of, reason_of
+from sardinetrack.errors.problem import ValidationProblem, path_of, reason_of
 
 
 class InvalidEntryError(Exception):
     """A catalogue entry can't become active."""
 
-    def __init__(self, key: str, problems: Iterable[Problem]) -> None:
+    def __init__(self, key: str, problems: Iterable[ValidationProblem]) -> None:
         """Create the error.
 
         :param key: the key of the catalogue entry, or where it comes from.
@@ -29,11 +29,11 @@
         return tuple(str(problem) for problem in self.problems)
 
 
-def problems_from(error: ValidationError) -> list[Problem]:
+def problems_from(error: ValidationError) -> list[ValidationProblem]:
     """Convert the errors of a validation to problems."""
     found = error.errors(include_url=False, include_input=False)
     # The first element of a location is the kind that the validation chose.
     return [
-        Problem(path_of(detail['loc'][1:]), reason_of(detail['msg']))
+        ValidationProblem(path_of(detail['loc'][1:]), reason_of(detail['msg']))
         for detail in found
     ]
--- a/src/sardinetrack/config/errors.py
+++ b/src/sardinetrack/config/errors.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from sardinetrack.errors.problem import Problem
+from sardinetrack.errors.problem import ValidationProblem
 
 
 class SettingsError(Exception):
     """The settings are invalid; every problem is listed."""
 
-    def __init__(self, source: str, problems: tuple[Problem, ...]) -> None:
+    def __init__(
+        self, source: str, problems: tuple[ValidationProblem, ...]
+    ) -> None:
         """Create the error.
 
         :param source: the file's path.
--- a/src/sardinetrack/config/loader.py
+++ b/src/sardinetrack/config/loader.py
@@ -18,7 +18,7 @@
 )
 from sardinetrack.config.secret import SecretSources
 from sardinetrack.config.syntax import SyntaxProblemError, parse_text
-from sardinetrack.errors.problem import Problem, path_of, reason_of
+from sardinetrack.errors.problem import ValidationProblem, path_of, reason_of
 
 Settings = TypeVar('Settings', bound=BaseModel)
 
@@ -56,7 +56,7 @@
             return _validate(path, content, SideSettings)
         case {'role': 'operator'}:
             return _validate(path, content, OperatorSettings)
-    problem = Problem('role', "must be 'entry', 'side' or 'operator'")
+    problem = ValidationProblem('role', "must be 'entry', 'side' or 'operator'")
     raise SettingsError(path, (problem,))
 
 
@@ -65,9 +65,11 @@
         return parse_text(Path(path).read_text(encoding='utf-8'))
     except OSError as error:
         reason = f"can't be read: {error.strerror}"
-        raise SettingsError(path, (Problem(_WHOLE_FILE, reason),)) from error
+        raise SettingsError(
+            path, (ValidationProblem(_WHOLE_FILE, reason),)
+        ) from error
     except UnicodeDecodeError as error:
-        problem = Problem(_WHOLE_FILE, 'not UTF-8 text')
+        problem = ValidationProblem(_WHOLE_FILE, 'not UTF-8 text')
         raise SettingsError(path, (problem,)) from error
     except SyntaxProblemError as error:
         raise SettingsError(path, (error.problem,)) from error
@@ -90,7 +92,9 @@
         raise SettingsError(path, problems) from None
 
 
-def _to_problem(detail: ErrorDetails) -> Problem:
+def _to_problem(detail: ErrorDetails) -> ValidationProblem:
     location = path_of(detail['loc'])
     reason = _REASONS.get(detail['type'], reason_of(detail['msg']))
-    return Problem(location or _WHOLE_FILE, reason[:1].lower() + reason[1:])
+    return ValidationProblem(
+        location or _WHOLE_FILE, reason[:1].lower() + reason[1:]
+    )
--- a/src/sardinetrack/config/syntax.py
+++ b/src/sardinetrack/config/syntax.py
@@ -7,7 +7,7 @@
 
 import pyjson5
 
-from sardinetrack.errors.problem import Problem
+from sardinetrack.errors.problem import ValidationProblem
 
 _OFFSET_PATTERN: Final = re.compile(r'\s*\b(?:near|starting near) (\d+),?')
 _CODE_POINT_PATTERN: Final = re.compile(r'U\+([0-9a-fA-F]{4,6})')
@@ -18,7 +18,7 @@
 class SyntaxProblemError(Exception):
     """The text is not JSON."""
 
-    def __init__(self, problem: Problem) -> None:
+    def __init__(self, problem: ValidationProblem) -> None:
         """Create the error.
 
         :param problem: location and reason.
@@ -41,7 +41,7 @@
         raise SyntaxProblemError(problem) from error
 
 
-def _locate(text: str, message: str, character: str) -> Problem:
+def _locate(text: str, message: str, character: str) -> ValidationProblem:
     found = _OFFSET_PATTERN.search(message)
     start = max(int(found.group(1)) - 1, 0) if found else 0
     # The library reports a position before the white space that precedes the
@@ -50,7 +50,9 @@
     before = text[:offset]
     line = before.count('\n') + 1
     column = offset - before.rfind('\n')
-    return Problem(f'line {line}, column {column}', _plain_reason(message))
+    return ValidationProblem(
+        f'line {line}, column {column}', _plain_reason(message)
+    )
 
 
 def _plain_reason(message: str) -> str:
--- a/src/sardinetrack/entry/error_responses.py
+++ b/src/sardinetrack/entry/error_responses.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import Answer, answer_for
+from sardinetrack.errors.table import ErrorResponse, answer_for
 
 REQUEST_ID_HEADER: Final = 'x-request-id'
 NOT_RUN_HEADER: Final = 'sardinetrack-not-run'
@@ -72,7 +72,7 @@
 
 
 def _retry_after_seconds(
-    failure: AnsweredError, response: Answer
+    failure: AnsweredError, response: ErrorResponse
 ) -> int | None:
     seconds = failure.retry_after_seconds
     if seconds is None:
--- a/src/sardinetrack/errors/__init__.py
+++ b/src/sardinetrack/errors/__init__.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import ERROR_RESPONSES, Answer, answer_for
+from sardinetrack.errors.table import ERROR_RESPONSES, ErrorResponse, answer_for
 
 __all__ = [
     'ERROR_RESPONSES',
     'AnsweredError',
-    'Answer',
+    'ErrorResponse',
     'ErrorKind',
     'answer_for',
 ]
--- a/src/sardinetrack/errors/problem.py
+++ b/src/sardinetrack/errors/problem.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
+class ValidationProblem:
     """One problem of a settings file or a catalogue entry."""
 
     place: str
