--- a/benchmarks/charts.py
+++ b/benchmarks/charts.py
@@ -20,7 +20,7 @@
 from sardinetrack.admission.api import Arrival
 from sardinetrack.admission.book import AttemptEvent, AttemptState
 from sardinetrack.admission.slots import SlotAdmission
-from sardinetrack.charts import Chart, TypedChart
+from sardinetrack.charts import StateChart, TypedChart
 from sardinetrack.charts.model import ChartFile
 
 LOOPS = 20_000
@@ -78,7 +78,7 @@
     name = 'Chart'
 
     def __init__(self) -> None:
-        self._chart = Chart.load('attempt')
+        self._chart = StateChart.load('attempt')
 
     def run(self) -> None:
         """Fire the events."""
--- a/src/sardinetrack/charts/__init__.py
+++ b/src/sardinetrack/charts/__init__.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from sardinetrack.charts.errors import IllegalEventError, InvalidChartError
-from sardinetrack.charts.interpreter import Chart, ChartState
+from sardinetrack.charts.interpreter import ChartState, StateChart
 from sardinetrack.charts.typed import TypedChart, TypedState
 
 __all__ = [
-    'Chart',
+    'StateChart',
     'ChartState',
     'IllegalEventError',
     'InvalidChartError',
--- a/src/sardinetrack/charts/interpreter.py
+++ b/src/sardinetrack/charts/interpreter.py
@@ -18,7 +18,7 @@
 """A state, and an event that may occur in it."""
 
 
-class Chart:
+class StateChart:
     """A validated state chart, shared by any number of ``ChartState``."""
 
     def __init__(self, name: str, chart: ChartFile) -> None:
@@ -89,7 +89,7 @@
 
     __slots__ = ('_chart', 'state')
 
-    def __init__(self, chart: Chart) -> None:
+    def __init__(self, chart: StateChart) -> None:
         self._chart = chart
         self.state = chart.initial
 
--- a/src/sardinetrack/charts/typed.py
+++ b/src/sardinetrack/charts/typed.py
@@ -7,7 +7,7 @@
 from typing import Generic, TypeVar
 
 from sardinetrack.charts.errors import IllegalEventError, InvalidChartError
-from sardinetrack.charts.interpreter import Chart
+from sardinetrack.charts.interpreter import StateChart
 
 StateT = TypeVar('StateT', bound=StrEnum)
 EventT = TypeVar('EventT', bound=StrEnum)
@@ -30,7 +30,7 @@
         :raises InvalidChartError: the file is not a valid chart, or an
             enumeration differs from it.
         """
-        chart = Chart.load(name)
+        chart = StateChart.load(name)
         problems = (
             *_differences('state', chart.states, states),
             *_differences('event', chart.events, events),
--- a/src/sardinetrack/lease/decision.py
+++ b/src/sardinetrack/lease/decision.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from sardinetrack.charts.interpreter import Chart, ChartState
+from sardinetrack.charts.interpreter import ChartState, StateChart
 from sardinetrack.lease.record import LeaseRecord
 
 _NO_VERSION: Final = 0
@@ -62,7 +62,7 @@
         :param margin_seconds: subtracted from the time that this side holds
             the lease, added to the time that it waits for another holder.
         """
-        self._state: ChartState = Chart.load('lease').start()
+        self._state: ChartState = StateChart.load('lease').start()
         self._holder = holder
         self._duration_seconds = duration_seconds
         self._margin_seconds = margin_seconds
--- a/tests/charts/steps/interpreter_steps.py
+++ b/tests/charts/steps/interpreter_steps.py
@@ -13,9 +13,9 @@
 from hypothesis import settings, strategies
 
 from sardinetrack.charts import (
-    Chart,
     IllegalEventError,
     InvalidChartError,
+    StateChart,
     TypedChart,
 )
 
@@ -25,8 +25,8 @@
 
 @when('the chart "{name}" is loaded twice')
 def step_load_twice(context: Context, name: str) -> None:
-    context.chart = Chart.load(name)
-    context.again = Chart.load(name)
+    context.chart = StateChart.load(name)
+    context.again = StateChart.load(name)
 
 
 @then('both are the same chart')
@@ -41,7 +41,7 @@
 
 @given('a new state on the chart "{name}"')
 def step_start(context: Context, name: str) -> None:
-    context.chart = Chart.load(name)
+    context.chart = StateChart.load(name)
     context.state = context.chart.start()
 
 
@@ -123,7 +123,7 @@
 @then('the chart "{name}" is rejected because "{reason}"')
 def step_name_refused(context: Context, name: str, reason: str) -> None:
     try:
-        Chart.load(name)
+        StateChart.load(name)
     except InvalidChartError as error:
         assert reason in str(error)
     else:
@@ -132,7 +132,7 @@
 
 def _assert_refused(text: str, reason: str) -> None:
     try:
-        Chart.parse('switch', text)
+        StateChart.parse('switch', text)
     except InvalidChartError as error:
         assert any(reason in problem for problem in error.problems), error
     else:
@@ -157,7 +157,7 @@
         (transition['source'], transition['event']): transition['target']
         for transition in content['transitions']
     }
-    state = Chart.load(name).start()
+    state = StateChart.load(name).start()
     expected = content['initial']
     for choice in choices:
         event = events[choice % len(events)]
@@ -229,7 +229,7 @@
 def _read_and_fire() -> None:
     for name in _CHARTS:
         path = resources.files('sardinetrack.charts') / f'{name}.json'
-        chart = Chart.parse(name, path.read_bytes())
+        chart = StateChart.parse(name, path.read_bytes())
         for _, event in chart.targets:
             state = chart.start()
             if state.allows(event):
