--- a/src/sardinetrack/lease/orders.py
+++ b/src/sardinetrack/lease/orders.py
@@ -42,7 +42,7 @@
     @abstractmethod
     async def load_models(
         self,
-        fencing: int,
+        fencing_token: int,
         models: tuple[str, ...],
     ) -> OrderResult:
         """Send a command to load models; loaded ones stay loaded."""
--- a/src/sardinetrack/side/model_server.py
+++ b/src/sardinetrack/side/model_server.py
@@ -64,11 +64,13 @@
 
     async def load_models(
         self,
-        fencing: int,
+        fencing_token: int,
         models: tuple[str, ...],
     ) -> OrderResult:
         """Send a load command."""
-        command = msgspec.json.encode(LoadCommand(fencing, LoadContent(models)))
+        command = msgspec.json.encode(
+            LoadCommand(fencing_token, LoadContent(models))
+        )
         response = await self._call(
             'POST', '/orders', command, _LOAD_MODELS_SECONDS
         )
