--- a/src/sardinetrack/compose/entry.py
+++ b/src/sardinetrack/compose/entry.py
@@ -9,7 +9,7 @@
 from sardinetrack.compose.platform import platform_client
 from sardinetrack.config.model import EntrySettings
 from sardinetrack.config.secret import resolve_secret
-from sardinetrack.entry.daemon import Entry
+from sardinetrack.entry.daemon import EntryDaemon
 from sardinetrack.entry.parts import EntryParts
 from sardinetrack.http.client import HttpClient
 from sardinetrack.links.secret import PeerSecret
@@ -22,7 +22,7 @@
 
 
 @asynccontextmanager
-async def open_entry(settings: EntrySettings) -> AsyncIterator[Entry]:
+async def open_entry(settings: EntrySettings) -> AsyncIterator[EntryDaemon]:
     """Build an entry and serve until the context exits.
 
     :param settings: validated settings.
@@ -48,7 +48,7 @@
                 claims=claims,
                 balancer_seconds=settings.balancer_seconds,
             )
-            async with Entry(dependencies) as entry:
+            async with EntryDaemon(dependencies) as entry:
                 yield entry
 
 
--- a/src/sardinetrack/compose/local.py
+++ b/src/sardinetrack/compose/local.py
@@ -17,7 +17,7 @@
 from sardinetrack.compose.local_ready import wait_ready
 from sardinetrack.compose.side import open_side
 from sardinetrack.config.model import EntrySettings, SideSettings
-from sardinetrack.entry.daemon import Entry
+from sardinetrack.entry.daemon import EntryDaemon
 from sardinetrack.http.server import serving
 from sardinetrack.process.api import Drainable
 from sardinetrack.process.ready import LocalReady, print_ready
@@ -52,7 +52,7 @@
         self._peer_secret = secrets.token_urlsafe(_TOKEN_BYTES)
         self._platform = MemoryPlatform()
         self._platform_url = ''
-        self._entry: Entry
+        self._entry: EntryDaemon
         self._sides: list[Side] = []
 
     @asynccontextmanager
--- a/src/sardinetrack/entry/claims.py
+++ b/src/sardinetrack/entry/claims.py
@@ -25,7 +25,7 @@
 class Claimed:
     """The request may run; the claim has to be finished or released."""
 
-    claim: ClaimRequest
+    request: ClaimRequest
     valid_until_seconds: float
     """The key cannot be claimed again before; seconds since the epoch."""
 
--- a/src/sardinetrack/entry/daemon.py
+++ b/src/sardinetrack/entry/daemon.py
@@ -23,7 +23,7 @@
 _LOG: Final = PartLogger(Part.ENTRY)
 
 
-class Entry(ServingDaemon):
+class EntryDaemon(ServingDaemon):
     """Serves while the context is open; ``run`` returns after a drain."""
 
     def __init__(self, parts: EntryParts) -> None:
--- a/src/sardinetrack/once/claims.py
+++ b/src/sardinetrack/once/claims.py
@@ -162,7 +162,7 @@
         state: ClaimState,
     ) -> EndOperation | None:
         operation = EndOperation(
-            claimed.claim,
+            claimed.request,
             state,
             claimed.valid_until_seconds,
         )
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -17,7 +17,7 @@
 from raw_http import TOKEN_TEXT, WAIT_SECONDS, Connection, Response
 
 from sardinetrack.config.model import Bounds, EntrySettings
-from sardinetrack.entry.daemon import Entry
+from sardinetrack.entry.daemon import EntryDaemon
 from sardinetrack.entry.heads import HeadBounds
 from sardinetrack.entry.parts import EntryParts
 from sardinetrack.logs.formatters import JsonFormatter
@@ -142,7 +142,7 @@
         self.platform = LossyPlatform()
         self.wall_seconds = 1e9
         self.sides: dict[str, FakeSide] = {}
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, EntryDaemon] = {}
         self.claims: list[ShardedClaims] = []
         # One shard, so that the writes to be lost can be counted.
         self.platform.store.put(0, LAYOUT_KEY, b'{"shards":1}', 0)
@@ -185,7 +185,7 @@
         """Add a scripted response to a side."""
         self.sides[name].scripts.append(script)
 
-    def entry(self, name: str = 'entry-a') -> Entry:
+    def entry(self, name: str = 'entry-a') -> EntryDaemon:
         """Start an entry, list it and wait until it is linked."""
         entry = self.start_entry(name)
         self.entries[name] = entry
@@ -194,7 +194,7 @@
         self.until(lambda: self.ready(entry))
         return entry
 
-    def start_entry(self, name: str) -> Entry:
+    def start_entry(self, name: str) -> EntryDaemon:
         """Start an entry that is not listed yet."""
         settings = EntrySettings.model_validate(
             {
@@ -222,7 +222,7 @@
             head_bounds=HEADS,
             balancer_seconds=0.3,
         )
-        entry: Entry = self.enter(self.portal.call(Entry, parts))
+        entry: EntryDaemon = self.enter(self.portal.call(EntryDaemon, parts))
         return entry
 
     def _claims(self) -> ShardedClaims:
@@ -231,7 +231,7 @@
             wall_clock=lambda: self.wall_seconds,
         )
 
-    def ready(self, entry: Entry) -> bool:
+    def ready(self, entry: EntryDaemon) -> bool:
         """Return whether every side is linked and has reported its load."""
         page = self.status(entry)
         loads = [
@@ -266,7 +266,7 @@
         state = states.get(digest_key('pilot', key), ClaimState.FREE)
         return '' if state is ClaimState.FREE else state.value
 
-    def status(self, entry: Entry) -> dict[str, Any]:
+    def status(self, entry: EntryDaemon) -> dict[str, Any]:
         """Return the operators' status page."""
         content = json.loads(self.operator(entry, '/status').body)
         assert isinstance(content, dict)
@@ -294,12 +294,14 @@
         self.portal.call(self.platform.disturb, disturbance)
 
     def operator(
-        self, entry: Entry, path: str, method: str = 'GET'
+        self, entry: EntryDaemon, path: str, method: str = 'GET'
     ) -> Response:
         """Send a request to the operators' listener."""
         return self._call(entry.operator.port, method, path)
 
-    def peer(self, entry: Entry, path: str, token: str | None) -> Response:
+    def peer(
+        self, entry: EntryDaemon, path: str, token: str | None
+    ) -> Response:
         """Send a request to the peers' listener."""
         return self._call(entry.peer.port, 'GET', path, token=token)
 
