--- a/src/sardinetrack/cli/status_pages.py
+++ b/src/sardinetrack/cli/status_pages.py
@@ -16,13 +16,13 @@
 from sardinetrack.entry.status import EntryStatus
 from sardinetrack.http.client import BrokenError, HttpClient, NotSentError
 from sardinetrack.links.api import STATUS_PATH
-from sardinetrack.side.events import SideStatus
+from sardinetrack.side.events import SideStatusPage
 from sardinetrack.store.api import ListedInstance
 
 OPERATOR_PATH: Final = '/status'
 _READ_TIMEOUT_SECONDS: Final = 5.0
 
-StatusPage = EntryStatus | SideStatus
+StatusPage = EntryStatus | SideStatusPage
 
 
 class StatusUnavailableError(Exception):
@@ -81,7 +81,7 @@
 def _decode_either(raw: bytes) -> StatusPage:
     with suppress(msgspec.ValidationError):
         return msgspec.json.decode(raw, type=EntryStatus)
-    return msgspec.json.decode(raw, type=SideStatus)
+    return msgspec.json.decode(raw, type=SideStatusPage)
 
 
 async def _query(
--- a/src/sardinetrack/cli/status_tables.py
+++ b/src/sardinetrack/cli/status_tables.py
@@ -15,7 +15,7 @@
 )
 from sardinetrack.cli.table import Row, format_table
 from sardinetrack.entry.status import EntryStatus, PoolStatus
-from sardinetrack.side.events import SideStatus
+from sardinetrack.side.events import SideStatusPage
 from sardinetrack.store.api import InstanceState
 
 _INSTANCES: Final = (
@@ -139,7 +139,7 @@
                 ),
             )
 
-    def _add_side(self, page: SideStatus, state: str) -> None:
+    def _add_side(self, page: SideStatusPage, state: str) -> None:
         self.instances.append(
             (
                 page.instance,
@@ -191,7 +191,7 @@
 
 
 def _state_of(page: StatusPage) -> str:
-    if isinstance(page, SideStatus):
+    if isinstance(page, SideStatusPage):
         return _READY if page.ready else _NOT_READY
     reasons = '; '.join(page.not_ready)
     return f'{_NOT_READY}: {reasons}' if reasons else _READY
--- a/src/sardinetrack/compose/local.py
+++ b/src/sardinetrack/compose/local.py
@@ -22,7 +22,7 @@
 from sardinetrack.process.api import Drainable
 from sardinetrack.process.ready import LocalReady, print_ready
 from sardinetrack.process.signals import run_until_drained
-from sardinetrack.side.daemon import Side
+from sardinetrack.side.daemon import SideDaemon
 from sardinetrack.standin.engine import Engine
 from sardinetrack.standin.hosting import hosting
 from sardinetrack.standin.platform import PlatformStandin
@@ -53,7 +53,7 @@
         self._platform = MemoryPlatform()
         self._platform_url = ''
         self._entry: EntryDaemon
-        self._sides: list[Side] = []
+        self._sides: list[SideDaemon] = []
 
     @asynccontextmanager
     async def open(self) -> AsyncIterator[LocalReady]:
@@ -118,7 +118,7 @@
             ListedInstance(
                 instance=settings.instance,
                 role='side',
-                address=side.peer.address,
+                address=side.peer_server.address,
                 failure_domain=_FAILURE_DOMAIN,
                 pool=pool,
                 backend_server=backend_server,
@@ -126,7 +126,7 @@
         )
 
     def _operator_urls(self) -> list[str]:
-        sides = [side.operator.url for side in self._sides]
+        sides = [side.operator_server.url for side in self._sides]
         return [self._entry.operator.url, *sides]
 
     def _entry_settings(self) -> EntrySettings:
--- a/src/sardinetrack/compose/side.py
+++ b/src/sardinetrack/compose/side.py
@@ -15,7 +15,7 @@
 from sardinetrack.process.incarnation import new_incarnation
 from sardinetrack.process.ready import SideReady, print_ready
 from sardinetrack.process.signals import run_until_drained
-from sardinetrack.side.daemon import Side
+from sardinetrack.side.daemon import SideDaemon
 from sardinetrack.side.parts import SideParts
 from sardinetrack.side.relayed import RelayedConfiguration
 
@@ -24,7 +24,7 @@
 
 
 @asynccontextmanager
-async def open_side(settings: SideSettings) -> AsyncIterator[Side]:
+async def open_side(settings: SideSettings) -> AsyncIterator[SideDaemon]:
     """Build a side and serve until the context exits.
 
     :param settings: validated settings.
@@ -41,7 +41,7 @@
             configuration=RelayedConfiguration(settings.pool),
             platform=platform,
         )
-        async with Side(dependencies) as side:
+        async with SideDaemon(dependencies) as side:
             yield side
 
 
@@ -57,8 +57,8 @@
                 instance=settings.instance,
                 pool=settings.pool,
                 backend_server=settings.backend_server,
-                peer_address=side.peer.address,
-                operator_url=side.operator.url,
+                peer_address=side.peer_server.address,
+                operator_url=side.operator_server.url,
             ),
         )
         await run_until_drained(side)
--- a/src/sardinetrack/entry/daemon.py
+++ b/src/sardinetrack/entry/daemon.py
@@ -58,7 +58,7 @@
                 'drain timed out; interrupting the requests in progress',
                 cut=gate.inside,
             )
-        await self._end()
+        await self._close_servers()
 
     async def _open(self, stack: AsyncExitStack) -> None:
         http = await stack.enter_async_context(HttpClient())
--- a/src/sardinetrack/process/daemon.py
+++ b/src/sardinetrack/process/daemon.py
@@ -73,7 +73,7 @@
         self._servers.append(server)
         return server
 
-    async def _end(self) -> None:
+    async def _close_servers(self) -> None:
         """Close the servers; afterwards ``run`` returns."""
         # The last bytes of finished responses may still be in transit.
         for server in self._servers:
--- a/src/sardinetrack/side/daemon.py
+++ b/src/sardinetrack/side/daemon.py
@@ -23,15 +23,15 @@
 refusal."""
 
 
-class Side(ServingDaemon):
+class SideDaemon(ServingDaemon):
     """Serves while the context lasts; ``run`` returns after a drain."""
 
     def __init__(self, dependencies: SideParts) -> None:
         super().__init__()
         self._dependencies = dependencies
         self._wiring: Wiring
-        self.peer: BoundServer
-        self.operator: BoundServer
+        self.peer_server: BoundServer
+        self.operator_server: BoundServer
 
     async def drain(self) -> None:
         """Refuse new run requests, let running ones finish, then close.
@@ -45,7 +45,7 @@
         if not idle.is_set():
             await self._wiring.events.send(DrainTimedOut())
         await anyio.sleep(_LINGER_SECONDS)
-        await self._end()
+        await self._close_servers()
 
     async def _open(self, stack: AsyncExitStack) -> None:
         client = await stack.enter_async_context(HttpClient())
@@ -62,12 +62,12 @@
             )
             tasks.start_soon(model_loader.run)
         settings = self._dependencies.settings
-        self.operator = await self._serve(
+        self.operator_server = await self._serve(
             stack,
             self._wiring.operator_application(),
             settings.operator,
         )
-        self.peer = await self._serve(
+        self.peer_server = await self._serve(
             stack,
             self._wiring.peer_application(),
             settings.peer,
@@ -76,8 +76,8 @@
     def _tell_serving(self) -> None:
         _LOG.info(
             'serving',
-            peers=self.peer.address,
-            operators=self.operator.address,
+            peers=self.peer_server.address,
+            operators=self.operator_server.address,
             backend_server=self._dependencies.settings.backend_server,
             **startup_cost(),
         )
--- a/src/sardinetrack/side/events.py
+++ b/src/sardinetrack/side/events.py
@@ -88,7 +88,7 @@
     """Cancel all requests that are still running."""
 
 
-class SideStatus(Struct, frozen=True):
+class SideStatusPage(Struct, frozen=True):
     """Status of a side, for operators and peers."""
 
     instance: str
@@ -107,7 +107,7 @@
 class StatusRequested:
     """An operator or peer requests the status."""
 
-    responses: MemoryObjectSendStream[SideStatus]
+    responses: MemoryObjectSendStream[SideStatusPage]
 
 
 SideEvent = (
--- a/src/sardinetrack/side/owner.py
+++ b/src/sardinetrack/side/owner.py
@@ -35,7 +35,7 @@
     LimitChanged,
     RunRequestReceived,
     SideEvent,
-    SideStatus,
+    SideStatusPage,
     StatusRequested,
 )
 from sardinetrack.side.link_event_handler import LinkEventHandler
@@ -184,7 +184,7 @@
             self._state.configuration_sync.configuration.pool() is not None
         )
         serving = load.phase is SidePhase.SERVING
-        status = SideStatus(
+        status = SideStatusPage(
             instance=identity.instance,
             incarnation=identity.incarnation,
             pool=identity.pool,
--- a/src/sardinetrack/side/status.py
+++ b/src/sardinetrack/side/status.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 
 from sardinetrack.http.asgi import Exchange
-from sardinetrack.side.events import SideEvents, SideStatus, StatusRequested
+from sardinetrack.side.events import SideEvents, SideStatusPage, StatusRequested
 from sardinetrack.side.owner_queries import query_owner
 
 
@@ -15,7 +15,7 @@
     def __init__(self, owner: SideEvents) -> None:
         self._owner = owner
 
-    async def read(self) -> SideStatus:
+    async def read(self) -> SideStatusPage:
         """Return the current status."""
         return await query_owner(self._owner, StatusRequested)
 
--- a/tests/cli/steps/status_steps.py
+++ b/tests/cli/steps/status_steps.py
@@ -17,7 +17,7 @@
     SideStatus,
 )
 from sardinetrack.messages.api import ConfigDigest, SideLoad, SidePhase
-from sardinetrack.side.events import SideStatus as SidePage
+from sardinetrack.side.events import SideStatusPage as SidePage
 
 _HEADED_CELL = re.compile(r'([A-Z ]+) (.*)')
 _GAP = re.compile('  +')
--- a/tests/side/side_world.py
+++ b/tests/side/side_world.py
@@ -34,7 +34,7 @@
     RunOrder,
 )
 from sardinetrack.messages.run_codec import order_text
-from sardinetrack.side.daemon import Side
+from sardinetrack.side.daemon import SideDaemon
 from sardinetrack.side.parts import SideParts
 
 SECRET: Final = PeerSecret('winter-harbour')
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        side: Side,
+        side: SideDaemon,
         backend: Backend,
         server: BoundServer,
         dependencies: SideParts,
@@ -65,11 +65,11 @@
 
     def peer_url(self, path: str) -> str:
         """Build the address of a peer endpoint."""
-        return self.side.peer.url + path
+        return self.side.peer_server.url + path
 
     def operator_url(self, path: str) -> str:
         """Build the address of an operator endpoint."""
-        return self.side.operator.url + path
+        return self.side.operator_server.url + path
 
     async def send_run_request(
         self, run_request: RunOrder, body: bytes = b''
@@ -181,7 +181,7 @@
             link_bounds=LinkBounds(beat_seconds=0.1, silence_seconds=0.5),
             send_seconds=0.3,
         )
-        async with Side(dependencies) as side:
+        async with SideDaemon(dependencies) as side:
             world = World(side, backend, server, dependencies)
             async with world.client:
                 yield world
@@ -191,7 +191,7 @@
 async def linked(world: World) -> AsyncIterator[None]:
     """Keep a link from an entry to the side."""
     dialer = LinkDialer(
-        world.side.peer.address,
+        world.side.peer_server.address,
         Hello('entry-1', PeerRole.ENTRY, 'entry-1-first', 'galata'),
         SECRET,
         world.sink,
--- a/tests/side/steps/side_steps.py
+++ b/tests/side/steps/side_steps.py
@@ -626,7 +626,7 @@
 
 
 async def _half_body(world: World) -> None:
-    address = world.side.peer
+    address = world.side.peer_server
     host = address.address.rpartition(':')[0]
     name, text = SECRET.header()
     field = order_text(RUN_REQUEST)
