--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -136,7 +136,7 @@
         SECRET.matches(exchange.header('authorization'))
         body = await exchange.body(1_000_000, 5)
         await self._received.send(decode(body))
-        await exchange.answer(204)
+        await exchange.respond(204)
 
 
 def _events() -> tuple[
--- a/src/sardinetrack/entry/caller.py
+++ b/src/sardinetrack/entry/caller.py
@@ -55,7 +55,7 @@
 
     async def wait_disconnected(self) -> None:
         """Return if the caller disconnects before its response is complete."""
-        await self._exchange.gone()
+        await self._exchange.wait_for_disconnect()
         if self.finished or self.is_truncated:
             await anyio.sleep_forever()
         self.disconnected = True
--- a/src/sardinetrack/entry/operator.py
+++ b/src/sardinetrack/entry/operator.py
@@ -60,22 +60,22 @@
             await respond_failure(exchange, ErrorKind.METHOD_NOT_ALLOWED)
 
     async def _health(self, exchange: Exchange) -> None:
-        await exchange.answer(HTTPStatus.OK, b'ok\n', _TEXT)
+        await exchange.respond(HTTPStatus.OK, b'ok\n', _TEXT)
 
     async def _readiness(self, exchange: Exchange) -> None:
         reasons = self._status().not_ready
         if reasons:
             text = '; '.join(reasons).encode()
-            await exchange.answer(
+            await exchange.respond(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 b'not ready: %b\n' % text,
                 _TEXT,
             )
         else:
-            await exchange.answer(HTTPStatus.OK, b'ready\n', _TEXT)
+            await exchange.respond(HTTPStatus.OK, b'ready\n', _TEXT)
 
     async def _exposition(self, exchange: Exchange) -> None:
-        await exchange.answer(
+        await exchange.respond(
             HTTPStatus.OK,
             self._metrics.exposition(),
             [('content-type', CONTENT_TYPE_LATEST)],
--- a/src/sardinetrack/entry/protocol.py
+++ b/src/sardinetrack/entry/protocol.py
@@ -166,7 +166,7 @@
     @property
     def _response_pending(self) -> bool:
         """Whether the response to an earlier request is incomplete."""
-        return not self.waits
+        return not self.has_no_request
 
     def _reject(self, failure: AnsweredError) -> None:
         """Send an error response without the application, then close."""
--- a/src/sardinetrack/http/asgi.py
+++ b/src/sardinetrack/http/asgi.py
@@ -109,7 +109,7 @@
         except TimeoutError as error:
             raise AnsweredError(ErrorKind.BODY_TIMEOUT) from error
 
-    async def gone(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Wait until the client disconnects; call after reading the body."""
         message = await self._receive()
         while message['type'] != 'http.disconnect':
@@ -149,7 +149,7 @@
         """
         await self._send({'type': 'http.response.body', 'body': chunk})
 
-    async def answer(
+    async def respond(
         self,
         status: int,
         body: bytes = b'',
@@ -167,7 +167,7 @@
         headers: HeaderPairs = (),
     ) -> None:
         """Send a complete response as JSON."""
-        await self.answer(
+        await self.respond(
             status,
             msgspec.json.encode(content),
             [*_JSON_HEADERS, *headers],
--- a/src/sardinetrack/http/ending.py
+++ b/src/sardinetrack/http/ending.py
@@ -49,7 +49,7 @@
     def on_response_complete(self) -> None:
         """Wait for the next request; only briefly during a shutdown."""
         super().on_response_complete()
-        if self._shutting_down and self.waits:
+        if self._shutting_down and self.has_no_request:
             self._schedule_close()
 
     def shutdown(self) -> None:
@@ -59,7 +59,7 @@
         open, so the connection stays open after it like an idle one.
         """
         self._shutting_down = True
-        if self.waits:
+        if self.has_no_request:
             self._schedule_close()
         elif not self.cycle.response_started:
             self.cycle.keep_alive = False
@@ -87,7 +87,7 @@
         self.close_idle()
 
     @property
-    def waits(self) -> bool:
+    def has_no_request(self) -> bool:
         """Whether no request is in progress."""
         return self.cycle is None or self.cycle.response_complete
 
@@ -101,7 +101,7 @@
         self._close_timer = self.loop.call_later(seconds, self._close_if_idle)
 
     def _close_if_idle(self) -> None:
-        if self.transport.is_closing() or not self.waits:
+        if self.transport.is_closing() or not self.has_no_request:
             return
         if self._request_arriving:
             self._schedule_close(_RECHECK_SECONDS)
--- a/src/sardinetrack/http/server.py
+++ b/src/sardinetrack/http/server.py
@@ -100,7 +100,7 @@
         """Close the listener; exchanges in progress finish."""
         self._server.should_exit = True
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until every connection is closed after ``stop``."""
         await self._server.closed.wait()
 
--- a/src/sardinetrack/process/daemon.py
+++ b/src/sardinetrack/process/daemon.py
@@ -80,5 +80,5 @@
             server.stop()
         with anyio.move_on_after(_CLOSE_SECONDS):
             for server in self._servers:
-                await server.closed()
+                await server.wait_closed()
         self._closed.set()
--- a/src/sardinetrack/side/operator_application.py
+++ b/src/sardinetrack/side/operator_application.py
@@ -58,16 +58,16 @@
     async def _ready(self, exchange: Exchange) -> None:
         ready = (await self._status.read()).ready
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
-        await exchange.answer(status, b'ready\n' if ready else b'not ready\n')
+        await exchange.respond(status, b'ready\n' if ready else b'not ready\n')
 
     async def _show_metrics(self, exchange: Exchange) -> None:
         content_type = ('content-type', 'text/plain; version=0.0.4')
         text = self._metrics.text()
-        await exchange.answer(HTTPStatus.OK, text, [content_type])
+        await exchange.respond(HTTPStatus.OK, text, [content_type])
 
     async def _show_settings(self, exchange: Exchange) -> None:
         await exchange.answer_json(HTTPStatus.OK, self._settings)
 
 
 async def _healthy(exchange: Exchange) -> None:
-    await exchange.answer(HTTPStatus.OK, b'ok\n')
+    await exchange.respond(HTTPStatus.OK, b'ok\n')
--- a/src/sardinetrack/side/responses.py
+++ b/src/sardinetrack/side/responses.py
@@ -51,7 +51,7 @@
 
     :param status: ``None`` for the default status of the result's fate.
     """
-    await exchange.answer(
+    await exchange.respond(
         status or _STATUS_OF_FATE.get(run_result.fate, HTTPStatus.CONFLICT),
         headers=[(RESULT_HEADER, result_text(run_result))],
     )
--- a/src/sardinetrack/side/run_task.py
+++ b/src/sardinetrack/side/run_task.py
@@ -65,7 +65,7 @@
             self._response_sent = await backend_run.run(body, started)
 
     async def _watch_entry(self, scope: anyio.CancelScope) -> None:
-        await self._exchange.gone()
+        await self._exchange.wait_for_disconnect()
         self._entry_disconnected = True
         scope.cancel()
 
--- a/src/sardinetrack/standin/base.py
+++ b/src/sardinetrack/standin/base.py
@@ -78,7 +78,7 @@
         finally:
             self._scopes.discard(request_scope)
         if request_scope.cancelled_caught:
-            await exchange.gone()
+            await exchange.wait_for_disconnect()
 
     @abstractmethod
     async def handle(self, request: Request) -> None:
@@ -144,9 +144,9 @@
         try:
             self.faults.put_json(request.body)
         except ValidationError as error:
-            await request.exchange.answer(BAD_REQUEST, str(error).encode())
+            await request.exchange.respond(BAD_REQUEST, str(error).encode())
             return
-        await request.exchange.answer(NO_CONTENT)
+        await request.exchange.respond(NO_CONTENT)
 
     def _refusal(self, request: Request) -> int | None:
         faults = self.faults.current
--- a/src/sardinetrack/standin/engine.py
+++ b/src/sardinetrack/standin/engine.py
@@ -210,7 +210,7 @@
 
 
 async def _cancel_when_gone(exchange: Exchange, execution: Execution) -> None:
-    await exchange.gone()
+    await exchange.wait_for_disconnect()
     execution.stop(Outcome.CANCELLED)
 
 
--- a/src/sardinetrack/standin/platform.py
+++ b/src/sardinetrack/standin/platform.py
@@ -77,16 +77,16 @@
             await self._answer(exchange)
         except (AnsweredError, RefusedError, ValueError) as error:
             text = str(error).encode()
-            await exchange.answer(HTTPStatus.BAD_REQUEST, text)
+            await exchange.respond(HTTPStatus.BAD_REQUEST, text)
         except UnavailableError:
-            await exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE)
+            await exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE)
         except CallerGoneError:
             return
 
     async def _answer(self, exchange: Exchange) -> None:
         given = (exchange.header('authorization') or '').encode()
         if not hmac.compare_digest(given, self._authorization):
-            await exchange.answer(HTTPStatus.UNAUTHORIZED)
+            await exchange.respond(HTTPStatus.UNAUTHORIZED)
             return
         body = await exchange.body(MAX_VALUE_BYTES * 2, _BODY_SECONDS)
         kind = _kind_of(exchange)
@@ -98,11 +98,11 @@
     async def _admit(self, exchange: Exchange, kind: CallKind) -> bool:
         await self.gate.hold()
         if self.gate.refuses():
-            await exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE)
+            await exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE)
             return False
         wait_seconds = self.gate.throttle_seconds(time.monotonic(), kind)
         if wait_seconds:
-            await exchange.answer(
+            await exchange.respond(
                 HTTPStatus.TOO_MANY_REQUESTS,
                 headers=(('retry-after', f'{wait_seconds:.3f}'),),
             )
@@ -158,9 +158,9 @@
             case ('DELETE', _, '/instances'):
                 self.platform.remove_instance(instance)
             case _:
-                await exchange.answer(HTTPStatus.NOT_FOUND)
+                await exchange.respond(HTTPStatus.NOT_FOUND)
                 return
-        await exchange.answer(HTTPStatus.NO_CONTENT)
+        await exchange.respond(HTTPStatus.NO_CONTENT)
 
     def _disturb(self, faults: Faults) -> None:
         self.gate.replace(time.monotonic(), faults)
--- a/src/sardinetrack/standin/platform_objects.py
+++ b/src/sardinetrack/standin/platform_objects.py
@@ -36,14 +36,14 @@
         """Answer a read of one object."""
         stored = await self._platform.get(key)
         if stored is None:
-            await exchange.answer(HTTPStatus.NOT_FOUND)
+            await exchange.respond(HTTPStatus.NOT_FOUND)
             return
         await exchange.answer_json(HTTPStatus.OK, object_body(stored))
 
     async def put(self, exchange: Exchange, key: str, value: bytes) -> None:
         """Answer a write."""
         if len(value) > MAX_VALUE_BYTES:
-            await exchange.answer(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            await exchange.respond(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
             return
         value.decode()
         try:
@@ -61,7 +61,7 @@
         """Answer a deletion, which must name the version."""
         expected_version = _expected_version(exchange)
         if expected_version is None:
-            await exchange.answer(HTTPStatus.PRECONDITION_REQUIRED)
+            await exchange.respond(HTTPStatus.PRECONDITION_REQUIRED)
             return
         try:
             version = await self._platform.delete(
@@ -97,9 +97,9 @@
                     wait_seconds=wait_seconds,
                 )
             except WatchLostError:
-                await exchange.answer(HTTPStatus.GONE)
+                await exchange.respond(HTTPStatus.GONE)
             except UnavailableError:
-                await exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE)
+                await exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE)
             tasks.cancel_scope.cancel()
         if seen is not None:
             await self._answer_watch(exchange, prefix, seen)
@@ -154,5 +154,5 @@
     exchange: Exchange,
     scope: anyio.CancelScope,
 ) -> None:
-    await exchange.gone()
+    await exchange.wait_for_disconnect()
     scope.cancel()
--- a/tests/catalogue/steps/model_steps.py
+++ b/tests/catalogue/steps/model_steps.py
@@ -87,7 +87,7 @@
             page = {**page, 'rejected': [rejection]}
             await exchange.answer_json(200, page)
         else:
-            await exchange.answer(403)
+            await exchange.respond(403)
 
 
 @given('an instance that responds to peers with the secret "{secret}"')
--- a/tests/entry/fake_side.py
+++ b/tests/entry/fake_side.py
@@ -175,7 +175,7 @@
         body = await exchange.body(10_000, 1)
         self.status_queries.append(msgspec.json.decode(body, type=AttemptQuery))
         if not self.status_replies:
-            await exchange.gone()
+            await exchange.wait_for_disconnect()
             return
         fate = self.status_replies.popleft()
         answer = AttemptAnswer(fate, self.incarnation)
@@ -206,7 +206,7 @@
         exchange: Exchange,
         scope: anyio.CancelScope,
     ) -> None:
-        await exchange.gone()
+        await exchange.wait_for_disconnect()
         self.disconnects += 1
         scope.cancel()
 
--- a/tests/http/steps/guard_steps.py
+++ b/tests/http/steps/guard_steps.py
@@ -32,7 +32,7 @@
     exchange = Exchange(scope, receive, send)
     if exchange.path == '/read':
         await exchange.body(1000, _TIMEOUT_SECONDS)
-    await exchange.answer(200, b'ok')
+    await exchange.respond(200, b'ok')
 
 
 @given('a guarded server with 20 connections and short limits')
--- a/tests/http/steps/server_steps.py
+++ b/tests/http/steps/server_steps.py
@@ -180,7 +180,7 @@
         writer.write(call)
         with anyio.fail_after(5):
             response = await reader.read()
-            await server.closed()
+            await server.wait_closed()
         writer.close()
         return response, loop.time() - stopped_seconds
 
@@ -236,7 +236,7 @@
             async with server_context as server:
                 port = server.port
                 server.stop()
-                await server.closed()
+                await server.wait_closed()
     return [future.result() for future in futures]
 
 
@@ -275,7 +275,7 @@
             first += await reader.readexactly(2)
             writer.write(_CALL)
             second = await reader.read()
-            await server.closed()
+            await server.wait_closed()
         writer.close()
     return first, second, loop.time() - stopped_seconds
 
--- a/tests/side/side_backend.py
+++ b/tests/side/side_backend.py
@@ -74,7 +74,7 @@
             ('x-server', 'galata \xe9'),
             ('x-seen', exchange.header('x-caller') or ''),
         ]
-        await exchange.answer(201, body, pairs)
+        await exchange.respond(201, body, pairs)
 
     async def _empty(self, exchange: Exchange, body: bytes) -> None:
         await exchange.start(204, ())
@@ -113,7 +113,7 @@
                 await checkpoint()
 
     async def _record_cancel(self, exchange: Exchange) -> None:
-        await exchange.gone()
+        await exchange.wait_for_disconnect()
         self.cancelled.set()
 
     async def _cut(self, exchange: Exchange, body: bytes) -> None:
--- a/tests/side/steps/side_steps.py
+++ b/tests/side/steps/side_steps.py
@@ -605,7 +605,7 @@
 
 async def _stop_server(world: World) -> None:
     world.server.stop()
-    await world.server.closed()
+    await world.server.wait_closed()
 
 
 async def _call(world: World, method: str, url: str, pairs: Any) -> Any:
