--- a/src/sardinetrack/config/model.py
+++ b/src/sardinetrack/config/model.py
@@ -24,7 +24,7 @@
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
-class Listen(_StrictModel):
+class ListenAddress(_StrictModel):
     """An address to listen on."""
 
     ip: IpNumber = '127.0.0.1'
@@ -46,7 +46,7 @@
     list_seconds: Seconds = 1.0
 
 
-class Bounds(_StrictModel):
+class RequestLimits(_StrictModel):
     """Limits on the resources that one caller may occupy at an entry."""
 
     max_body_bytes: Annotated[int, Field(gt=0)] = 4_000_000
@@ -72,8 +72,8 @@
     instance: Name
     failure_domain: Name
     region: Name = 'local'
-    peer: Listen = Listen()
-    operator: Listen = Listen()
+    peer: ListenAddress = ListenAddress()
+    operator: ListenAddress = ListenAddress()
     platform: PlatformSettings
     peer_secret: Secret
     drain_seconds: Seconds = 30.0
@@ -83,8 +83,8 @@
     """Settings of ``sardinetrack entry``."""
 
     role: Literal['entry'] = 'entry'
-    callers: Listen = Listen()
-    bounds: Bounds = Bounds()
+    callers: ListenAddress = ListenAddress()
+    bounds: RequestLimits = RequestLimits()
     once: IdempotencySettings = IdempotencySettings()
     balancer_seconds: Annotated[
         float,
--- a/src/sardinetrack/entry/reader.py
+++ b/src/sardinetrack/entry/reader.py
@@ -8,7 +8,7 @@
 
 from sardinetrack.catalogue.api import Pool, Workspace
 from sardinetrack.catalogue.view import CatalogueView
-from sardinetrack.config.model import Bounds
+from sardinetrack.config.model import RequestLimits
 from sardinetrack.entry.bodies import BodyAccount
 from sardinetrack.entry.call import Call
 from sardinetrack.entry.completions import (
@@ -60,7 +60,7 @@
         self,
         catalogue: CatalogueView,
         costs: CostEstimates,
-        bounds: Bounds,
+        bounds: RequestLimits,
         clock: Callable[[], float],
     ) -> None:
         self._catalogue = catalogue
--- a/src/sardinetrack/process/daemon.py
+++ b/src/sardinetrack/process/daemon.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from sardinetrack.config.model import Listen
+from sardinetrack.config.model import ListenAddress
 from sardinetrack.http.asgi import Application
 from sardinetrack.http.server import BoundServer, serving
 from sardinetrack.process.api import Drainable
@@ -59,7 +59,7 @@
         self,
         stack: AsyncExitStack,
         application: Application,
-        listen: Listen,
+        listen: ListenAddress,
     ) -> BoundServer:
         server = serving(application, listen.ip, listen.port)
         return await self._start(stack, server)
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -16,7 +16,7 @@
 from fake_side import SECRET, SLOTS, FakeSide, Script
 from raw_http import TOKEN_TEXT, WAIT_SECONDS, Connection, Response
 
-from sardinetrack.config.model import Bounds, EntrySettings
+from sardinetrack.config.model import EntrySettings, RequestLimits
 from sardinetrack.entry.daemon import EntryDaemon
 from sardinetrack.entry.heads import HeadBounds
 from sardinetrack.entry.parts import EntryParts
@@ -42,7 +42,7 @@
 
 MODEL = 'ice-1'
 POLL_SECONDS = 0.02
-BOUNDS = Bounds(
+BOUNDS = RequestLimits(
     max_body_bytes=100_000,
     body_seconds=0.5,
     max_connections=20,
