--- a/src/sardinetrack/compose/entry.py
+++ b/src/sardinetrack/compose/entry.py
@@ -33,7 +33,7 @@
         platform = platform_client(client, settings.platform)
         claim_settings = ClaimSettings(
             shards=settings.once.shards,
-            keep_seconds=settings.once.keep_seconds,
+            key_retention_seconds=settings.once.keep_seconds,
         )
         async with ShardedClaims(platform, claim_settings) as claims:
             dependencies = EntryParts(
--- a/src/sardinetrack/once/claims.py
+++ b/src/sardinetrack/once/claims.py
@@ -58,7 +58,7 @@
 
     shards: int = DEFAULT_SHARDS
     """Used by the first entry ever; later ones read the stored layout."""
-    keep_seconds: float = DEFAULT_RETENTION_SECONDS
+    key_retention_seconds: float = DEFAULT_RETENTION_SECONDS
     """How long a record is kept after the longest run of its request."""
     max_head_bytes: int = MAX_HEAD_BYTES
     batch_delays: BatchDelays = field(default_factory=BatchDelays)
@@ -182,7 +182,7 @@
         log = ShardLog(
             self._platform,
             number,
-            retention_seconds=self._settings.keep_seconds,
+            retention_seconds=self._settings.key_retention_seconds,
             max_head_bytes=self._settings.max_head_bytes,
             wall_clock=self._wall_clock,
         )
--- a/src/sardinetrack/once/draft.py
+++ b/src/sardinetrack/once/draft.py
@@ -25,7 +25,7 @@
 from sardinetrack.once.record import (
     ClaimRecord,
     ClaimState,
-    Head,
+    ShardHead,
     digest_key,
     shorten_hash,
 )
@@ -39,11 +39,11 @@
     """A head as it was stored at a version."""
 
     version: int
-    head: Head
+    head: ShardHead
     records: Mapping[str, ClaimRecord]
 
     @classmethod
-    def build(cls, version: int, head: Head) -> CachedHead:
+    def build(cls, version: int, head: ShardHead) -> CachedHead:
         """Index the records of a head by key."""
         by_key = {record.key: record for record in head.records}
         return cls(version, head, by_key)
@@ -162,7 +162,7 @@
     return now + CLOCK_SKEW_SECONDS < operation.valid_until_seconds
 
 
-def encode_head(head: Head) -> bytes:
+def encode_head(head: ShardHead) -> bytes:
     """Encode a head as the store holds it."""
     return msgspec.json.encode(head)
 
--- a/src/sardinetrack/once/log.py
+++ b/src/sardinetrack/once/log.py
@@ -18,7 +18,7 @@
     EndOperation,
     Operation,
 )
-from sardinetrack.once.record import ClaimState, Head, Segment, head_key
+from sardinetrack.once.record import ClaimState, Segment, ShardHead, head_key
 from sardinetrack.once.segments import Segments, is_expired
 from sardinetrack.store.api import (
     ConflictError,
@@ -161,7 +161,7 @@
             head = await self._seal_head(cached, draft, remaining)
         return await self._put(cached, head)
 
-    async def _put(self, cached: CachedHead, head: Head) -> bool:
+    async def _put(self, cached: CachedHead, head: ShardHead) -> bool:
         try:
             stored = await self._platform.put(
                 head_key(self._shard),
@@ -186,7 +186,7 @@
         cached: CachedHead,
         draft: Draft,
         remaining: tuple[Segment, ...],
-    ) -> Head:
+    ) -> ShardHead:
         number = cached.head.next_segment
         records = cached.head.records
         segment = await self._segments.seal(number, records)
@@ -196,12 +196,12 @@
             # that it is deleted like any other.
             version = await self._segments.version_of(number)
             orphan = Segment(number, version, 0)
-            return Head(
+            return ShardHead(
                 number + 1, (*remaining, orphan), draft.merged_records()
             )
         self._segments.add_index(segment, records)
         changed = tuple(draft.changed_records.values())
-        return Head(number + 1, (*remaining, segment), changed)
+        return ShardHead(number + 1, (*remaining, segment), changed)
 
     async def _remove_expired(self, cached: CachedHead) -> tuple[Segment, ...]:
         now = self._wall_clock()
@@ -228,10 +228,10 @@
     return operation.state is ClaimState.FREE
 
 
-def _decode_head(stored: StoredObject | None) -> Head:
+def _decode_head(stored: StoredObject | None) -> ShardHead:
     if stored is None or stored.deleted:
-        return Head()
+        return ShardHead()
     try:
-        return msgspec.json.decode(stored.value, type=Head)
+        return msgspec.json.decode(stored.value, type=ShardHead)
     except msgspec.DecodeError as error:
         raise UnavailableError(f'unreadable head: {error}') from error
--- a/src/sardinetrack/once/record.py
+++ b/src/sardinetrack/once/record.py
@@ -45,7 +45,7 @@
     """After this time all its records have expired."""
 
 
-class Head(msgspec.Struct, frozen=True):
+class ShardHead(msgspec.Struct, frozen=True):
     """The mutable part of a shard's log; every claim passes through it."""
 
     next_segment: int = 1
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -26,7 +26,7 @@
 from sardinetrack.once.record import (
     LAYOUT_KEY,
     ClaimState,
-    Head,
+    ShardHead,
     digest_key,
     head_key,
 )
@@ -261,7 +261,7 @@
         stored = self.platform.store.get(head_key(0))
         if stored is None:
             return ''
-        head = msgspec.json.decode(stored.value, type=Head)
+        head = msgspec.json.decode(stored.value, type=ShardHead)
         states = {record.key: record.state for record in head.records}
         state = states.get(digest_key('pilot', key), ClaimState.FREE)
         return '' if state is ClaimState.FREE else state.value
--- a/tests/once/claims_world.py
+++ b/tests/once/claims_world.py
@@ -128,7 +128,7 @@
     async def _serve(self, name: str, started: anyio.Event) -> None:
         settings = ClaimSettings(
             shards=self.shards,
-            keep_seconds=RETENTION_SECONDS,
+            key_retention_seconds=RETENTION_SECONDS,
             max_head_bytes=self.max_head_bytes,
             batch_delays=BatchDelays(end_delay_seconds=self.end_delay_seconds),
         )
--- a/tests/once/random_run.py
+++ b/tests/once/random_run.py
@@ -96,7 +96,7 @@
     async def _serve(self) -> None:
         settings = ClaimSettings(
             shards=2,
-            keep_seconds=self._run.reference.retention_seconds,
+            key_retention_seconds=self._run.reference.retention_seconds,
             max_head_bytes=1_500,
         )
         rng = random.Random(self._run.rng.random())
--- a/tests/once/steps/claims_steps.py
+++ b/tests/once/steps/claims_steps.py
@@ -15,7 +15,7 @@
 
 from sardinetrack.entry.keyed import KeyedRuns
 from sardinetrack.errors.api import AnsweredError
-from sardinetrack.once.record import Head, head_key, segment_key
+from sardinetrack.once.record import ShardHead, head_key, segment_key
 from sardinetrack.store.api import UncertainError
 
 
@@ -310,6 +310,6 @@
     platform.put = late_put  # type: ignore[method-assign]
 
 
-def _head(context: Any) -> Head:
+def _head(context: Any) -> ShardHead:
     stored = context.world.shared_store.store.get(head_key(0))
-    return msgspec.json.decode(stored.value, type=Head)
+    return msgspec.json.decode(stored.value, type=ShardHead)
