--- a/src/sardinetrack/catalogue/feed.py
+++ b/src/sardinetrack/catalogue/feed.py
@@ -125,7 +125,7 @@
 
     async def _back_off(self, error: PlatformError) -> None:
         self.calls.failures += 1
-        delay_seconds = self._backoff.wait_seconds(error)
+        delay_seconds = self._backoff.next_delay_seconds(error)
         _LOG.warning(
             'reading the catalogue from the platform failed; retrying',
             error=str(error),
--- a/src/sardinetrack/compose/node.py
+++ b/src/sardinetrack/compose/node.py
@@ -99,7 +99,7 @@
         )
         await _serve_metrics(
             settings,
-            lambda metrics: metrics.entry_metrics(state, store.use),
+            lambda metrics: metrics.entry_metrics(state, store.counters),
         )
         await stop.wait()
         log.write(Event.STOPPING)
@@ -124,7 +124,7 @@
     async with Side(address, watcher, log) as side:
         await _serve_metrics(
             settings,
-            lambda metrics: metrics.side_metrics(side, store.use),
+            lambda metrics: metrics.side_metrics(side, store.counters),
         )
         while not stop.is_set():
             log.flush()
--- a/src/sardinetrack/lease/orders.py
+++ b/src/sardinetrack/lease/orders.py
@@ -82,7 +82,7 @@
             try:
                 await self._poll()
             except PlatformError as error:
-                wait_seconds = self._backoff.wait_seconds(error)
+                wait_seconds = self._backoff.next_delay_seconds(error)
                 _LOG.info('lease: no lease for a load command: %s', error)
             await anyio.sleep(wait_seconds)
 
--- a/src/sardinetrack/membership/feed.py
+++ b/src/sardinetrack/membership/feed.py
@@ -75,7 +75,7 @@
 
     def _handle_failure(self, error: PlatformError) -> float:
         self.failures += 1
-        wait_seconds = self._backoff.wait_seconds(error)
+        wait_seconds = self._backoff.next_delay_seconds(error)
         _LOG.warning(
             'could not read the instance list; keeping the last one',
             error=str(error),
--- a/src/sardinetrack/once/shard.py
+++ b/src/sardinetrack/once/shard.py
@@ -175,7 +175,7 @@
         operations: Sequence[Operation],
         error: PlatformError,
     ) -> None:
-        backoff_seconds = self._backoff.wait_seconds(error)
+        backoff_seconds = self._backoff.next_delay_seconds(error)
         _LOG.info('once: a write failed: %s', error)
         self._retry_at = anyio.current_time() + backoff_seconds
         retry_after_seconds: float | None = None
--- a/src/sardinetrack/platform/store.py
+++ b/src/sardinetrack/platform/store.py
@@ -111,7 +111,7 @@
         """
         self._address = address
         self._pool = ServerPool()
-        self.use = StoreUse()
+        self.counters = StoreUse()
 
     async def get(self, key: str) -> StoredObject | None:
         """Read one object."""
@@ -213,7 +213,7 @@
             try:
                 found.append(_to_stored_object(kind, _decode(raw, _Object)))
             except NoAnswerError:
-                self.use.unreadable += 1
+                self.counters.unreadable += 1
                 found.extend(_empty_object(kind, as_of, raw))
         return found
 
@@ -226,7 +226,7 @@
         query: dict[str, Any] | None = None,
         timeout_seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> tuple[int, bytes]:
-        self.use.calls += 1
+        self.counters.calls += 1
         request = self._request(method, key, body, query)
         try:
             async with asyncio.timeout(timeout_seconds):
--- a/src/sardinetrack/standin/platform.py
+++ b/src/sardinetrack/standin/platform.py
@@ -164,7 +164,7 @@
 
     def _disturb(self, faults: Faults) -> None:
         self.gate.replace(time.monotonic(), faults)
-        self.platform.disturb(
+        self.platform.apply_faults(
             Disturbance(
                 outage=faults.outage,
                 watch_lag_seconds=faults.watch_lag_seconds,
--- a/src/sardinetrack/store/backoff.py
+++ b/src/sardinetrack/store/backoff.py
@@ -33,7 +33,7 @@
         """Return to the initial delay after a successful call."""
         self._next_bound_seconds = _INITIAL_BACKOFF_SECONDS
 
-    def wait_seconds(self, error: PlatformError) -> float:
+    def next_delay_seconds(self, error: PlatformError) -> float:
         """Return the delay after an error and lengthen the next one."""
         bound_seconds = self._next_bound_seconds
         self._next_bound_seconds = min(
--- a/src/sardinetrack/store/in_process.py
+++ b/src/sardinetrack/store/in_process.py
@@ -57,7 +57,7 @@
         self._clock = clock
         self._waiting_watches: set[_WaitingWatch] = set()
 
-    def disturb(self, faults: Disturbance) -> None:
+    def apply_faults(self, faults: Disturbance) -> None:
         """Replace the injected faults, also for watches that are waiting."""
         self._faults = faults
         for watch in self._waiting_watches:
--- a/tests/catalogue/steps/feed_steps.py
+++ b/tests/catalogue/steps/feed_steps.py
@@ -125,7 +125,7 @@
 
 @when('the platform becomes unavailable and {count:d} calls have failed')
 def make_unavailable(context, count):
-    context.portal.call(context.platform.disturb, Disturbance(outage=True))
+    context.portal.call(context.platform.apply_faults, Disturbance(outage=True))
     _until(context, lambda: context.feed.calls.failures >= count)
 
 
@@ -134,7 +134,7 @@
     ' and workspace "pilot" is given to "{owner}"'
 )
 def make_available(context, owner):
-    context.portal.call(context.platform.disturb, Disturbance())
+    context.portal.call(context.platform.apply_faults, Disturbance())
     _write(context, _PILOT, owner)
 
 
@@ -152,7 +152,7 @@
     for number in range(count):
         key = f'catalogue/workspace/w{number}'
         store.put(0, key, config_object(key, 1).value.encode(), None)
-    context.platform.disturb(Disturbance())
+    context.platform.apply_faults(Disturbance())
 
 
 @then('{count:d} workspaces become active and "pilot" is removed')
@@ -165,7 +165,7 @@
 def set_fault(context, fault):
     if fault == 'lag':
         lagging = Disturbance(watch_lag_seconds=0.3)
-        context.portal.call(context.platform.disturb, lagging)
+        context.portal.call(context.platform.apply_faults, lagging)
     else:
         context.platform.fault = fault
 
@@ -189,7 +189,7 @@
         backoff = Backoff(random.Random(seed))
         error = UnavailableError('down')
         context.delays.append(
-            [backoff.wait_seconds(error) for _ in range(count)]
+            [backoff.next_delay_seconds(error) for _ in range(count)]
         )
 
 
@@ -204,6 +204,8 @@
 )
 def throttled(context):
     backoff = Backoff(random.Random(3))
-    delay_seconds = backoff.wait_seconds(ThrottledError(_REQUESTED_SECONDS))
+    delay_seconds = backoff.next_delay_seconds(
+        ThrottledError(_REQUESTED_SECONDS)
+    )
     assert delay_seconds >= _REQUESTED_SECONDS, delay_seconds
-    assert backoff.wait_seconds(ThrottledError(60)) <= 2
+    assert backoff.next_delay_seconds(ThrottledError(60)) <= 2
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -113,7 +113,7 @@
     ) -> StoredObject:
         """Write, and lose the response if this write was selected."""
         if self.countdown == 0:
-            self.disturb(Disturbance(lose_replies=1))
+            self.apply_faults(Disturbance(lose_replies=1))
         self.countdown -= 1
         return await super().put(
             key,
@@ -291,7 +291,7 @@
 
     def inject_faults(self, disturbance: Disturbance) -> None:
         """Set the faults of the platform."""
-        self.portal.call(self.platform.disturb, disturbance)
+        self.portal.call(self.platform.apply_faults, disturbance)
 
     def operator(
         self, entry: EntryDaemon, path: str, method: str = 'GET'
--- a/tests/entry/steps/caller_interface_steps.py
+++ b/tests/entry/steps/caller_interface_steps.py
@@ -231,7 +231,7 @@
 @given('an entry "{name}" that starts while the platform is down')
 def start_entry_alone(context, name):
     world = context.world
-    world.portal.call(world.platform.disturb, Disturbance(outage=True))
+    world.portal.call(world.platform.apply_faults, Disturbance(outage=True))
     world.entries[name] = world.start_entry(name)
 
 
--- a/tests/membership/steps/feed_steps.py
+++ b/tests/membership/steps/feed_steps.py
@@ -163,7 +163,7 @@
 
 @when("the list's platform goes down and {count:d} polls have failed")
 def platform_down(context, count):
-    context.portal.call(context.platform.disturb, Disturbance(outage=True))
+    context.portal.call(context.platform.apply_faults, Disturbance(outage=True))
     _wait_until(context, lambda: context.feed.failures >= count)
 
 
@@ -180,7 +180,7 @@
 @when('the platform is back and lists "e1" only')
 def platform_back(context):
     context.platform.remove_instance('s1')
-    context.portal.call(context.platform.disturb, Disturbance())
+    context.portal.call(context.platform.apply_faults, Disturbance())
 
 
 @then('the feed finally sends "{expected}"')
--- a/tests/platform/steps/server_object_steps.py
+++ b/tests/platform/steps/server_object_steps.py
@@ -159,7 +159,7 @@
     names = {stored.key for stored in listing.objects}
     servers = {f'{_PREFIX}i-{number}' for number in range(count)}
     assert names == servers | {f'{_PREFIX}i-x', f'{_PREFIX}i-y'}, names
-    assert context.client.use.unreadable == 3
+    assert context.client.counters.unreadable == 3
 
 
 @when('an object without a valid revision is written while the client watches')
