--- a/src/sardinetrack/catalogue/ask.py
+++ b/src/sardinetrack/catalogue/ask.py
@@ -69,7 +69,7 @@
         self._client = client
         self._headers = headers
 
-    async def ask(self, address: str) -> ConfigStatus | None:
+    async def fetch_status(self, address: str) -> ConfigStatus | None:
         """Query one instance.
 
         :param address: ``IP:port``.
--- a/src/sardinetrack/catalogue/editor.py
+++ b/src/sardinetrack/catalogue/editor.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Edit:
+class EditResult:
     """Result of an edit."""
 
     key: str
@@ -82,7 +82,7 @@
         catalogue_entry: WrittenEntry,
         *,
         expected_version: int | None = None,
-    ) -> Edit:
+    ) -> EditResult:
         """Create or replace a catalogue entry.
 
         :param expected_version: the version that the operator edited, 0 for
@@ -100,7 +100,9 @@
             catalogue_entry.key, current, expected_version
         )
         if current is not None and current.value == catalogue_entry.value:
-            return Edit(catalogue_entry.key, current.version, changed=False)
+            return EditResult(
+                catalogue_entry.key, current.version, changed=False
+            )
         return await self._write(catalogue_entry, base_version)
 
     async def remove(
@@ -108,18 +110,18 @@
         key: str,
         *,
         expected_version: int | None = None,
-    ) -> Edit:
+    ) -> EditResult:
         """Delete a catalogue entry; raises as ``apply`` does."""
         current = await self.show(key)
         base_version = _check_expected_version(key, current, expected_version)
         if current is None:
-            return Edit(key, _NO_VERSION, changed=False)
+            return EditResult(key, _NO_VERSION, changed=False)
         version = await self._delete(key, base_version)
-        return Edit(key, version, changed=True)
+        return EditResult(key, version, changed=True)
 
     async def _write(
         self, catalogue_entry: WrittenEntry, base_version: int
-    ) -> Edit:
+    ) -> EditResult:
         stored = await self._try_write(catalogue_entry, base_version)
         attempts = 1
         with _errors_as_uncertain():
@@ -128,7 +130,7 @@
                 attempts += 1
         if stored is None:
             raise UncertainError(_NO_RESPONSE)
-        return Edit(catalogue_entry.key, stored.version, changed=True)
+        return EditResult(catalogue_entry.key, stored.version, changed=True)
 
     async def _try_write(
         self,
--- a/src/sardinetrack/catalogue/parse.py
+++ b/src/sardinetrack/catalogue/parse.py
@@ -49,7 +49,7 @@
     return model.to_catalogue_entry()
 
 
-def read_entry(text: str) -> WrittenEntry:
+def parse_operator_file(text: str) -> WrittenEntry:
     """Validate an operator's file, which is JSON with comments.
 
     :raises InvalidEntryError: with all problems.
--- a/src/sardinetrack/cli/catalogue.py
+++ b/src/sardinetrack/cli/catalogue.py
@@ -10,7 +10,7 @@
 
 from sardinetrack.catalogue.api import EntryKind
 from sardinetrack.catalogue.model import key_of
-from sardinetrack.catalogue.parse import read_entry
+from sardinetrack.catalogue.parse import parse_operator_file
 from sardinetrack.cli.api import Command, CommandError
 from sardinetrack.cli.catalogue_actions import (
     ApplyAction,
@@ -130,7 +130,7 @@
     except UnicodeDecodeError as error:
         message = f'{options.file}: not UTF-8 text'
         raise CommandError(message, ExitCode.BAD_USAGE) from error
-    return ApplyAction(read_entry(text), options.version, options.wait)
+    return ApplyAction(parse_operator_file(text), options.version, options.wait)
 
 
 def _remove(options: Namespace) -> CatalogueAction:
--- a/src/sardinetrack/cli/catalogue_actions.py
+++ b/src/sardinetrack/cli/catalogue_actions.py
@@ -13,7 +13,7 @@
 
 from sardinetrack.catalogue.api import CATALOGUE_PREFIX
 from sardinetrack.catalogue.ask import StatusClient, listed_addresses
-from sardinetrack.catalogue.editor import CatalogueEditor, Edit
+from sardinetrack.catalogue.editor import CatalogueEditor, EditResult
 from sardinetrack.catalogue.parse import WrittenEntry
 from sardinetrack.catalogue.rollout import Rollout, wait_in_force
 from sardinetrack.cli.api import CommandError
@@ -34,11 +34,11 @@
     editor: CatalogueEditor
     status_client: StatusClient
 
-    async def wait_active(self, edit: Edit, seconds: float) -> Rollout:
+    async def wait_active(self, edit: EditResult, seconds: float) -> Rollout:
         """Wait until an edit is active at every listed instance."""
         return await wait_in_force(
             partial(listed_addresses, self.platform),
-            self.status_client.ask,
+            self.status_client.fetch_status,
             key=edit.key,
             version=edit.version,
             timeout_seconds=seconds,
@@ -141,7 +141,7 @@
 
 async def _report_rollout(
     context: ActionContext,
-    edit: Edit,
+    edit: EditResult,
     seconds: float,
 ) -> int:
     started_at = anyio.current_time()
--- a/tests/catalogue/steps/editor_steps.py
+++ b/tests/catalogue/steps/editor_steps.py
@@ -10,7 +10,7 @@
 from histories import config_object
 
 from sardinetrack.catalogue.editor import CatalogueEditor, LostRaceError
-from sardinetrack.catalogue.parse import read_entry
+from sardinetrack.catalogue.parse import parse_operator_file
 from sardinetrack.catalogue.problems import InvalidEntryError
 from sardinetrack.catalogue.rollout import ConfigStatus, wait_in_force
 from sardinetrack.store.api import (
@@ -67,7 +67,7 @@
 def _apply(context, text, **options):
     context.error = None
     try:
-        catalogue_entry = read_entry(text)
+        catalogue_entry = parse_operator_file(text)
         edit = partial(context.editor.apply, catalogue_entry, **options)
         context.edit = anyio.run(edit)
     except _ERRORS as error:
--- a/tests/catalogue/steps/model_steps.py
+++ b/tests/catalogue/steps/model_steps.py
@@ -11,7 +11,7 @@
     StatusClient,
     listed_addresses,
 )
-from sardinetrack.catalogue.parse import parse_stored_entry, read_entry
+from sardinetrack.catalogue.parse import parse_operator_file, parse_stored_entry
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.http.client import HttpClient
 from sardinetrack.http.server import bind, serving
@@ -24,7 +24,7 @@
 
 @when('this catalogue entry is parsed')
 def read_text(context):
-    written = read_entry(context.text)
+    written = parse_operator_file(context.text)
     context.catalogue_entry = parse_stored_entry(written.key, written.value)
 
 
@@ -112,8 +112,8 @@
         platform.set_instance(_listed('e2', 'x', InstanceState.LEAVING))
         addresses = await listed_addresses(platform)
         client = StatusClient(http, ((_SECRET_HEADER, secret),))
-        listed = [await client.ask(address) for address in addresses]
-        return [*listed, await client.ask(_unused_address())]
+        listed = [await client.fetch_status(address) for address in addresses]
+        return [*listed, await client.fetch_status(_unused_address())]
 
 
 def _unused_address():
