--- a/src/sardinetrack/compose/node.py
+++ b/src/sardinetrack/compose/node.py
@@ -14,7 +14,7 @@
 from typing import Final
 
 from sardinetrack import __version__
-from sardinetrack.compose.view import entry_view, side_watcher
+from sardinetrack.compose.store_view import entry_view, side_watcher
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.platform.dialect import READY_PATH, PlatformDialect
 from sardinetrack.platform.errors import SettingsFileError
--- a/src/sardinetrack/compose/view.py
+++ b/src/sardinetrack/compose/store_view.py
@@ -59,7 +59,7 @@
     )
 
 
-class PlatformDecoder(Decoder):
+class PlatformObjectDecoder(Decoder):
     """Decodes objects that the platform's operator or a server wrote."""
 
     def configuration(self, stored: StoredObject) -> Configuration | None:
@@ -92,7 +92,7 @@
 
 def entry_view(state: Fleet, store: PlatformStore) -> ViewSource:
     """Build an entry's view of the store."""
-    decoder = PlatformDecoder()
+    decoder = PlatformObjectDecoder()
     listeners = {
         CONFIGURATION_PREFIX: ConfigurationFollower(state, decoder),
         SERVERS_PREFIX: ServersFollower(state, decoder),
--- a/tests/platform/steps/server_object_steps.py
+++ b/tests/platform/steps/server_object_steps.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from tests.support.example_settings import node_settings
 
-from sardinetrack.compose.view import PlatformDecoder
+from sardinetrack.compose.store_view import PlatformObjectDecoder
 from sardinetrack.logs.events import EventLog
 from sardinetrack.relay.fleet import Fleet
 from sardinetrack.relay.followers import ServersFollower
@@ -53,7 +53,7 @@
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
     context.fleet = Fleet(node_settings(), context.log)
-    context.follower = ServersFollower(context.fleet, PlatformDecoder())
+    context.follower = ServersFollower(context.fleet, PlatformObjectDecoder())
     context.revision = 10
     context.objects = {}
     for number in range(2):
--- a/tests/platform/steps/translation_steps.py
+++ b/tests/platform/steps/translation_steps.py
@@ -12,7 +12,7 @@
 from behave import given, then, when
 from tests.support.example_settings import SETTINGS
 
-from sardinetrack.compose.view import PlatformDecoder
+from sardinetrack.compose.store_view import PlatformObjectDecoder
 from sardinetrack.logs.events import EventLog
 from sardinetrack.platform.catalogue import configuration_of
 from sardinetrack.platform.dialect import PlatformDialect
@@ -158,7 +158,7 @@
     context.fleet = Fleet(settings, context.log)
     context.follower = ConfigurationFollower(
         context.fleet,
-        PlatformDecoder(),
+        PlatformObjectDecoder(),
     )
     _receive(context, version)
 
