--- a/src/sardinetrack/cli/check.py
+++ b/src/sardinetrack/cli/check.py
@@ -7,7 +7,7 @@
 
 from sardinetrack.cli.api import Command
 from sardinetrack.cli.exit_codes import ExitCode
-from sardinetrack.config.loader import load_any
+from sardinetrack.config.loader import load_settings_by_role
 
 
 class CheckCommand(Command):
@@ -26,6 +26,6 @@
 
     def run(self, options: Namespace) -> int:
         """Print the effective settings as JSON."""
-        settings = load_any(options.settings)
+        settings = load_settings_by_role(options.settings)
         sys.stdout.write(f'{settings.model_dump_json(indent=2)}\n')
         return ExitCode.DONE
--- a/src/sardinetrack/config/loader.py
+++ b/src/sardinetrack/config/loader.py
@@ -43,7 +43,9 @@
     return _validate(path, _parse_file(path), model)
 
 
-def load_any(path: str) -> EntrySettings | SideSettings | OperatorSettings:
+def load_settings_by_role(
+    path: str,
+) -> EntrySettings | SideSettings | OperatorSettings:
     """Load settings of the role that is named in the file.
 
     :raises SettingsError: with every problem.
