--- a/benchmarks/charts.py
+++ b/benchmarks/charts.py
@@ -21,7 +21,7 @@
 from sardinetrack.admission.api import Arrival
 from sardinetrack.admission.book import AttemptEvent, AttemptState
 from sardinetrack.admission.slots import SlotAdmission
-from sardinetrack.charts import Chart, TypedChart
+from sardinetrack.charts import StateChart, TypedChart
 from sardinetrack.charts.model import ChartFile
 
 LOOPS = 20_000
@@ -79,7 +79,7 @@
     name = 'Chart'
 
     def __init__(self) -> None:
-        self._chart = Chart.load('attempt')
+        self._chart = StateChart.load('attempt')
 
     def run(self) -> None:
         """Fire the events."""
--- a/benchmarks/slopes/entry.py
+++ b/benchmarks/slopes/entry.py
@@ -12,7 +12,7 @@
 from benchmarks.slopes import samples
 from benchmarks.slopes.figure import Figure, once_us, processor_us
 from sardinetrack.messages.api import Grant
-from sardinetrack.routing.api import AttemptEnd, Dispatch
+from sardinetrack.routing.api import AttemptOutcome, Dispatch
 from sardinetrack.routing.router import Router
 from sardinetrack.routing.shared import Identity
 
@@ -50,7 +50,9 @@
         for number in range(sides):
             info = samples.side_info(number)
             self.router.side_up(self.now, info)
-            self.router.load(self.now, info.side, samples.load(free))
+            self.router.update_side_load(
+                self.now, info.side, samples.load(free)
+            )
 
     def submit(self, workspace: int = 0) -> list[Dispatch]:
         """Submit one request; return the dispatches that follow."""
@@ -67,10 +69,10 @@
 
     def end(self, dispatch: Dispatch) -> None:
         """Settle an attempt."""
-        self.router.ended(
+        self.router.settle_attempt(
             self.now,
             dispatch.attempt_id,
-            AttemptEnd.WHOLE,
+            AttemptOutcome.COMPLETED,
             cost=400.0,
             answered=True,
         )
@@ -122,7 +124,7 @@
         size,
         'us',
         processor_us(
-            partial(loaded.router.progress, loaded.now, attempt_id, 200.0),
+            partial(loaded.router.adjust_charge, loaded.now, attempt_id, 200.0),
         ),
     )
 
--- a/src/sardinetrack/compose/local.py
+++ b/src/sardinetrack/compose/local.py
@@ -17,12 +17,12 @@
 from sardinetrack.compose.local_ready import wait_ready
 from sardinetrack.compose.side import open_side
 from sardinetrack.config.model import EntrySettings, SideSettings
-from sardinetrack.entry.daemon import Entry
+from sardinetrack.entry.daemon import EntryDaemon
 from sardinetrack.http.server import serving
 from sardinetrack.process.api import Drainable
 from sardinetrack.process.ready import LocalReady, print_ready
 from sardinetrack.process.signals import run_until_drained
-from sardinetrack.side.daemon import Side
+from sardinetrack.side.daemon import SideDaemon
 from sardinetrack.standin.engine import Engine
 from sardinetrack.standin.hosting import hosting
 from sardinetrack.standin.platform import PlatformStandin
@@ -52,8 +52,8 @@
         self._peer_secret = secrets.token_urlsafe(_TOKEN_BYTES)
         self._platform = MemoryPlatform()
         self._platform_url = ''
-        self._entry: Entry
-        self._sides: list[Side] = []
+        self._entry: EntryDaemon
+        self._sides: list[SideDaemon] = []
 
     @asynccontextmanager
     async def open(self) -> AsyncIterator[LocalReady]:
@@ -118,7 +118,7 @@
             ListedInstance(
                 instance=settings.instance,
                 role='side',
-                address=side.peer.address,
+                address=side.peer_server.address,
                 failure_domain=_FAILURE_DOMAIN,
                 pool=pool,
                 backend_server=backend_server,
@@ -126,7 +126,7 @@
         )
 
     def _operator_urls(self) -> list[str]:
-        sides = [side.operator.url for side in self._sides]
+        sides = [side.operator_server.url for side in self._sides]
         return [self._entry.operator.url, *sides]
 
     def _entry_settings(self) -> EntrySettings:
--- a/src/sardinetrack/entry/daemon.py
+++ b/src/sardinetrack/entry/daemon.py
@@ -23,7 +23,7 @@
 _LOG: Final = PartLogger(Part.ENTRY)
 
 
-class Entry(ServingDaemon):
+class EntryDaemon(ServingDaemon):
     """Serves while the context is open; ``run`` returns after a drain."""
 
     def __init__(self, parts: EntryParts) -> None:
@@ -58,7 +58,7 @@
                 'drain timed out; interrupting the requests in progress',
                 cut=gate.inside,
             )
-        await self._end()
+        await self._close_servers()
 
     async def _open(self, stack: AsyncExitStack) -> None:
         http = await stack.enter_async_context(HttpClient())
--- a/src/sardinetrack/process/daemon.py
+++ b/src/sardinetrack/process/daemon.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from sardinetrack.config.model import Listen
+from sardinetrack.config.model import ListenAddress
 from sardinetrack.http.asgi import Application
 from sardinetrack.http.server import BoundServer, serving
 from sardinetrack.process.api import Drainable
@@ -59,7 +59,7 @@
         self,
         stack: AsyncExitStack,
         application: Application,
-        listen: Listen,
+        listen: ListenAddress,
     ) -> BoundServer:
         server = serving(application, listen.ip, listen.port)
         return await self._start(stack, server)
@@ -73,12 +73,12 @@
         self._servers.append(server)
         return server
 
-    async def _end(self) -> None:
+    async def _close_servers(self) -> None:
         """Close the servers; afterwards ``run`` returns."""
         # The last bytes of finished responses may still be in transit.
         for server in self._servers:
             server.stop()
         with anyio.move_on_after(_CLOSE_SECONDS):
             for server in self._servers:
-                await server.closed()
+                await server.wait_closed()
         self._closed.set()
--- a/src/sardinetrack/standin/engine.py
+++ b/src/sardinetrack/standin/engine.py
@@ -215,7 +215,7 @@
 async def _cancel_on_disconnect(
     exchange: Exchange, execution: Execution
 ) -> None:
-    await exchange.gone()
+    await exchange.wait_for_disconnect()
     execution.stop(Outcome.CANCELLED)
 
 
--- a/src/sardinetrack/standin/platform.py
+++ b/src/sardinetrack/standin/platform.py
@@ -77,16 +77,16 @@
             await self._respond(exchange)
         except (AnsweredError, RefusedError, ValueError) as error:
             text = str(error).encode()
-            await exchange.answer(HTTPStatus.BAD_REQUEST, text)
+            await exchange.respond(HTTPStatus.BAD_REQUEST, text)
         except UnavailableError:
-            await exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE)
+            await exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE)
         except CallerGoneError:
             return
 
     async def _respond(self, exchange: Exchange) -> None:
         received = (exchange.header('authorization') or '').encode()
         if not hmac.compare_digest(received, self._authorization):
-            await exchange.answer(HTTPStatus.UNAUTHORIZED)
+            await exchange.respond(HTTPStatus.UNAUTHORIZED)
             return
         body = await exchange.body(MAX_VALUE_BYTES * 2, _BODY_SECONDS)
         kind = _call_kind(exchange)
@@ -98,11 +98,11 @@
     async def _admit(self, exchange: Exchange, kind: CallKind) -> bool:
         await self.gate.delay_call()
         if self.gate.rejects_call():
-            await exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE)
+            await exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE)
             return False
         wait_seconds = self.gate.throttle_seconds(time.monotonic(), kind)
         if wait_seconds:
-            await exchange.answer(
+            await exchange.respond(
                 HTTPStatus.TOO_MANY_REQUESTS,
                 headers=(('retry-after', f'{wait_seconds:.3f}'),),
             )
@@ -160,13 +160,13 @@
             case ('DELETE', _, '/instances'):
                 self.platform.remove_instance(instance)
             case _:
-                await exchange.answer(HTTPStatus.NOT_FOUND)
+                await exchange.respond(HTTPStatus.NOT_FOUND)
                 return
-        await exchange.answer(HTTPStatus.NO_CONTENT)
+        await exchange.respond(HTTPStatus.NO_CONTENT)
 
     def _inject_faults(self, faults: Faults) -> None:
         self.gate.replace(time.monotonic(), faults)
-        self.platform.disturb(
+        self.platform.apply_faults(
             Disturbance(
                 outage=faults.outage,
                 watch_lag_seconds=faults.watch_lag_seconds,
--- a/tests/catalogue/steps/editor_steps.py
+++ b/tests/catalogue/steps/editor_steps.py
@@ -10,7 +10,7 @@
 from histories import config_object
 
 from sardinetrack.catalogue.editor import CatalogueEditor, LostRaceError
-from sardinetrack.catalogue.parse import read_entry
+from sardinetrack.catalogue.parse import parse_operator_file
 from sardinetrack.catalogue.problems import InvalidEntryError
 from sardinetrack.catalogue.rollout import ConfigStatus, wait_in_force
 from sardinetrack.store.api import (
@@ -67,7 +67,7 @@
 def _apply(context, text, **options):
     context.error = None
     try:
-        catalogue_entry = read_entry(text)
+        catalogue_entry = parse_operator_file(text)
         edit = partial(context.editor.apply, catalogue_entry, **options)
         context.edit = anyio.run(edit)
     except _ERRORS as error:
@@ -179,7 +179,7 @@
 @given('the responses to the next {count:d} writes are lost')
 def lose_replies(context, count):
     context.before = context.platform.store.revision
-    context.platform.disturb(Disturbance(lose_replies=count))
+    context.platform.apply_faults(Disturbance(lose_replies=count))
 
 
 @given('the next {count:d} writes are lost before they arrive')
@@ -218,13 +218,13 @@
 
 @given('the platform fails after the next write, whose response is lost')
 def fail_after_write(context):
-    context.platform.disturb(Disturbance(lose_replies=1))
+    context.platform.apply_faults(Disturbance(lose_replies=1))
     context.platform.after_write = partial(_take_down, context.platform)
 
 
 async def _take_down(platform):
     await anyio.lowlevel.checkpoint()
-    platform.disturb(Disturbance(outage=True))
+    platform.apply_faults(Disturbance(outage=True))
 
 
 @then('the outcome is reported as uncertain')
--- a/tests/platform/steps/server_object_steps.py
+++ b/tests/platform/steps/server_object_steps.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from tests.support.example_settings import node_settings
 
-from sardinetrack.compose.view import PlatformDecoder
+from sardinetrack.compose.store_view import PlatformObjectDecoder
 from sardinetrack.logs.events import EventLog
 from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.followers import ServersFollower
@@ -53,7 +53,7 @@
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
     context.state = EntryState(node_settings(), context.log)
-    context.follower = ServersFollower(context.state, PlatformDecoder())
+    context.follower = ServersFollower(context.state, PlatformObjectDecoder())
     context.revision = 10
     context.objects = {}
     for number in range(2):
@@ -159,7 +159,7 @@
     names = {stored.key for stored in listing.objects}
     servers = {f'{_PREFIX}i-{number}' for number in range(count)}
     assert names == servers | {f'{_PREFIX}i-x', f'{_PREFIX}i-y'}, names
-    assert context.client.use.unreadable == 3
+    assert context.client.counters.unreadable == 3
 
 
 @when('an object without a valid revision is written while the client watches')
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -40,7 +40,7 @@
         state.connections.release(server.address, kept)
         breaker = state.server_states.breaker(server)
         for _ in range(FAILURES_TO_OPEN):
-            breaker.failed(now, breaker.generation)
+            breaker.request_failed(now, breaker.generation)
 
     context.world.run(act())
 
--- a/tests/side/steps/side_steps.py
+++ b/tests/side/steps/side_steps.py
@@ -605,7 +605,7 @@
 
 async def _stop_server(world: World) -> None:
     world.server.stop()
-    await world.server.closed()
+    await world.server.wait_closed()
 
 
 async def _call(world: World, method: str, url: str, pairs: Any) -> Any:
@@ -626,7 +626,7 @@
 
 
 async def _half_body(world: World) -> None:
-    address = world.side.peer
+    address = world.side.peer_server
     host = address.address.rpartition(':')[0]
     name, text = SECRET.header()
     field = order_text(RUN_REQUEST)
