--- a/benchmarks/charts.py
+++ b/benchmarks/charts.py
@@ -19,7 +19,7 @@
 from transitions import Machine
 
 from sardinetrack.admission.api import Arrival
-from sardinetrack.admission.book import AttemptEvent, AttemptState
+from sardinetrack.admission.attempts import AttemptEvent, AttemptState
 from sardinetrack.admission.slots import SlotAdmission
 from sardinetrack.charts import StateChart, TypedChart
 from sardinetrack.charts.model import ChartFile
--- a/benchmarks/policy/carrier.py
+++ b/benchmarks/policy/carrier.py
@@ -7,11 +7,11 @@
 
 from benchmarks.policy.nodes import EntryNode, Request, Running, SideNode
 from sardinetrack.admission.api import (
-    Announce,
+    AdmissionEffect,
     Arrival,
+    BroadcastLoad,
     RefuseRequest,
     SendGrant,
-    SideEffect,
     StartRequest,
 )
 from sardinetrack.messages.api import Bids, Decline, ServiceReport
@@ -49,7 +49,7 @@
         elif isinstance(effect, SendToEntries):
             self._to_entries(node, effect)
 
-    def from_side(self, side: SideNode, effect: SideEffect) -> None:
+    def from_side(self, side: SideNode, effect: AdmissionEffect) -> None:
         """Apply a side's effect."""
         if isinstance(effect, StartRequest):
             self.start(side, effect.attempt_id)
@@ -57,7 +57,7 @@
             self._refuse(side, effect)
         elif isinstance(effect, SendGrant):
             self._grant(side, effect)
-        elif isinstance(effect, Announce):
+        elif isinstance(effect, BroadcastLoad):
             self._batch(side)
 
     def end(
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -26,7 +26,7 @@
     mean_cost,
     workspaces,
 )
-from sardinetrack.admission.api import SideEffect
+from sardinetrack.admission.api import AdmissionEffect
 from sardinetrack.routing.api import EntryEffect, RoutedRequest, SideInfo
 from sardinetrack.routing.shared import Identity
 
@@ -123,7 +123,7 @@
         self,
         side: SideNode,
         epoch: int,
-        call: Callable[..., Sequence[SideEffect]],
+        call: Callable[..., Sequence[AdmissionEffect]],
         *args: Any,
         **named: Any,
     ) -> None:
--- a/src/sardinetrack/admission/api.py
+++ b/src/sardinetrack/admission/api.py
@@ -75,18 +75,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Announce:
+class BroadcastLoad:
     """Send the load to every linked entry, soon and batched."""
 
 
-SideEffect = StartRequest | RefuseRequest | CancelRequest | SendGrant | Announce
+AdmissionEffect = (
+    StartRequest | RefuseRequest | CancelRequest | SendGrant | BroadcastLoad
+)
 
 
 class Admission(ABC):
     """Allocates the slots of one backend server."""
 
     @abstractmethod
-    def arrive(self, now: float, arrival: Arrival) -> Sequence[SideEffect]:
+    def arrive(self, now: float, arrival: Arrival) -> Sequence[AdmissionEffect]:
         """Start, queue or refuse a request that reached the side."""
 
     @abstractmethod
@@ -95,7 +97,7 @@
         now: float,
         entry: str,
         bids: Bids,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Replace the bids of an entry."""
 
     @abstractmethod
@@ -104,13 +106,13 @@
         now: float,
         entry: str,
         number: int,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Reclaim the slot of a grant that an entry declined."""
 
     @abstractmethod
     def entry_disconnected(
         self, now: float, entry: str
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Drop the bids and grants of an entry whose link broke."""
 
     @abstractmethod
@@ -122,7 +124,7 @@
         is_complete: bool,
         cost: float,
         stopped: bool = False,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Free the slot of a request that ended.
 
         :param is_complete: the backend server's response was complete.
@@ -137,7 +139,7 @@
         attempt_id: str,
         *,
         cancel: bool,
-    ) -> tuple[Fate, Sequence[SideEffect]]:
+    ) -> tuple[Fate, Sequence[AdmissionEffect]]:
         """Return the status of an attempt, for a status query.
 
         An attempt that has not started is tombstoned and never starts.
@@ -146,15 +148,15 @@
         """
 
     @abstractmethod
-    def resize(self, now: float, limit: int) -> Sequence[SideEffect]:
+    def resize(self, now: float, limit: int) -> Sequence[AdmissionEffect]:
         """Change how many requests may run concurrently."""
 
     @abstractmethod
-    def drain(self, now: float) -> Sequence[SideEffect]:
+    def drain(self, now: float) -> Sequence[AdmissionEffect]:
         """Accept no new requests; running requests finish."""
 
     @abstractmethod
-    def tick(self, now: float) -> Sequence[SideEffect]:
+    def tick(self, now: float) -> Sequence[AdmissionEffect]:
         """Expire grants, queued requests and old records."""
 
     @abstractmethod
--- a/src/sardinetrack/admission/warming.py
+++ b/src/sardinetrack/admission/cold_start.py
@@ -15,7 +15,7 @@
 """Time in which the rate grows by the rate of the cold period."""
 
 
-class WarmTurns:
+class ColdStartLimiter:
     """Spaces the requests that go to a server after a cold start.
 
     A server that has just started crashes when it immediately gets the load
--- a/src/sardinetrack/admission/order.py
+++ b/src/sardinetrack/admission/order.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from sardinetrack.admission.ask import Ask
+from sardinetrack.admission.request import AdmissionRequest
 from sardinetrack.admission.waiting import WaitQueue, tokens_of
 from sardinetrack.fairness.recent import FleetService
 
@@ -57,7 +57,7 @@
         for workspace, tokens in served:
             self._service.update(now, entry, workspace, tokens)
 
-    def granted(self, now: float, request: Ask) -> None:
+    def granted(self, now: float, request: AdmissionRequest) -> None:
         """Count the service of a granted request."""
         self._service.add(now, request.entry, request.workspace, request.cost)
 
@@ -87,7 +87,7 @@
             key=lambda name: self._service.tokens(now, name),
         )
 
-    def ahead_of(self, now: float, request: Ask) -> QueuedAhead:
+    def ahead_of(self, now: float, request: AdmissionRequest) -> QueuedAhead:
         """Return what goes before a request that arrives now.
 
         Requests of another workspace go first until its service reaches that
--- a/src/sardinetrack/admission/reading.py
+++ b/src/sardinetrack/admission/prefill.py
@@ -11,14 +11,19 @@
 from collections.abc import Iterable, Sequence
 from typing import Final
 
-from sardinetrack.admission.ask import Ask, Granted, Refused, Verdict
 from sardinetrack.admission.batch import BatchLimit
+from sardinetrack.admission.cold_start import ColdStartLimiter
 from sardinetrack.admission.order import ServiceOrder
 from sardinetrack.admission.pace import PrefillEstimator
+from sardinetrack.admission.request import (
+    AdmissionDecision,
+    AdmissionRequest,
+    Granted,
+    Refused,
+)
 from sardinetrack.admission.running import RunningRequests
-from sardinetrack.admission.usage import EngineUse, Usage
+from sardinetrack.admission.usage import EngineActivity, EngineUsage
 from sardinetrack.admission.waiting import WaitingRequest, WaitQueue, tokens_of
-from sardinetrack.admission.warming import WarmTurns
 from sardinetrack.topology.cold import ColdPeriod
 
 PREFILL_AHEAD_SECONDS: Final = 0.15
@@ -42,7 +47,7 @@
 _MIN_RETRY_SECONDS: Final = 0.25
 
 
-class ReadingAdmission:
+class PrefillAdmission:
     """Decides which request goes to the engine next; reads no clock."""
 
     def __init__(self, slots: int, memory_tokens: int) -> None:
@@ -52,8 +57,8 @@
         :param memory_tokens: tokens that fit into its KV cache.
         """
         self.estimator = PrefillEstimator()
-        self.usage = Usage()
-        self.cold_start = WarmTurns()
+        self.usage = EngineUsage()
+        self.cold_start = ColdStartLimiter()
         self._fraction = float(1)
         self._running = RunningRequests(slots, memory_tokens)
         self._queue = WaitQueue()
@@ -77,7 +82,7 @@
 
     def set_cold_period(
         self, now: float, cold_period: ColdPeriod
-    ) -> Sequence[Verdict]:
+    ) -> Sequence[AdmissionDecision]:
         """Set how long the engine stays cold, and its rate until then."""
         self.cold_start.update_cold_period(cold_period)
         return self._grant_next(now)
@@ -134,7 +139,7 @@
             self.cold_start.wait_seconds(now, queued),
         )
 
-    def handle_restart(self, now: float) -> Sequence[Verdict]:
+    def handle_restart(self, now: float) -> Sequence[AdmissionDecision]:
         """Handle a restart of the engine.
 
         Its requests are lost, and its rate was that of another process. The
@@ -157,7 +162,9 @@
         """
         self._order.update_served(now, entry, served)
 
-    def request_permit(self, now: float, request: Ask) -> Sequence[Verdict]:
+    def request_permit(
+        self, now: float, request: AdmissionRequest
+    ) -> Sequence[AdmissionDecision]:
         """Grant, refuse or queue a request for a permit."""
         served = ((request.workspace, request.served_tokens),)
         self._order.update_served(now, request.entry, served)
@@ -172,7 +179,7 @@
         self._queue.put(WaitingRequest(request, now, now + max_wait_seconds))
         return self._grant_next(now)
 
-    def _max_wait_seconds(self, request: Ask) -> float:
+    def _max_wait_seconds(self, request: AdmissionRequest) -> float:
         """Return how long a request can wait here and still be in time.
 
         The time it needs after its grant depends on its length: a short prompt
@@ -180,7 +187,7 @@
         even at an idle engine may still wait a little; otherwise the longest
         prompts would be refused whenever the engine prefills anything.
         """
-        if request.is_late:
+        if request.is_past_objective:
             return request.max_wait_seconds
         prefill_seconds = (
             MIN_BACKLOG_SECONDS + request.prefill_tokens / self.rate_tokens
@@ -197,47 +204,49 @@
     def release(
         self,
         now: float,
-        ask_id: str,
+        permit_id: str,
         *,
         is_complete: bool = False,
-    ) -> Sequence[Verdict]:
+    ) -> Sequence[AdmissionDecision]:
         """Drop a request, whether it runs or waits.
 
         :param is_complete: its caller has the complete response.
         """
-        if ask_id in self._running:
-            return self.ended(now, ask_id, is_complete=is_complete)
-        return self._grant_next(now) if self._queue.remove(ask_id) else ()
+        if permit_id in self._running:
+            return self.ended(now, permit_id, is_complete=is_complete)
+        return self._grant_next(now) if self._queue.remove(permit_id) else ()
 
-    def prefill_finished(self, now: float, ask_id: str) -> Sequence[Verdict]:
+    def prefill_finished(
+        self, now: float, permit_id: str
+    ) -> Sequence[AdmissionDecision]:
         """Handle the first event: the prompt is prefilled."""
-        running = self._running.first_event(now, ask_id)
+        running = self._running.first_event(now, permit_id)
         if running is None:
             return ()
         self.usage.record_first_event(
             now - running.granted_seconds,
             running.expected_seconds,
         )
-        self.estimator.first_event(now, ask_id)
+        self.estimator.first_event(now, permit_id)
         return self._grant_next(now)
 
     def ended(
         self,
         now: float,
-        ask_id: str,
+        permit_id: str,
         *,
         is_complete: bool = True,
-    ) -> Sequence[Verdict]:
+    ) -> Sequence[AdmissionDecision]:
         """Free the slot and the KV cache of a request.
 
         :param is_complete: its caller has the complete response.
         """
-        if not self._running.ended(now, ask_id, complete=is_complete):
+        if not self._running.ended(now, permit_id, complete=is_complete):
             return ()
-        self.estimator.ended(now, ask_id)
+        self.estimator.ended(now, permit_id)
         return self._grant_next(now)
 
-    def tick(self, now: float) -> Sequence[Verdict]:
+    def tick(self, now: float) -> Sequence[AdmissionDecision]:
         """Refuse requests whose maximum wait is over; grant what now fits."""
         expired = self._queue.take_expired(now)
         late = self._refusals(now, expired) if expired else ()
@@ -247,9 +256,9 @@
         self,
         now: float,
         expired: Sequence[WaitingRequest],
-    ) -> Sequence[Verdict]:
+    ) -> Sequence[AdmissionDecision]:
         """Refuse one by one; a refused request no longer counts as ahead."""
-        late: list[Verdict] = []
+        late: list[AdmissionDecision] = []
         queued_tokens = self._queue.tokens + tokens_of(expired)
         queued = self.waiting + len(expired)
         for one in expired:
@@ -279,8 +288,8 @@
             dues.append(now + max(excess_seconds, cold_seconds))
         return min(dues)
 
-    def _grant_next(self, now: float) -> Sequence[Verdict]:
-        granted: list[Verdict] = []
+    def _grant_next(self, now: float) -> Sequence[AdmissionDecision]:
+        granted: list[AdmissionDecision] = []
         while self._queue.workspaces:
             workspace = self._order.next_workspace(now)
             if not self._fits(now, self._queue.first(workspace)):
@@ -289,24 +298,26 @@
         self.usage.record_activity(now, self._activity(now))
         return granted
 
-    def _activity(self, now: float) -> EngineUse:
+    def _activity(self, now: float) -> EngineActivity:
         prefills = self.estimator.backlog_seconds(now) > 0
         if not self._queue.workspaces:
             return self._activity_without_queue(prefills=prefills)
         if prefills:
-            return EngineUse.FULL
+            return EngineActivity.FULL
         if not self.slots_left:
-            return EngineUse.SLOTS_EXHAUSTED
+            return EngineActivity.SLOTS_EXHAUSTED
         if self.cold_start.is_limited(now):
-            return EngineUse.COLD_START_LIMITED
-        return EngineUse.MEMORY_EXHAUSTED
+            return EngineActivity.COLD_START_LIMITED
+        return EngineActivity.MEMORY_EXHAUSTED
 
-    def _activity_without_queue(self, *, prefills: bool) -> EngineUse:
+    def _activity_without_queue(self, *, prefills: bool) -> EngineActivity:
         if not self._running:
-            return EngineUse.IDLE
-        return EngineUse.PREFILLING if prefills else EngineUse.DECODING
+            return EngineActivity.IDLE
+        return (
+            EngineActivity.PREFILLING if prefills else EngineActivity.DECODING
+        )
 
-    def _fits(self, now: float, request: Ask) -> bool:
+    def _fits(self, now: float, request: AdmissionRequest) -> bool:
         if self.cold_start.free_at_seconds(now) > now:
             return False
         if not self._running:
@@ -321,18 +332,20 @@
         prefill_seconds = request.prefill_tokens / self.rate_tokens
         return backlog_seconds + prefill_seconds <= self._ahead_seconds
 
-    def _grant(self, now: float, request: Ask) -> Verdict:
+    def _grant(
+        self, now: float, request: AdmissionRequest
+    ) -> AdmissionDecision:
         expected_seconds = self.estimator.first_event_seconds(
             now, request.prefill_tokens
         )
         self.cold_start.granted(now)
-        self.estimator.granted(now, request.ask_id, request.prefill_tokens)
+        self.estimator.granted(now, request.permit_id, request.prefill_tokens)
         self._running.add(now, request, expected_seconds)
         self.usage.record_grant(request.prefill_tokens)
         self._order.granted(now, request)
-        return Granted(request.ask_id)
+        return Granted(request.permit_id)
 
-    def _wait_seconds(self, now: float, request: Ask) -> float:
+    def _wait_seconds(self, now: float, request: AdmissionRequest) -> float:
         """Estimate how long a request that arrives now waits for its grant."""
         ahead = self._order.ahead_of(now, request)
         queued_seconds = ahead.tokens / self.rate_tokens
@@ -343,7 +356,7 @@
             self.cold_start.wait_seconds(now, ahead.requests),
         )
 
-    def _excess_seconds(self, now: float, request: Ask) -> float:
+    def _excess_seconds(self, now: float, request: AdmissionRequest) -> float:
         """Return the backlog above that at which a request may be granted.
 
         A long prompt may be granted only when hardly any backlog is left.
@@ -360,13 +373,13 @@
 
     def _refusal(
         self,
-        request: Ask,
+        request: AdmissionRequest,
         wait_seconds: float,
         waited_seconds: float,
     ) -> Refused:
         self.usage.record_refusal(waited_seconds)
         return Refused(
-            request.ask_id,
+            request.permit_id,
             max(_MIN_RETRY_SECONDS, wait_seconds),
             waited_seconds,
             int(wait_seconds * self.rate_tokens),
--- a/src/sardinetrack/admission/ask.py
+++ b/src/sardinetrack/admission/request.py
@@ -11,14 +11,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class AdmissionRequest:
     """A request for a permit to send one request to the engine."""
 
-    ask_id: str
+    permit_id: str
     workspace: str
     prefill_tokens: int
     """Prompt tokens that the engine would have to prefill."""
-    kept_tokens: int
+    kv_cache_tokens: int
     """Tokens that it adds to the engine's KV cache, generated ones included."""
     output_tokens: int
     max_wait_seconds: float
@@ -41,7 +41,7 @@
     """Time since the request was first refused, as far as the entry knows."""
 
     @property
-    def is_late(self) -> bool:
+    def is_past_objective(self) -> bool:
         """Whether its first event is late already.
 
         The caller has retried after a refusal and is still waiting.
@@ -58,18 +58,18 @@
 class Granted:
     """The request may be sent now."""
 
-    ask_id: str
+    permit_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
     """The request can't be served in time; it must not be sent."""
 
-    ask_id: str
+    permit_id: str
     retry_after_seconds: float
     waited_seconds: float
     ahead_tokens: int
     """Prompt tokens to prefill before it."""
 
 
-Verdict = Granted | Refused
+AdmissionDecision = Granted | Refused
--- a/src/sardinetrack/admission/running.py
+++ b/src/sardinetrack/admission/running.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from sardinetrack.admission.ask import Ask
 from sardinetrack.admission.batch import BatchLimit
+from sardinetrack.admission.request import AdmissionRequest
 from sardinetrack.admission.slot_occupancy import SlotOccupancy
 from sardinetrack.fairness.recent import HALF_LIFE_SECONDS, RecentService
 
@@ -24,7 +24,7 @@
 class RunningRequest:
     """A granted request."""
 
-    request: Ask
+    request: AdmissionRequest
     granted_seconds: float
     expected_seconds: float
     """From the grant to its first event, as estimated at the grant."""
@@ -57,9 +57,9 @@
         """Count the requests."""
         return len(self._running)
 
-    def __contains__(self, ask_id: str) -> bool:
+    def __contains__(self, permit_id: str) -> bool:
         """Whether a request is at the engine."""
-        return ask_id in self._running
+        return permit_id in self._running
 
     @property
     def limit(self) -> int:
@@ -103,43 +103,45 @@
             return math.inf
         return free_tokens / rate_tokens
 
-    def has_memory(self, request: Ask) -> bool:
+    def has_memory(self, request: AdmissionRequest) -> bool:
         """Whether the tokens that a request adds fit into the KV cache."""
-        kept = self._kv_cache_tokens + request.kept_tokens
+        kept = self._kv_cache_tokens + request.kv_cache_tokens
         return kept <= self._memory_tokens * MEMORY_FRACTION
 
-    def add(self, now: float, request: Ask, expected_seconds: float) -> None:
+    def add(
+        self, now: float, request: AdmissionRequest, expected_seconds: float
+    ) -> None:
         """Add a granted request.
 
         :param expected_seconds: estimated time to its first event.
         """
-        self._running[request.ask_id] = RunningRequest(
+        self._running[request.permit_id] = RunningRequest(
             request, now, expected_seconds
         )
-        self._turnover.add(now, _ENGINE, request.kept_tokens)
-        self._kv_cache_tokens += request.kept_tokens
+        self._turnover.add(now, _ENGINE, request.kv_cache_tokens)
+        self._kv_cache_tokens += request.kv_cache_tokens
 
-    def first_event(self, now: float, ask_id: str) -> RunningRequest | None:
+    def first_event(self, now: float, permit_id: str) -> RunningRequest | None:
         """Record a first event.
 
         :return: its request; ``None`` if it is not here, or had one before.
         """
-        running = self._running.get(ask_id)
+        running = self._running.get(permit_id)
         if running is None or running.first_event_seconds is not None:
             return None
         running.first_event_seconds = now
         return running
 
-    def ended(self, now: float, ask_id: str, *, complete: bool) -> bool:
+    def ended(self, now: float, permit_id: str, *, complete: bool) -> bool:
         """Free the slot and the KV cache of a request.
 
         :param complete: its caller has the complete response.
         :return: whether it was here.
         """
-        running = self._running.pop(ask_id, None)
+        running = self._running.pop(permit_id, None)
         if running is None:
             return False
-        self._kv_cache_tokens -= running.request.kept_tokens
+        self._kv_cache_tokens -= running.request.kv_cache_tokens
         if running.first_event_seconds is not None:
             self._occupancy.ended(now - running.granted_seconds)
             if complete:
--- a/src/sardinetrack/admission/slots.py
+++ b/src/sardinetrack/admission/slots.py
@@ -8,21 +8,21 @@
 
 from sardinetrack.admission.api import (
     Admission,
-    Announce,
+    AdmissionEffect,
     Arrival,
+    BroadcastLoad,
     CancelRequest,
     RefusalReason,
     RefuseRequest,
     SendGrant,
-    SideEffect,
     StartRequest,
 )
-from sardinetrack.admission.bid_table import BidTable, NextBid
-from sardinetrack.admission.book import (
+from sardinetrack.admission.attempts import (
     AttemptEvent,
     AttemptRegistry,
     AttemptState,
 )
+from sardinetrack.admission.bid_table import BidTable, NextBid
 from sardinetrack.admission.grant_prefetch import GrantPrefetch
 from sardinetrack.fairness.invariant import ensure
 from sardinetrack.messages.api import Bids, Grant, SideLoad, SidePhase
@@ -64,7 +64,7 @@
         self._virtual_time = float(0)
         self._announced = (limit, float(0))
 
-    def arrive(self, now: float, arrival: Arrival) -> Sequence[SideEffect]:
+    def arrive(self, now: float, arrival: Arrival) -> Sequence[AdmissionEffect]:
         """Start, queue or refuse a request that reached the side."""
         granted = self._use_grant(now, arrival)
         reason = self._refusal_reason(arrival, granted=granted)
@@ -84,7 +84,7 @@
         now: float,
         entry: str,
         bids: Bids,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Replace the bids of an entry."""
         self._bids.put(now, entry, bids)
         return self._fill_slots(now)
@@ -94,7 +94,7 @@
         now: float,
         entry: str,
         number: int,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Reclaim the slot of a grant that an entry declined."""
         self._bids.close(entry, number)
         self._bids.clear(entry)
@@ -102,7 +102,7 @@
 
     def entry_disconnected(
         self, now: float, entry: str
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Drop the bids and grants of an entry whose link broke."""
         self._bids.remove_entry(entry)
         return self._fill_slots(now)
@@ -115,7 +115,7 @@
         is_complete: bool,
         cost: float,
         stopped: bool = False,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Free the slot of a request that ended."""
         self._suspects.discard(attempt_id)
         started_seconds = self._running.pop(attempt_id, None)
@@ -134,7 +134,7 @@
         attempt_id: str,
         *,
         cancel: bool,
-    ) -> tuple[Fate, Sequence[SideEffect]]:
+    ) -> tuple[Fate, Sequence[AdmissionEffect]]:
         """Return the status of an attempt; one not started never will be."""
         status = self._attempts.final_status(now, attempt_id)
         if self._queued.pop(attempt_id, None) is not None:
@@ -145,7 +145,7 @@
             return status, (CancelRequest(attempt_id),)
         return status, ()
 
-    def resize(self, now: float, limit: int) -> Sequence[SideEffect]:
+    def resize(self, now: float, limit: int) -> Sequence[AdmissionEffect]:
         """Change how many requests may run concurrently."""
         closed = self._limit > 0 and limit == 0
         self._limit = limit
@@ -154,27 +154,27 @@
         # requests to a side without slots, and to no other side.
         return (*effects, self._announce(now)) if closed else effects
 
-    def drain(self, now: float) -> Sequence[SideEffect]:
+    def drain(self, now: float) -> Sequence[AdmissionEffect]:
         """Accept no new requests; running requests finish."""
         self._draining = True
-        effects: list[SideEffect] = []
+        effects: list[AdmissionEffect] = []
         for attempt_id in list(self._queued):
             effects.extend(self._refuse_queued(now, attempt_id, 'draining'))
-        return (*effects, Announce())
+        return (*effects, BroadcastLoad())
 
-    def tick(self, now: float) -> Sequence[SideEffect]:
+    def tick(self, now: float) -> Sequence[AdmissionEffect]:
         """Expire grants, queued requests and old records."""
         self._bids.expire(now)
         self._bids.check()
         self._attempts.drop_expired(now)
-        effects: list[SideEffect] = []
+        effects: list[AdmissionEffect] = []
         for attempt_id, queued in list(self._queued.items()):
             if queued.expires_seconds <= now:
                 effects.extend(self._refuse_queued(now, attempt_id, 'expired'))
         effects.extend(self._fill_slots(now))
         free, announced_seconds = self._announced
         due = now - announced_seconds >= _ANNOUNCE_SECONDS
-        if due and free != self._free and Announce() not in effects:
+        if due and free != self._free and BroadcastLoad() not in effects:
             effects.append(self._announce(now))
         return effects
 
@@ -238,7 +238,7 @@
         now: float,
         attempt_id: str,
         reason: RefusalReason,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         if reason in {RefusalReason.BUSY, RefusalReason.DRAINING}:
             self._attempts.apply(now, attempt_id, AttemptEvent.REFUSE)
         return (RefuseRequest(attempt_id, reason), *self._fill_slots(now))
@@ -248,14 +248,14 @@
         now: float,
         attempt_id: str,
         reason: str,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         self._queued.pop(attempt_id)
         self._suspects.discard(attempt_id)
         self._attempts.apply(now, attempt_id, AttemptEvent.REFUSE)
         return (RefuseRequest(attempt_id, RefusalReason(reason)),)
 
-    def _fill_slots(self, now: float) -> Sequence[SideEffect]:
-        effects: list[SideEffect] = []
+    def _fill_slots(self, now: float) -> Sequence[AdmissionEffect]:
+        effects: list[AdmissionEffect] = []
         while self._queued and len(self._running) < self._limit:
             effects.append(self._start_lowest(now))
         if not self._draining:
@@ -267,7 +267,7 @@
             self._announced = (0, now)
         return effects
 
-    def _start_lowest(self, now: float) -> SideEffect:
+    def _start_lowest(self, now: float) -> AdmissionEffect:
         ensure(
             len(self._running) < self._limit,
             'a request starts only on a free slot',
@@ -281,8 +281,8 @@
         self._attempts.apply(now, attempt_id, AttemptEvent.START)
         return StartRequest(attempt_id)
 
-    def _grant_available(self, now: float) -> Sequence[SideEffect]:
-        effects: list[SideEffect] = []
+    def _grant_available(self, now: float) -> Sequence[AdmissionEffect]:
+        effects: list[AdmissionEffect] = []
         for _ in range(self._grantable):
             bid = self._bids.best(now)
             if bid is None:
@@ -290,7 +290,7 @@
             effects.append(self._grant(now, bid))
         return effects
 
-    def _grant(self, now: float, bid: NextBid) -> SideEffect:
+    def _grant(self, now: float, bid: NextBid) -> AdmissionEffect:
         ensure(not self._draining, 'a draining side sends no grants')
         valid_seconds = self._prefetch.valid_seconds
         number = self._bids.grant(now, bid, valid_seconds)
@@ -298,6 +298,6 @@
         grant = Grant(number, valid_seconds, bid.row.workspace)
         return SendGrant(bid.entry, grant)
 
-    def _announce(self, now: float) -> SideEffect:
+    def _announce(self, now: float) -> AdmissionEffect:
         self._announced = (self._free, now)
-        return Announce()
+        return BroadcastLoad()
--- a/src/sardinetrack/admission/usage.py
+++ b/src/sardinetrack/admission/usage.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 
 
-class EngineUse(StrEnum):
+class EngineActivity(StrEnum):
     """What an engine does at a moment."""
 
     IDLE = 'idle'
@@ -27,15 +27,15 @@
     the KV cache."""
 
 
-def _no_time() -> defaultdict[EngineUse, float]:
+def _no_time() -> defaultdict[EngineActivity, float]:
     return defaultdict(float)
 
 
 @dataclass(slots=True)
-class Usage:
+class EngineUsage:
     """Time by activity, grants and refusals since the last report."""
 
-    seconds: defaultdict[EngineUse, float] = field(
+    seconds: defaultdict[EngineActivity, float] = field(
         default_factory=_no_time,
     )
     granted: int = 0
@@ -50,10 +50,10 @@
     """Sum of the times from the grant to the first event."""
     expected_seconds: float = 0
     """Sum of the same times as estimated at the grant."""
-    _activity: EngineUse = EngineUse.IDLE
+    _activity: EngineActivity = EngineActivity.IDLE
     _since_seconds: float | None = None
 
-    def record_activity(self, now: float, activity: EngineUse) -> None:
+    def record_activity(self, now: float, activity: EngineActivity) -> None:
         """Count the time since the last call for the activity set then."""
         if self._since_seconds is not None:
             self.seconds[self._activity] += now - self._since_seconds
@@ -87,7 +87,7 @@
         self.begin_seconds += took_seconds
         self.expected_seconds += expected_seconds
 
-    def next_report(self, now: float) -> Usage:
+    def next_report(self, now: float) -> EngineUsage:
         """Close this report and return an empty one that starts now."""
         self.record_activity(now, self._activity)
-        return Usage(_activity=self._activity, _since_seconds=now)
+        return EngineUsage(_activity=self._activity, _since_seconds=now)
--- a/src/sardinetrack/admission/waiting.py
+++ b/src/sardinetrack/admission/waiting.py
@@ -6,14 +6,14 @@
 from collections.abc import Collection, Iterable, Iterator
 from dataclasses import dataclass
 
-from sardinetrack.admission.ask import Ask
+from sardinetrack.admission.request import AdmissionRequest
 
 
 @dataclass(slots=True)
 class WaitingRequest:
     """A request in the queue."""
 
-    request: Ask
+    request: AdmissionRequest
     queued_seconds: float
     """When it was queued, on the monotonic clock."""
     until_seconds: float
@@ -54,16 +54,16 @@
         """List the requests of one workspace."""
         return self._queues.get(workspace, ())
 
-    def first(self, workspace: str) -> Ask:
+    def first(self, workspace: str) -> AdmissionRequest:
         """Return the next request of a workspace that waits."""
         return self._queues[workspace][0].request
 
-    def before(self, request: Ask) -> list[WaitingRequest]:
+    def before(self, request: AdmissionRequest) -> list[WaitingRequest]:
         """List the requests of its workspace that go before a request."""
         return [
             one
             for one in self.of(request.workspace)
-            if request.is_late or not one.request.is_late
+            if request.is_past_objective or not one.request.is_past_objective
         ]
 
     def put(self, one: WaitingRequest) -> None:
@@ -71,19 +71,19 @@
         queue = self._queues.setdefault(one.request.workspace, deque())
         queue.insert(len(self.before(one.request)), one)
 
-    def take_first(self, workspace: str) -> Ask:
+    def take_first(self, workspace: str) -> AdmissionRequest:
         """Remove and return the next request of a workspace."""
         one = self._queues[workspace].popleft()
         self._drop_empty(workspace)
         return one.request
 
-    def remove(self, ask_id: str) -> bool:
+    def remove(self, permit_id: str) -> bool:
         """Remove one request.
 
         :return: whether it was queued.
         """
         for one in self:
-            if one.request.ask_id == ask_id:
+            if one.request.permit_id == permit_id:
                 self._queues[one.request.workspace].remove(one)
                 self._drop_empty(one.request.workspace)
                 return True
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -8,7 +8,11 @@
 from itertools import count
 from typing import Final
 
-from sardinetrack.admission.ask import Ask, Granted, Verdict
+from sardinetrack.admission.request import (
+    AdmissionDecision,
+    AdmissionRequest,
+    Granted,
+)
 from sardinetrack.emulator.api import Outcome, PlacementPolicy
 from sardinetrack.emulator.engine import Engine
 from sardinetrack.emulator.load import LoadProfile, Request
@@ -93,8 +97,8 @@
         attempt.tried.append(name)
         request = attempt.request
         remaining_wait = attempt.remaining_wait_seconds(self._shape, now)
-        recomputes = candidate.is_guest and self._policy.guests_hurry
-        ask = Ask(
+        recomputes = candidate.recomputes_prefix and self._policy.guests_hurry
+        ask = AdmissionRequest(
             f'{request.name}.{int(request.is_retry)}.{len(attempt.tried)}',
             request.workspace,
             candidate.prefill_tokens,
@@ -103,7 +107,7 @@
             GUEST_SECONDS if recomputes else remaining_wait,
             served_tokens=self._service.tokens(now, request.workspace),
         )
-        self._pending[ask.ask_id] = attempt
+        self._pending[ask.permit_id] = attempt
         self._apply_decisions(
             name, self._engines[name].admission.request_permit(now, ask), now
         )
@@ -129,13 +133,13 @@
     def _apply_decisions(
         self,
         name: str,
-        decisions: Iterable[Verdict],
+        decisions: Iterable[AdmissionDecision],
         now: float,
     ) -> None:
         for decision in decisions:
-            attempt = self._pending.pop(decision.ask_id)
+            attempt = self._pending.pop(decision.permit_id)
             if isinstance(decision, Granted):
-                self._granted(name, decision.ask_id, attempt, now)
+                self._granted(name, decision.permit_id, attempt, now)
                 continue
             if attempt.retry_after_seconds is None:
                 attempt.retry_after_seconds = decision.retry_after_seconds
@@ -144,7 +148,7 @@
     def _granted(
         self,
         name: str,
-        ask_id: str,
+        permit_id: str,
         attempt: _Attempt,
         now: float,
     ) -> None:
@@ -155,13 +159,13 @@
         self._service.add(now, request.workspace, tokens)
         self._loads[name].added_tokens += tokens
         self._schedule(
-            prefilled_at, partial(self._first_token, name, ask_id, request)
+            prefilled_at, partial(self._first_token, name, permit_id, request)
         )
 
     def _first_token(
         self,
         name: str,
-        ask_id: str,
+        permit_id: str,
         request: Request,
         now: float,
     ) -> None:
@@ -173,14 +177,14 @@
             outcome.late += 1
         admission = self._engines[name].admission
         self._apply_decisions(
-            name, admission.prefill_finished(now, ask_id), now
+            name, admission.prefill_finished(now, permit_id), now
         )
         end = now + self._shape.run_seconds
-        self._schedule(end, partial(self._ended, name, ask_id))
+        self._schedule(end, partial(self._ended, name, permit_id))
 
-    def _ended(self, name: str, ask_id: str, now: float) -> None:
+    def _ended(self, name: str, permit_id: str, now: float) -> None:
         admission = self._engines[name].admission
-        self._apply_decisions(name, admission.ended(now, ask_id), now)
+        self._apply_decisions(name, admission.ended(now, permit_id), now)
 
     def _tick(self, name: str, now: float) -> None:
         self._apply_decisions(
--- a/src/sardinetrack/emulator/engine.py
+++ b/src/sardinetrack/emulator/engine.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import Final
 
-from sardinetrack.admission.reading import ReadingAdmission
+from sardinetrack.admission.prefill import PrefillAdmission
 from sardinetrack.emulator.load import LoadProfile, Request
 from sardinetrack.placement.home import shared_part
 from sardinetrack.topology.servers import BackendServer
@@ -31,7 +31,7 @@
             shape.slots,
             leaving=False,
         )
-        self.admission = ReadingAdmission(shape.slots, shape.memory_tokens)
+        self.admission = PrefillAdmission(shape.slots, shape.memory_tokens)
         self.free_at_seconds = float(0)
         self.busy_seconds = float(0)
         self.unreported_prefixes: set[str] = set()
--- a/src/sardinetrack/placement/choice.py
+++ b/src/sardinetrack/placement/choice.py
@@ -73,7 +73,7 @@
     """Until the prompt would be prefilled there."""
 
     @property
-    def is_guest(self) -> bool:
+    def recomputes_prefix(self) -> bool:
         """Whether its shared prefix would be computed there once more."""
         return self.recomputed_tokens > 0
 
@@ -152,7 +152,9 @@
     """
     for one in candidates:
         limit_seconds = (
-            MAX_RECOMPUTE_WAIT_SECONDS if one.is_guest else max_wait_seconds
+            MAX_RECOMPUTE_WAIT_SECONDS
+            if one.recomputes_prefix
+            else max_wait_seconds
         )
         if one.wait_seconds <= limit_seconds:
             yield one
@@ -260,7 +262,7 @@
     rank: int,
 ) -> Candidate:
     rate_tokens = load.rate_tokens
-    wait_seconds = load.told_wait_seconds + load.added_tokens / rate_tokens
+    wait_seconds = load.reported_wait_seconds + load.added_tokens / rate_tokens
     cost_seconds = (
         wait_seconds
         + RECOMPUTE_WEIGHT * work.recomputed_tokens / rate_tokens
--- a/src/sardinetrack/placement/load.py
+++ b/src/sardinetrack/placement/load.py
@@ -17,7 +17,7 @@
 class EstimatedLoad:
     """Load of one server: its side's last report, and what was added since."""
 
-    told_wait_seconds: float = 0
+    reported_wait_seconds: float = 0
     """Wait for prefill or a slot, at the time of the report."""
     rate_tokens: float = FIRST_RATE
     """Prompt tokens that it prefills a second."""
@@ -30,7 +30,7 @@
 
     def wait_seconds(self) -> float:
         """Estimate how long a request that is sent now waits."""
-        return self.told_wait_seconds + self.added_tokens / self.rate_tokens
+        return self.reported_wait_seconds + self.added_tokens / self.rate_tokens
 
     def reset(self) -> None:
         """Reset the estimates: the server has restarted and is idle."""
@@ -43,6 +43,6 @@
         rate_tokens: float,
     ) -> None:
         """Apply a load report of the side."""
-        self.told_wait_seconds = wait_seconds
+        self.reported_wait_seconds = wait_seconds
         self.rate_tokens = rate_tokens
         self.added_tokens = 0
--- a/src/sardinetrack/relay/cold_start.py
+++ b/src/sardinetrack/relay/cold_start.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection, Iterable
 
-from sardinetrack.admission.warming import WarmTurns
+from sardinetrack.admission.cold_start import ColdStartLimiter
 from sardinetrack.relay.side_links import INITIAL_ENTRIES, SideLinks
 from sardinetrack.topology.cold import ColdPeriod, ColdServers, ColdWord
 from sardinetrack.topology.configuration import Pool
@@ -31,7 +31,7 @@
         """
         self._sides = sides
         self._servers = ColdServers()
-        self._limiters: dict[str, WarmTurns] = {}
+        self._limiters: dict[str, ColdStartLimiter] = {}
 
     def update(self, servers: Iterable[BackendServer]) -> None:
         """Update the cold periods from the instance list."""
@@ -92,7 +92,7 @@
         if pool.cold_per_second:
             self._limiter(server, pool).granted(loop_now())
 
-    def _limiter(self, server: BackendServer, pool: Pool) -> WarmTurns:
-        limiter = self._limiters.setdefault(server.instance, WarmTurns())
+    def _limiter(self, server: BackendServer, pool: Pool) -> ColdStartLimiter:
+        limiter = self._limiters.setdefault(server.instance, ColdStartLimiter())
         limiter.update_cold_period(self.own_period(server, pool))
         return limiter
--- a/src/sardinetrack/relay/permit.py
+++ b/src/sardinetrack/relay/permit.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 from typing import Final
 
-from sardinetrack.admission.ask import Ask, Granted
+from sardinetrack.admission.request import AdmissionRequest, Granted
 from sardinetrack.placement.choice import Candidate
 from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.relay.fleet import EntryState
@@ -124,7 +124,7 @@
     state: EntryState,
     pool: Pool,
     candidate: Candidate,
-    admission_request: Ask,
+    admission_request: AdmissionRequest,
 ) -> Permit:
     """Wait for a permit for a server.
 
@@ -150,7 +150,7 @@
     local_admission = state.local_admission(candidate.server, pool)
     decision = await local_admission.request_permit(admission_request)
     if isinstance(decision, Granted):
-        return LocalPermit(local_admission, admission_request.ask_id)
+        return LocalPermit(local_admission, admission_request.permit_id)
     raise PermitRefusedError(
         decision.retry_after_seconds, 'local admission is full'
     )
@@ -159,13 +159,13 @@
 async def _request_from_side(
     state: EntryState,
     connection: SideLines,
-    admission_request: Ask,
+    admission_request: AdmissionRequest,
 ) -> Permit | None:
     message = AskTurn(
-        admission_request.ask_id,
+        admission_request.permit_id,
         admission_request.workspace,
         admission_request.prefill_tokens,
-        admission_request.kept_tokens,
+        admission_request.kv_cache_tokens,
         admission_request.output_tokens,
         admission_request.max_wait_seconds,
         admission_request.priority,
@@ -180,7 +180,7 @@
     timeout_seconds = admission_request.max_wait_seconds + _RESPONSE_SECONDS
     response = await connection.request_permit(message, timeout_seconds)
     if isinstance(response, TurnGranted):
-        return SidePermit(connection, admission_request.ask_id)
+        return SidePermit(connection, admission_request.permit_id)
     if isinstance(response, TurnRefused):
         raise PermitRefusedError(
             response.retry_after_seconds,
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/placing.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import Final
 
-from sardinetrack.admission.ask import Ask
+from sardinetrack.admission.request import AdmissionRequest
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.placement.choice import (
     Candidate,
@@ -201,7 +201,7 @@
         self,
         plan: Plan,
         candidate: Candidate,
-        admission_request: Ask,
+        admission_request: AdmissionRequest,
     ) -> Placement:
         permit = await acquire_permit(
             self._state, plan.pool, candidate, admission_request
@@ -210,7 +210,7 @@
         return Placement(candidate, permit)
 
     def _record_permit(
-        self, candidate: Candidate, admission_request: Ask
+        self, candidate: Candidate, admission_request: AdmissionRequest
     ) -> None:
         now = self._loop.time()
         self._state.service.add(
@@ -227,20 +227,23 @@
         plan: Plan,
         candidate: Candidate,
         wait_limit_seconds: float,
-    ) -> Ask:
+    ) -> AdmissionRequest:
         state = self._state
         request_id = self._call.request_id
         number = self._trace.permit_requests
         self._trace.permit_requests += 1
         now = self._loop.time()
-        return Ask(
-            ask_id=f'{request_id}.{number}',
+        return AdmissionRequest(
+            permit_id=f'{request_id}.{number}',
             workspace=plan.workspace_name,
             prefill_tokens=candidate.prefill_tokens,
-            kept_tokens=candidate.prefill_tokens + self._output_tokens(plan),
+            kv_cache_tokens=candidate.prefill_tokens
+            + self._output_tokens(plan),
             output_tokens=self._output_tokens(plan),
             max_wait_seconds=(
-                GUEST_SECONDS if candidate.is_guest else wait_limit_seconds
+                GUEST_SECONDS
+                if candidate.recomputes_prefix
+                else wait_limit_seconds
             ),
             entry=state.settings.instance,
             served_tokens=state.service.tokens(now, plan.workspace_name),
--- a/src/sardinetrack/side/owner.py
+++ b/src/sardinetrack/side/owner.py
@@ -16,11 +16,11 @@
 from anyio.streams.memory import MemoryObjectReceiveStream
 
 from sardinetrack.admission.api import (
-    Announce,
+    AdmissionEffect,
+    BroadcastLoad,
     CancelRequest,
     RefuseRequest,
     SendGrant,
-    SideEffect,
     StartRequest,
 )
 from sardinetrack.charts.drain import DRAIN, DrainEvent, DrainState
@@ -131,7 +131,7 @@
         for effect in effects:
             self._apply_one(now, effect)
 
-    def _apply_one(self, now: float, effect: SideEffect) -> None:
+    def _apply_one(self, now: float, effect: AdmissionEffect) -> None:
         match effect:
             case StartRequest():
                 free = self._state.admission.load().free
@@ -144,7 +144,7 @@
                 self._state.attempts.stop(effect.attempt_id)
             case SendGrant():
                 self._state.grants.send(effect.entry, effect.grant)
-            case Announce():
+            case BroadcastLoad():
                 self._state.load_broadcaster.schedule()
 
     def _broadcast_due_load(self, now: float) -> None:
@@ -165,7 +165,7 @@
         self._drain.fire(DrainEvent.DRAIN)
         self._drain.fire(DrainEvent.SHUT)
         effects = self._state.admission.drain(now)
-        return [*effects, Announce()]
+        return [*effects, BroadcastLoad()]
 
     def _drain_timed_out(self, now: float, event: DrainTimedOut) -> Effects:
         if self._drain.state is DrainState.DRAINING:
--- a/src/sardinetrack/side/owner_state.py
+++ b/src/sardinetrack/side/owner_state.py
@@ -7,7 +7,7 @@
 
 from anyio.streams.memory import MemoryObjectSendStream
 
-from sardinetrack.admission.api import Admission, SideEffect
+from sardinetrack.admission.api import Admission, AdmissionEffect
 from sardinetrack.links.table import LinkTable
 from sardinetrack.side.active_attempts import ActiveAttempts
 from sardinetrack.side.backend_watch import ProbeNow
@@ -21,7 +21,7 @@
 from sardinetrack.side.log import DecisionLog
 from sardinetrack.side.metrics import SideMetrics
 
-Effects = Sequence[SideEffect]
+Effects = Sequence[AdmissionEffect]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/sardinetrack/turns/desk.py
+++ b/src/sardinetrack/turns/desk.py
@@ -6,8 +6,12 @@
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from sardinetrack.admission.ask import Ask, Granted, Verdict
-from sardinetrack.admission.reading import ReadingAdmission
+from sardinetrack.admission.prefill import PrefillAdmission
+from sardinetrack.admission.request import (
+    AdmissionDecision,
+    AdmissionRequest,
+    Granted,
+)
 from sardinetrack.topology.cold import ColdPeriod
 from sardinetrack.turns.clock import loop_now
 
@@ -20,20 +24,22 @@
 
     def __init__(self) -> None:
         """Start with one slot, until the engine's size is known."""
-        self.admission = ReadingAdmission(slots=1, memory_tokens=1)
+        self.admission = PrefillAdmission(slots=1, memory_tokens=1)
         self._timer: asyncio.TimerHandle | None = None
 
     @abstractmethod
-    def deliver(self, decision: Verdict) -> None:
+    def deliver(self, decision: AdmissionDecision) -> None:
         """Deliver a decision to the requester of the permit."""
 
-    def request(self, request: Ask) -> None:
+    def request(self, request: AdmissionRequest) -> None:
         """Request a permit."""
         self._deliver_all(self.admission.request_permit(loop_now(), request))
 
-    def prefill_finished(self, ask_id: str) -> None:
+    def prefill_finished(self, permit_id: str) -> None:
         """Record that the prefill of a request has finished."""
-        self._deliver_all(self.admission.prefill_finished(loop_now(), ask_id))
+        self._deliver_all(
+            self.admission.prefill_finished(loop_now(), permit_id)
+        )
 
     def reset(self) -> None:
         """Release all permits, after a restart of the server."""
@@ -43,7 +49,9 @@
         """Set how long the server's cold start lasts."""
         self._deliver_all(self.admission.set_cold_period(loop_now(), cold))
 
-    def release_permit(self, ask_id: str, *, is_complete: bool = False) -> None:
+    def release_permit(
+        self, permit_id: str, *, is_complete: bool = False
+    ) -> None:
         """Release a permit, or remove a request that still waits for one.
 
         :param is_complete: whether the caller has received the complete
@@ -51,10 +59,10 @@
         """
         now = loop_now()
         self._deliver_all(
-            self.admission.release(now, ask_id, is_complete=is_complete)
+            self.admission.release(now, permit_id, is_complete=is_complete)
         )
 
-    def _deliver_all(self, decisions: Sequence[Verdict]) -> None:
+    def _deliver_all(self, decisions: Sequence[AdmissionDecision]) -> None:
         for decision in decisions:
             self.deliver(decision)
         self._set_timer()
@@ -79,26 +87,26 @@
     def __init__(self) -> None:
         """Start without requests."""
         super().__init__()
-        self._pending: dict[str, asyncio.Future[Verdict]] = {}
+        self._pending: dict[str, asyncio.Future[AdmissionDecision]] = {}
 
-    async def request_permit(self, ask: Ask) -> Verdict:
+    async def request_permit(self, ask: AdmissionRequest) -> AdmissionDecision:
         """Request a permit and wait for the decision."""
         loop = asyncio.get_running_loop()
-        waiting: asyncio.Future[Verdict] = loop.create_future()
-        self._pending[ask.ask_id] = waiting
+        waiting: asyncio.Future[AdmissionDecision] = loop.create_future()
+        self._pending[ask.permit_id] = waiting
         try:
             self.request(ask)
             return await waiting
         except asyncio.CancelledError:
-            self.release_permit(ask.ask_id)
+            self.release_permit(ask.permit_id)
             raise
         finally:
-            self._pending.pop(ask.ask_id, None)
+            self._pending.pop(ask.permit_id, None)
 
-    def deliver(self, decision: Verdict) -> None:
+    def deliver(self, decision: AdmissionDecision) -> None:
         """Resolve the future of a request; release a permit without one."""
-        waiting = self._pending.get(decision.ask_id)
+        waiting = self._pending.get(decision.permit_id)
         if waiting is not None and not waiting.done():
             waiting.set_result(decision)
         elif isinstance(decision, Granted):
-            self.release_permit(decision.ask_id)
+            self.release_permit(decision.permit_id)
--- a/src/sardinetrack/turns/entry.py
+++ b/src/sardinetrack/turns/entry.py
@@ -186,7 +186,7 @@
         prefix_index.set_retention(self._ip, message.retention_seconds)
 
     def _resolve(self, message: TurnGranted | TurnRefused) -> None:
-        waiting = self._pending.pop(message.ask_id, None)
+        waiting = self._pending.pop(message.permit_id, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(message)
 
@@ -201,32 +201,32 @@
         """
         loop = asyncio.get_running_loop()
         waiting: asyncio.Future[PermitResponse] = loop.create_future()
-        self._pending[ask.ask_id] = waiting
+        self._pending[ask.permit_id] = waiting
         self.send(ask)
         timer = loop.call_later(timeout_seconds, _give_up, waiting)
         try:
             response = await waiting
         except asyncio.CancelledError:
-            self.send(Ended(ask.ask_id))
+            self.send(Ended(ask.permit_id))
             raise
         finally:
             timer.cancel()
-            self._pending.pop(ask.ask_id, None)
+            self._pending.pop(ask.permit_id, None)
         if response is None:
-            self.send(Ended(ask.ask_id))
+            self.send(Ended(ask.permit_id))
         return response
 
-    def begun(self, ask_id: str) -> None:
+    def begun(self, permit_id: str) -> None:
         """Report that the first event of the response has arrived."""
-        self.send(Begun(ask_id))
+        self.send(Begun(permit_id))
 
-    def ended(self, ask_id: str, *, is_complete: bool = False) -> None:
+    def ended(self, permit_id: str, *, is_complete: bool = False) -> None:
         """Release the permit.
 
         :param is_complete: whether the caller has received the complete
             response.
         """
-        self.send(Ended(ask_id, is_complete))
+        self.send(Ended(permit_id, is_complete))
 
 
 class SideLink(Neighbour):
--- a/src/sardinetrack/turns/entry_connection.py
+++ b/src/sardinetrack/turns/entry_connection.py
@@ -54,14 +54,14 @@
         message = DECODE_FROM_ENTRY(line)
         match message:
             case AskTurn():
-                self.permit_ids.add(message.ask_id)
+                self.permit_ids.add(message.permit_id)
                 self._side.handle_request(self, message)
             case Begun():
-                self._side.prefill_finished(message.ask_id)
+                self._side.prefill_finished(message.permit_id)
             case Ended():
-                self.permit_ids.discard(message.ask_id)
+                self.permit_ids.discard(message.permit_id)
                 self._side.handle_end(
-                    message.ask_id, is_complete=message.complete
+                    message.permit_id, is_complete=message.complete
                 )
             case Hello():
                 self.entry = message.entry
--- a/src/sardinetrack/turns/messages.py
+++ b/src/sardinetrack/turns/messages.py
@@ -30,10 +30,10 @@
 class AskTurn(msgspec.Struct, tag='ask', array_like=True, frozen=True):
     """Request for a permit to send one request to the server."""
 
-    ask_id: str
+    permit_id: str
     workspace: str
     prefill_tokens: int
-    kept_tokens: int
+    kv_cache_tokens: int
     output_tokens: int
     max_wait_seconds: float
     priority: int
@@ -60,13 +60,13 @@
 class Begun(msgspec.Struct, tag='begun', array_like=True, frozen=True):
     """The first event of a request's response has arrived."""
 
-    ask_id: str
+    permit_id: str
 
 
 class Ended(msgspec.Struct, tag='ended', array_like=True, frozen=True):
     """A request has ended, or its caller disconnected while it waited."""
 
-    ask_id: str
+    permit_id: str
     complete: bool = False
     """Whether its caller has received the complete response."""
 
@@ -90,13 +90,13 @@
 class TurnGranted(msgspec.Struct, tag='granted', array_like=True, frozen=True):
     """Permit to send the request now."""
 
-    ask_id: str
+    permit_id: str
 
 
 class TurnRefused(msgspec.Struct, tag='refused', array_like=True, frozen=True):
     """Refusal: the request can't be served in time."""
 
-    ask_id: str
+    permit_id: str
     retry_after_seconds: float
     waited_seconds: float
     ahead_tokens: int
--- a/src/sardinetrack/turns/side.py
+++ b/src/sardinetrack/turns/side.py
@@ -8,7 +8,11 @@
 from types import TracebackType
 from typing import Final, Self
 
-from sardinetrack.admission.ask import Ask, Granted, Verdict
+from sardinetrack.admission.request import (
+    AdmissionDecision,
+    AdmissionRequest,
+    Granted,
+)
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.placement.holdings import MOST_HOLD_SECONDS
 from sardinetrack.routing.strikes import StrikeBook
@@ -192,25 +196,25 @@
             entry=entry.entry,
             requests=len(entry.permit_ids),
         )
-        for ask_id in entry.permit_ids:
-            self.handle_end(ask_id)
+        for permit_id in entry.permit_ids:
+            self.handle_end(permit_id)
 
     def handle_request(self, entry: EntryConnection, message: AskTurn) -> None:
         """Handle an entry's request for a permit."""
-        self._owners[message.ask_id] = entry
+        self._owners[message.permit_id] = entry
         now = loop_now()
-        self._requests[message.ask_id] = message
+        self._requests[message.permit_id] = message
         self.admission.update_served_tokens(
             now, entry.entry, message.other_workspaces
         )
         # What another side reported is subtracted from the due time already.
         returned_seconds = self._returned_seconds(now, message)
         more_seconds = max(0, returned_seconds - message.since_refusal_seconds)
-        request = Ask(
-            message.ask_id,
+        request = AdmissionRequest(
+            message.permit_id,
             message.workspace,
             message.prefill_tokens,
-            message.kept_tokens,
+            message.kv_cache_tokens,
             message.output_tokens,
             message.max_wait_seconds,
             message.priority,
@@ -227,39 +231,39 @@
             return 0
         return self._refused.waited_seconds(now, message.fingerprint)
 
-    def handle_end(self, ask_id: str, *, is_complete: bool = False) -> None:
+    def handle_end(self, permit_id: str, *, is_complete: bool = False) -> None:
         """Release a permit, or remove a request that still waits for one.
 
         :param is_complete: whether the caller has received the complete
             response.
         """
-        self._owners.pop(ask_id, None)
-        self._requests.pop(ask_id, None)
-        self.release_permit(ask_id, is_complete=is_complete)
+        self._owners.pop(permit_id, None)
+        self._requests.pop(permit_id, None)
+        self.release_permit(permit_id, is_complete=is_complete)
 
-    def deliver(self, decision: Verdict) -> None:
+    def deliver(self, decision: AdmissionDecision) -> None:
         """Send a decision to the entry that requested the permit."""
-        owner = self._owners.get(decision.ask_id)
+        owner = self._owners.get(decision.permit_id)
         if owner is None:
-            self.release_permit(decision.ask_id)
+            self.release_permit(decision.permit_id)
         else:
             self._send_decision(owner, decision)
 
     def _send_decision(
         self,
         owner: EntryConnection,
-        decision: Verdict,
+        decision: AdmissionDecision,
     ) -> None:
-        message = self._requests.pop(decision.ask_id)
+        message = self._requests.pop(decision.permit_id)
         self.verdicts[type(decision).__name__.lower()] += 1
         if isinstance(decision, Granted):
             self.engine_starts.record_permit(loop_now())
             if message.shared_prefix:
                 self._new_prefixes.add(message.shared_prefix)
-            owner.send(TurnGranted(decision.ask_id))
+            owner.send(TurnGranted(decision.permit_id))
             return
-        self._owners.pop(decision.ask_id, None)
-        owner.permit_ids.discard(decision.ask_id)
+        self._owners.pop(decision.permit_id, None)
+        owner.permit_ids.discard(decision.permit_id)
         now = loop_now()
         returned_seconds = self._returned_seconds(now, message)
         if message.fingerprint:
@@ -267,7 +271,7 @@
             self._refused.record(requested_seconds, message.fingerprint)
         owner.send(
             TurnRefused(
-                decision.ask_id,
+                decision.permit_id,
                 round(decision.retry_after_seconds, _DIGITS),
                 round(decision.waited_seconds, _DIGITS),
                 decision.ahead_tokens,
@@ -276,7 +280,7 @@
         )
         self._log.write(
             Event.REFUSED,
-            request=decision.ask_id,
+            request=decision.permit_id,
             entry=owner.entry,
             waited_seconds=round(decision.waited_seconds, _DIGITS),
             returned_seconds=round(returned_seconds, _DIGITS),
--- a/src/sardinetrack/turns/usage_log.py
+++ b/src/sardinetrack/turns/usage_log.py
@@ -5,8 +5,8 @@
 from collections import defaultdict
 from typing import Final
 
-from sardinetrack.admission.reading import ReadingAdmission
-from sardinetrack.admission.usage import EngineUse, Usage
+from sardinetrack.admission.prefill import PrefillAdmission
+from sardinetrack.admission.usage import EngineActivity, EngineUsage
 from sardinetrack.logs.events import Event, EventLog
 
 USAGE_SECONDS: Final = 2.0
@@ -22,12 +22,12 @@
 
         :param log: receives the lines.
         """
-        self.seconds: defaultdict[EngineUse, float] = defaultdict(float)
+        self.seconds: defaultdict[EngineActivity, float] = defaultdict(float)
         """Total since the start of this process, by use."""
         self._log = log
         self._logged_seconds = float(0)
 
-    def log_if_due(self, now: float, admission: ReadingAdmission) -> None:
+    def log_if_due(self, now: float, admission: PrefillAdmission) -> None:
         """Write a line if one is due and permits were requested."""
         span_seconds = now - self._logged_seconds
         if span_seconds < USAGE_SECONDS:
@@ -43,8 +43,8 @@
     def _write(
         self,
         span_seconds: float,
-        usage: Usage,
-        admission: ReadingAdmission,
+        usage: EngineUsage,
+        admission: PrefillAdmission,
     ) -> None:
         begun = max(1, usage.begun)
         self._log.write(
--- a/tests/admission/engine.py
+++ b/tests/admission/engine.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from sardinetrack.admission.ask import Ask, Granted, Refused
 from sardinetrack.admission.pace import INITIAL_RATE_TOKENS
-from sardinetrack.admission.reading import ReadingAdmission
+from sardinetrack.admission.prefill import PrefillAdmission
+from sardinetrack.admission.request import AdmissionRequest, Granted, Refused
 
 MAX_WAIT_SECONDS = 0.4
 MEMORY_TOKENS = 100_000
@@ -15,7 +15,7 @@
 
     def __init__(self, slots):
         self.now = float(0)
-        self.admission = ReadingAdmission(slots, MEMORY_TOKENS)
+        self.admission = PrefillAdmission(slots, MEMORY_TOKENS)
         self.requests = {}
         self.granted = []
         self.refused = {}
@@ -24,25 +24,25 @@
     def request(self, workspace, tokens, **more):
         name = f'{workspace}.{len(self.requests)}'
         fields = {
-            'kept_tokens': 100,
+            'kv_cache_tokens': 100,
             'output_tokens': 50,
             'max_wait_seconds': MAX_WAIT_SECONDS,
             **more,
         }
-        request = Ask(name, workspace, tokens, **fields)
+        request = AdmissionRequest(name, workspace, tokens, **fields)
         self.requests[name] = request
         self.apply(self.admission.request_permit(self.now, request))
 
     def apply(self, decisions):
         for decision in decisions:
-            assert decision.ask_id not in self.refused
-            assert decision.ask_id not in self.granted
+            assert decision.permit_id not in self.refused
+            assert decision.permit_id not in self.granted
             if isinstance(decision, Granted):
-                self.granted.append(decision.ask_id)
-                self.pending.append(decision.ask_id)
+                self.granted.append(decision.permit_id)
+                self.pending.append(decision.permit_id)
             else:
                 assert isinstance(decision, Refused)
-                self.refused[decision.ask_id] = decision
+                self.refused[decision.permit_id] = decision
 
     def prefill_one(self, rate=INITIAL_RATE_TOKENS):
         name = self.pending.pop(0)
--- a/tests/admission/spread.py
+++ b/tests/admission/spread.py
@@ -19,8 +19,12 @@
 from itertools import count
 from typing import Final
 
-from sardinetrack.admission.ask import Ask, Granted, Verdict
-from sardinetrack.admission.reading import ReadingAdmission
+from sardinetrack.admission.prefill import PrefillAdmission
+from sardinetrack.admission.request import (
+    AdmissionDecision,
+    AdmissionRequest,
+    Granted,
+)
 from sardinetrack.fairness.news import ServiceNews
 from sardinetrack.fairness.recent import RecentService
 
@@ -77,7 +81,7 @@
         self._numbers = count()
         self._events: list[tuple[float, int, Action]] = []
         self._entries = [Entry(one, max_reported) for one in range(ENTRIES)]
-        self._sides = [ReadingAdmission(64, 4_000_000) for _ in range(ENGINES)]
+        self._sides = [PrefillAdmission(64, 4_000_000) for _ in range(ENGINES)]
         self._free_seconds = [float(0) for _ in range(ENGINES)]
         self._requested: dict[str, Request] = {}
         self._due_seconds = [math.inf for _ in range(ENGINES)]
@@ -126,17 +130,17 @@
 
     def _request(self, now: float, request: Request, engine: int) -> None:
         entry = self._entries[request.entry]
-        permit_request = Ask(
-            ask_id=f'{next(self._numbers)}',
+        permit_request = AdmissionRequest(
+            permit_id=f'{next(self._numbers)}',
             workspace=request.workspace,
             prefill_tokens=request.tokens,
-            kept_tokens=request.tokens,
+            kv_cache_tokens=request.tokens,
             output_tokens=0,
             max_wait_seconds=MAX_WAIT_SECONDS,
             entry=entry.name,
             served_tokens=entry.service.tokens(now, request.workspace),
         )
-        self._requested[permit_request.ask_id] = request
+        self._requested[permit_request.permit_id] = request
         side = self._sides[engine]
         served = entry.updates[engine].rows(now, entry.service)
         side.update_served_tokens(now, entry.name, served)
@@ -146,12 +150,12 @@
         self,
         now: float,
         engine: int,
-        decisions: Sequence[Verdict],
+        decisions: Sequence[AdmissionDecision],
     ) -> None:
         for decision in decisions:
-            request = self._requested[decision.ask_id]
+            request = self._requested[decision.permit_id]
             if isinstance(decision, Granted):
-                self._grant(now, engine, decision.ask_id, request)
+                self._grant(now, engine, decision.permit_id, request)
         side = self._sides[engine]
         due = side.next_deadline_seconds(now)
         if due is not None and due < self._due_seconds[engine]:
@@ -166,7 +170,7 @@
         self,
         now: float,
         engine: int,
-        ask_id: str,
+        permit_id: str,
         request: Request,
     ) -> None:
         entry = self._entries[request.entry]
@@ -176,14 +180,16 @@
         begins = max(now, self._free_seconds[engine])
         prefilled = begins + request.tokens / RATE_TOKENS
         self._free_seconds[engine] = prefilled
-        self._at(prefilled + LAG_SECONDS, partial(self._begun, engine, ask_id))
+        self._at(
+            prefilled + LAG_SECONDS, partial(self._begun, engine, permit_id)
+        )
         ends = prefilled + LAG_SECONDS + ANSWER_SECONDS
-        self._at(ends, partial(self._ended, engine, ask_id))
+        self._at(ends, partial(self._ended, engine, permit_id))
 
-    def _begun(self, engine: int, ask_id: str, now: float) -> None:
+    def _begun(self, engine: int, permit_id: str, now: float) -> None:
         side = self._sides[engine]
-        self._carry_out(now, engine, side.prefill_finished(now, ask_id))
+        self._carry_out(now, engine, side.prefill_finished(now, permit_id))
 
-    def _ended(self, engine: int, ask_id: str, now: float) -> None:
+    def _ended(self, engine: int, permit_id: str, now: float) -> None:
         side = self._sides[engine]
-        self._carry_out(now, engine, side.ended(now, ask_id))
+        self._carry_out(now, engine, side.ended(now, permit_id))
--- a/tests/admission/steps/book_steps.py
+++ b/tests/admission/steps/book_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from sardinetrack.admission.book import AttemptEvent, AttemptRegistry
+from sardinetrack.admission.attempts import AttemptEvent, AttemptRegistry
 
 _EVENTS = (AttemptEvent.ARRIVE, AttemptEvent.START, AttemptEvent.FINISH)
 
--- a/tests/admission/steps/reading_steps.py
+++ b/tests/admission/steps/reading_steps.py
@@ -11,7 +11,7 @@
 from engine import Engine
 
 from sardinetrack.admission.pace import INITIAL_RATE_TOKENS
-from sardinetrack.admission.usage import EngineUse
+from sardinetrack.admission.usage import EngineActivity
 
 
 @given('an engine of {slots:d} slot')
@@ -70,7 +70,9 @@
 )
 def request_long(context, workspace, count, tokens, output):
     for _ in range(count):
-        context.engine.request(workspace, tokens, kept_tokens=tokens + output)
+        context.engine.request(
+            workspace, tokens, kv_cache_tokens=tokens + output
+        )
 
 
 @when('{count:d} responses have each occupied a slot for {seconds:g} seconds')
@@ -236,8 +238,8 @@
     engine = context.engine
     usage = engine.admission.usage
     assert usage.granted == count, usage
-    assert usage.seconds[EngineUse.FULL] > 0, usage
-    assert usage.seconds[EngineUse.PREFILLING] > 0, usage
+    assert usage.seconds[EngineActivity.FULL] > 0, usage
+    assert usage.seconds[EngineActivity.PREFILLING] > 0, usage
 
 
 @step(
@@ -245,7 +247,7 @@
     'stay in the KV cache',
 )
 def request_staying(context, workspace, tokens):
-    context.engine.request(workspace, tokens, kept_tokens=tokens)
+    context.engine.request(workspace, tokens, kv_cache_tokens=tokens)
     while context.engine.pending:
         context.engine.run_one()
 
--- a/tests/admission/steps/slots_steps.py
+++ b/tests/admission/steps/slots_steps.py
@@ -5,8 +5,8 @@
 from behave import given, step, then, when
 
 from sardinetrack.admission.api import (
-    Announce,
     Arrival,
+    BroadcastLoad,
     RefusalReason,
     RefuseRequest,
     SendGrant,
@@ -106,4 +106,4 @@
 
 @then('the load is announced immediately')
 def announced(context):
-    assert Announce() in context.effects, context.effects
+    assert BroadcastLoad() in context.effects, context.effects
--- a/tests/admission/writing.py
+++ b/tests/admission/writing.py
@@ -8,9 +8,9 @@
 
 import random
 
-from sardinetrack.admission.ask import Ask, Granted
 from sardinetrack.admission.batch import MAX_SLOTS_FRACTION
-from sardinetrack.admission.reading import ReadingAdmission
+from sardinetrack.admission.prefill import PrefillAdmission
+from sardinetrack.admission.request import AdmissionRequest, Granted
 
 DEADLINE_SECONDS = 12.0
 OBJECTIVE_SECONDS = 1.0
@@ -26,8 +26,8 @@
 class Response:
     """A response that has been requested."""
 
-    def __init__(self, ask_id, length, estimate, requested_seconds):
-        self.ask_id = ask_id
+    def __init__(self, permit_id, length, estimate, requested_seconds):
+        self.permit_id = permit_id
         self.length = length
         self.estimate = estimate
         self.requested_seconds = requested_seconds
@@ -42,7 +42,7 @@
         self.now = float(0)
         self.complete = 0
         self.truncated = 0
-        self._admission = ReadingAdmission(slots, 10_000_000)
+        self._admission = PrefillAdmission(slots, 10_000_000)
         self._limited = limited
         self._median_tokens = median_tokens
         self._requested = {}
@@ -69,7 +69,7 @@
         estimate = max(1, int(length * error))
         name = f'a{len(self._requested)}'
         self._requested[name] = Response(name, length, estimate, self.now)
-        request = Ask(
+        request = AdmissionRequest(
             name,
             'crowd',
             _PROMPT_TOKENS,
@@ -84,7 +84,7 @@
     def _apply(self, decisions):
         for decision in decisions:
             if isinstance(decision, Granted):
-                self._running.append(self._requested[decision.ask_id])
+                self._running.append(self._requested[decision.permit_id])
 
     def _step(self):
         if not self._limited:
@@ -93,8 +93,8 @@
         decoding = [one for one in self._running if not one.pending_tokens]
         self.now += _STEP_SECONDS + len(decoding) * _RESPONSE_SECONDS
         self.now += prefilled_tokens / _PREFILL_TOKENS_A_SECOND
-        for ask_id in prefilled:
-            self._apply(self._admission.prefill_finished(self.now, ask_id))
+        for permit_id in prefilled:
+            self._apply(self._admission.prefill_finished(self.now, permit_id))
         for response in decoding:
             response.tokens += 1
             self._finish(response)
@@ -110,7 +110,7 @@
                 response.pending_tokens -= tokens
                 left -= tokens
                 if not response.pending_tokens:
-                    prefilled.append(response.ask_id)
+                    prefilled.append(response.permit_id)
         return _CHUNK_TOKENS - left, prefilled
 
     def _finish(self, one):
@@ -122,5 +122,7 @@
         self.truncated += not complete
         self._running.remove(one)
         self._apply(
-            self._admission.ended(self.now, one.ask_id, is_complete=complete),
+            self._admission.ended(
+                self.now, one.permit_id, is_complete=complete
+            ),
         )
--- a/tests/fairness/steps/textbook_steps.py
+++ b/tests/fairness/steps/textbook_steps.py
@@ -17,8 +17,8 @@
 from hypothesis import strategies as st
 
 from sardinetrack.admission.api import (
-    Announce,
     Arrival,
+    BroadcastLoad,
     SendGrant,
     StartRequest,
 )
@@ -83,7 +83,7 @@
             elif isinstance(effect, SendGrant):
                 grant = effect.grant
                 self.from_entry(self.entry.grant(self.now, 's', grant))
-            elif isinstance(effect, Announce):
+            elif isinstance(effect, BroadcastLoad):
                 load = self.side.load()
                 self.from_entry(
                     self.entry.update_side_load(self.now, 's', load)
--- a/tests/placement/steps/choice_steps.py
+++ b/tests/placement/steps/choice_steps.py
@@ -88,7 +88,7 @@
 @when('the home server has {seconds:g} seconds of prefill left')
 def load_home(context, seconds):
     context.home = _best(context, _prompt('hot'))
-    context.loads[context.home].told_wait_seconds = seconds
+    context.loads[context.home].reported_wait_seconds = seconds
 
 
 @when('the home server has no free slot for {seconds:g} seconds')
@@ -172,7 +172,7 @@
     order = by_prompt(prompt, context.servers, context.loads)
     context.caching = [one.server for one in order[:2]]
     for busy in context.caching:
-        context.loads[busy.instance].told_wait_seconds = seconds
+        context.loads[busy.instance].reported_wait_seconds = seconds
     ips = {one.ip for one in context.caching}
     context.found = by_prompt(prompt, context.servers, context.loads, ips)
 
@@ -224,14 +224,14 @@
 
 @then('no server counts as computing its prefix again')
 def recomputed_nowhere(context):
-    assert not any(one.is_guest for one in context.found)
+    assert not any(one.recomputes_prefix for one in context.found)
 
 
 @then('all servers except its home server compute its prefix again')
 def recomputed_elsewhere(context):
     home, *others = context.found
-    assert not home.is_guest
-    assert all(one.is_guest for one in others)
+    assert not home.recomputes_prefix
+    assert all(one.recomputes_prefix for one in others)
 
 
 @when('the only server that caches a prefix is not among the servers')
--- a/tests/relay/steps/evacuation_steps.py
+++ b/tests/relay/steps/evacuation_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from tests.support.relay_world import RelayWorld, close_world
 
-from sardinetrack.admission.ask import Ask, Granted
+from sardinetrack.admission.request import AdmissionRequest, Granted
 from sardinetrack.relay.followers import EvacuationsFollower
 from sardinetrack.store.api import Listing, StoredObject
 from sardinetrack.topology.freshness import boot_clock
@@ -242,7 +242,7 @@
             return 0
         local_admission = state.local_admission(server, pool)
         admission_requests = [
-            Ask(f'a{one}', 'pilots', 10, 20, 10, 0.1)
+            AdmissionRequest(f'a{one}', 'pilots', 10, 20, 10, 0.1)
             for one in range(requested)
         ]
         decisions = await asyncio.gather(
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -67,7 +67,7 @@
             )
         ),
         entry_state.server_states.breaker(server).state is BreakerState.OPEN,
-        load.rate_tokens == _RATE and load.told_wait_seconds == 3,
+        load.rate_tokens == _RATE and load.reported_wait_seconds == 3,
         entry_state.connections.connections(server.address) == 1,
     )
 
@@ -76,7 +76,7 @@
 def has_no_state(context):
     assert not any(_states(context)), _states(context)
     load = context.world.entry_state.server_states.load(_first(context))
-    assert (load.rate_tokens, load.told_wait_seconds) == (FIRST_RATE, 0)
+    assert (load.rate_tokens, load.reported_wait_seconds) == (FIRST_RATE, 0)
 
 
 @then('the entry has kept its state of the server')
--- a/tests/side/side_fakes.py
+++ b/tests/side/side_fakes.py
@@ -8,13 +8,13 @@
 
 from sardinetrack.admission.api import (
     Admission,
-    Announce,
+    AdmissionEffect,
     Arrival,
+    BroadcastLoad,
     CancelRequest,
     RefusalReason,
     RefuseRequest,
     SendGrant,
-    SideEffect,
     StartRequest,
 )
 from sardinetrack.catalogue.api import Pool
@@ -48,7 +48,7 @@
         """Count running attempts."""
         return list(self.fates.values()).count(Fate.RUNNING)
 
-    def arrive(self, now: float, arrival: Arrival) -> Sequence[SideEffect]:
+    def arrive(self, now: float, arrival: Arrival) -> Sequence[AdmissionEffect]:
         """Start the request if a slot is free."""
         self.arrivals.append(arrival)
         known = self.fates.get(arrival.attempt_id)
@@ -67,25 +67,25 @@
         if self.running >= self.limit:
             return [RefuseRequest(arrival.attempt_id, RefusalReason.BUSY)]
         self.fates[arrival.attempt_id] = Fate.RUNNING
-        return [StartRequest(arrival.attempt_id), Announce()]
+        return [StartRequest(arrival.attempt_id), BroadcastLoad()]
 
     def update_bids(
         self, now: float, entry: str, bids: Bids
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Grant number 7 for any bids."""
         self.calls.append(f'bids {entry}')
         return [SendGrant(entry, Grant(7, valid_seconds=1))]
 
     def decline(
         self, now: float, entry: str, number: int
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Record the call."""
         self.calls.append(f'decline {entry} {number}')
         return ()
 
     def entry_disconnected(
         self, now: float, entry: str
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Record the call."""
         self.calls.append(f'lost {entry}')
         return ()
@@ -98,32 +98,32 @@
         is_complete: bool,
         cost: float,
         stopped: bool = False,
-    ) -> Sequence[SideEffect]:
+    ) -> Sequence[AdmissionEffect]:
         """Record the end."""
         fate = Fate.STOPPED if stopped else Fate.FAILED
         self.fates[attempt_id] = Fate.FINISHED if is_complete else fate
         self.ends.append(AttemptEnded(attempt_id, is_complete, cost))
-        return [Announce()]
+        return [BroadcastLoad()]
 
     def resolve_status(
         self, now: float, attempt_id: str, *, cancel: bool
-    ) -> tuple[Fate, Sequence[SideEffect]]:
+    ) -> tuple[Fate, Sequence[AdmissionEffect]]:
         """Return the fate; an unknown attempt never starts."""
         fate = self.fates.setdefault(attempt_id, Fate.NOT_STARTED)
         stop = cancel and fate is Fate.RUNNING
         return fate, [CancelRequest(attempt_id)] if stop else []
 
-    def resize(self, now: float, limit: int) -> Sequence[SideEffect]:
+    def resize(self, now: float, limit: int) -> Sequence[AdmissionEffect]:
         """Change the number of slots."""
         self.limit = limit
-        return [Announce()]
+        return [BroadcastLoad()]
 
-    def drain(self, now: float) -> Sequence[SideEffect]:
+    def drain(self, now: float) -> Sequence[AdmissionEffect]:
         """Refuse from now on."""
         self.draining = True
         return ()
 
-    def tick(self, now: float) -> Sequence[SideEffect]:
+    def tick(self, now: float) -> Sequence[AdmissionEffect]:
         """Do nothing."""
         return ()
 
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -86,7 +86,7 @@
             others,
         )
         task = asyncio.ensure_future(self.connection.request_permit(request, 3))
-        self.requests.append((request.ask_id, task))
+        self.requests.append((request.permit_id, task))
         return task
 
 
@@ -568,7 +568,7 @@
     ' and reports a refusal {known:g} seconds ago is not late',
 )
 def still_in_time(context, caller, due, known):
-    assert not _handled(context, caller, due, known).is_late
+    assert not _handled(context, caller, due, known).is_past_objective
 
 
 @then(
@@ -576,4 +576,4 @@
     ' and reports no refusal is late',
 )
 def late_by_side(context, caller, due):
-    assert _handled(context, caller, due, 0).is_late
+    assert _handled(context, caller, due, 0).is_past_objective
