--- a/src/sardinetrack/admission/order.py
+++ b/src/sardinetrack/admission/order.py
@@ -8,7 +8,7 @@
 
 from sardinetrack.admission.request import AdmissionRequest
 from sardinetrack.admission.waiting import WaitQueue, tokens_of
-from sardinetrack.fairness.recent import FleetService
+from sardinetrack.fairness.decaying_service import FleetService
 
 JOIN_FRACTION: Final = 0.9
 """A workspace that joins starts from this fraction of the largest service
--- a/src/sardinetrack/admission/running.py
+++ b/src/sardinetrack/admission/running.py
@@ -9,7 +9,10 @@
 from sardinetrack.admission.batch import BatchLimit
 from sardinetrack.admission.request import AdmissionRequest
 from sardinetrack.admission.slot_occupancy import SlotOccupancy
-from sardinetrack.fairness.recent import HALF_LIFE_SECONDS, RecentService
+from sardinetrack.fairness.decaying_service import (
+    HALF_LIFE_SECONDS,
+    DecayingService,
+)
 
 MEMORY_FRACTION: Final = 0.72
 """Fraction of an engine's KV cache for the own tokens of requests.
@@ -43,7 +46,7 @@
         """
         self.batch = BatchLimit()
         self._occupancy = SlotOccupancy()
-        self._turnover = RecentService[str]()
+        self._turnover = DecayingService[str]()
         self._running: dict[str, RunningRequest] = {}
         self._kv_cache_tokens = 0
         self.resize(slots, memory_tokens)
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -16,7 +16,7 @@
 from sardinetrack.emulator.api import Outcome, PlacementPolicy
 from sardinetrack.emulator.engine import Engine
 from sardinetrack.emulator.load import LoadProfile, Request
-from sardinetrack.fairness.recent import RecentService
+from sardinetrack.fairness.decaying_service import DecayingService
 from sardinetrack.placement.choice import Candidate, by_prompt, with_room
 from sardinetrack.placement.holdings import Holdings
 from sardinetrack.placement.home import shared_part
@@ -45,7 +45,7 @@
         self._policy = policy
         self._sequence_numbers = count()
         self._events: list[tuple[float, int, Action]] = []
-        self._service = RecentService[str]()
+        self._service = DecayingService[str]()
         self._holdings = Holdings()
         self._pending: dict[str, _Attempt] = {}
         engines = [Engine(one, shape) for one in range(shape.engines)]
--- a/src/sardinetrack/fairness/recent.py
+++ b/src/sardinetrack/fairness/decaying_service.py
@@ -26,7 +26,7 @@
     """Number of the change that made it; later ones are greater."""
 
 
-class RecentService(Generic[Name]):
+class DecayingService(Generic[Name]):
     """Service by name; each count decays by half every four seconds."""
 
     def __init__(self) -> None:
@@ -97,9 +97,9 @@
     """
 
     def __init__(self) -> None:
-        self._by_entry = RecentService[tuple[str, str]]()
+        self._by_entry = DecayingService[tuple[str, str]]()
         # All counts decay alike: the decayed sum is the sum of decayed counts.
-        self._sums = RecentService[str]()
+        self._sums = DecayingService[str]()
 
     def update(
         self,
--- a/src/sardinetrack/fairness/news.py
+++ b/src/sardinetrack/fairness/service_updates.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from sardinetrack.fairness.recent import RecentService
+from sardinetrack.fairness.decaying_service import DecayingService
 
 MAX_REPORTED_WORKSPACES: Final = 8
 """Workspaces reported with a permit request; some 200 bytes.
@@ -18,7 +18,7 @@
 """
 
 
-class ServiceNews:
+class ServiceUpdates:
     """Workspaces served by an entry since its last update to one side."""
 
     def __init__(self, maximum: int = MAX_REPORTED_WORKSPACES) -> None:
@@ -32,7 +32,7 @@
     def rows(
         self,
         now: float,
-        service: RecentService[str],
+        service: DecayingService[str],
     ) -> tuple[tuple[str, int], ...]:
         """Return the rows that changed since the last call.
 
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.fairness.recent import RecentService
+from sardinetrack.fairness.decaying_service import DecayingService
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.placement.holdings import Holdings
 from sardinetrack.relay.crashes import CrashWatch
@@ -53,7 +53,7 @@
         self.freshness = Freshness(settings.revoke_seconds)
         self.servers = ServerList()
         self.connections = ServerPool()
-        self.service = RecentService[str]()
+        self.service = DecayingService[str]()
         self.holdings = Holdings()
         self.meters = Meters()
         self.crashes = CrashWatch()
--- a/src/sardinetrack/turns/entry.py
+++ b/src/sardinetrack/turns/entry.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from sardinetrack.fairness.news import ServiceNews
+from sardinetrack.fairness.service_updates import ServiceUpdates
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.messages.api import Strike
 from sardinetrack.placement.holdings import Holdings
@@ -116,7 +116,7 @@
         self.received_seconds = float(0)
         """When the last message arrived, by the clock of the event loop."""
         self.closed = asyncio.Event()
-        self.service_updates = ServiceNews()
+        self.service_updates = ServiceUpdates()
         self._hello = hello
         self._ip = ip
         self._state = state
--- a/tests/admission/spread.py
+++ b/tests/admission/spread.py
@@ -25,8 +25,8 @@
     AdmissionRequest,
     Granted,
 )
-from sardinetrack.fairness.news import ServiceNews
-from sardinetrack.fairness.recent import RecentService
+from sardinetrack.fairness.decaying_service import DecayingService
+from sardinetrack.fairness.service_updates import ServiceUpdates
 
 ENTRIES: Final = 20
 ENGINES: Final = 40
@@ -64,8 +64,8 @@
 
     def __init__(self, number: int, max_reported: int) -> None:
         self.name = f'entry-{number}'
-        self.service = RecentService[str]()
-        self.updates = [ServiceNews(max_reported) for _ in range(ENGINES)]
+        self.service = DecayingService[str]()
+        self.updates = [ServiceUpdates(max_reported) for _ in range(ENGINES)]
 
 
 class Fleet:
--- a/tests/admission/steps/spread_steps.py
+++ b/tests/admission/steps/spread_steps.py
@@ -13,7 +13,7 @@
     Fleet,
 )
 
-from sardinetrack.fairness.news import MAX_REPORTED_WORKSPACES
+from sardinetrack.fairness.service_updates import MAX_REPORTED_WORKSPACES
 
 
 @when('entries report as many other workspaces as the product does')
--- a/tests/fairness/steps/recent_steps.py
+++ b/tests/fairness/steps/recent_steps.py
@@ -10,10 +10,10 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from sardinetrack.fairness.recent import (
+from sardinetrack.fairness.decaying_service import (
     HALF_LIFE_SECONDS,
+    DecayingService,
     FleetService,
-    RecentService,
 )
 
 ENTRIES = ('a', 'b', 'c')
@@ -104,7 +104,7 @@
     '{count:d} names are served, and {seconds:d} seconds later {more:d} others'
 )
 def when_many(context, count, seconds, more):
-    context.service = RecentService[int]()
+    context.service = DecayingService[int]()
     for name in range(count):
         context.service.add(0, name, 100)
     for name in range(more):
@@ -120,7 +120,7 @@
 
 @given('{count:d} names that were served just now')
 def given_served(context, count):
-    context.service = RecentService[int]()
+    context.service = DecayingService[int]()
     for name in range(count):
         context.service.add(0, name, 1000)
     context.count = count
