--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -14,9 +14,9 @@
 from statistics import median
 from timeit import repeat
 
-from sardinetrack.placement.choice import Candidate, by_prompt
+from sardinetrack.placement.choice import Candidate, rank_by_prefix
 from sardinetrack.placement.load import EstimatedLoad
-from sardinetrack.placement.prompt import Prompt, PromptPart
+from sardinetrack.placement.prompt import Prompt, PromptBlock
 from sardinetrack.topology.servers import BackendServer
 
 _SIZES = (9, 24, 420)
@@ -25,7 +25,7 @@
 _MICROSECONDS = 1e6
 _PORT = 80
 _PROMPT = Prompt(
-    (PromptPart('a', 512), PromptPart('b', 4870), PromptPart('c', 6610)),
+    (PromptBlock('a', 512), PromptBlock('b', 4870), PromptBlock('c', 6610)),
     11_992,
     400,
 )
@@ -55,7 +55,7 @@
     servers = [_server(number) for number in range(size)]
     loads = {one.instance: EstimatedLoad() for one in servers}
     caching_servers = (servers[0].ip,)
-    return lambda: by_prompt(_PROMPT, servers, loads, caching_servers)
+    return lambda: rank_by_prefix(_PROMPT, servers, loads, caching_servers)
 
 
 def main() -> int:
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -17,10 +17,14 @@
 from sardinetrack.emulator.engine import Engine
 from sardinetrack.emulator.load import LoadProfile, Request
 from sardinetrack.fairness.decaying_service import DecayingService
-from sardinetrack.placement.choice import Candidate, by_prompt, with_room
-from sardinetrack.placement.holdings import Holdings
-from sardinetrack.placement.home import shared_part
+from sardinetrack.placement.choice import (
+    Candidate,
+    rank_by_prefix,
+    with_capacity,
+)
 from sardinetrack.placement.load import EstimatedLoad
+from sardinetrack.placement.prefix_index import PrefixCacheIndex
+from sardinetrack.placement.rendezvous import shared_prefix
 from sardinetrack.relay.placing import GUEST_SECONDS, MOST_ASKED
 from sardinetrack.turns.side import WORD_SECONDS
 
@@ -46,7 +50,7 @@
         self._sequence_numbers = count()
         self._events: list[tuple[float, int, Action]] = []
         self._service = DecayingService[str]()
-        self._holdings = Holdings()
+        self._prefix_index = PrefixCacheIndex()
         self._pending: dict[str, _Attempt] = {}
         engines = [Engine(one, shape) for one in range(shape.engines)]
         self._engines = {one.server.instance: one for one in engines}
@@ -117,9 +121,9 @@
         if len(attempt.tried) >= MOST_ASKED:
             return None
         prompt = attempt.request.prompt
-        cached_at = self._holdings.servers_with(now, shared_part(prompt))
+        cached_at = self._prefix_index.servers_with(now, shared_prefix(prompt))
         servers = [engine.server for engine in self._engines.values()]
-        candidates = by_prompt(prompt, servers, self._loads, cached_at)
+        candidates = rank_by_prefix(prompt, servers, self._loads, cached_at)
         candidates = [
             one
             for one in self._policy.rank(candidates)
@@ -127,7 +131,7 @@
         ]
         if attempt.tried:
             remaining_wait = attempt.remaining_wait_seconds(self._shape, now)
-            candidates = list(with_room(candidates, remaining_wait))
+            candidates = list(with_capacity(candidates, remaining_wait))
         return candidates[0] if candidates else None
 
     def _apply_decisions(
@@ -215,7 +219,7 @@
                 admission.wait_seconds(now),
                 admission.rate_tokens,
             )
-            self._holdings.record(
+            self._prefix_index.record(
                 now, engine.server.ip, engine.unreported_prefixes
             )
             engine.unreported_prefixes.clear()
--- a/src/sardinetrack/emulator/engine.py
+++ b/src/sardinetrack/emulator/engine.py
@@ -7,7 +7,7 @@
 
 from sardinetrack.admission.prefill import PrefillAdmission
 from sardinetrack.emulator.load import LoadProfile, Request
-from sardinetrack.placement.home import shared_part
+from sardinetrack.placement.rendezvous import shared_prefix
 from sardinetrack.topology.servers import BackendServer
 
 _PORT: Final = 80
@@ -46,7 +46,7 @@
         :return: when its prefill ends, and the number of tokens of its shared
             prefix that had to be computed for it.
         """
-        prefix = shared_part(request.prompt)
+        prefix = shared_prefix(request.prompt)
         recomputed = (
             0 if prefix in self._cached else self._shape.shared_prefix_tokens
         )
--- a/src/sardinetrack/emulator/load.py
+++ b/src/sardinetrack/emulator/load.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Final
 
-from sardinetrack.placement.prompt import Prompt, PromptPart
+from sardinetrack.placement.prompt import Prompt, PromptBlock
 
 _PREFIX_SKEW: Final = 1.4
 """Exponent that makes some shared prefixes more frequent than others, as in
@@ -132,7 +132,10 @@
     own = int(min(shape.max_own_tokens, max(shape.min_own_tokens, drawn)))
     workspace = rng.choice(shape.workspaces)
     prompt = Prompt(
-        (PromptPart(prefix, shape.shared_prefix_tokens), PromptPart(name, own)),
+        (
+            PromptBlock(prefix, shape.shared_prefix_tokens),
+            PromptBlock(name, own),
+        ),
         shape.shared_prefix_tokens + own,
         shape.output_tokens,
     )
--- a/src/sardinetrack/placement/choice.py
+++ b/src/sardinetrack/placement/choice.py
@@ -18,10 +18,14 @@
 from operator import attrgetter
 from typing import Final
 
-from sardinetrack.placement.holdings import SHARED_TOKENS
-from sardinetrack.placement.home import ranked, shared_part, shared_tokens
 from sardinetrack.placement.load import EstimatedLoad
+from sardinetrack.placement.prefix_index import MIN_SHARED_PREFIX_TOKENS
 from sardinetrack.placement.prompt import Prompt
+from sardinetrack.placement.rendezvous import (
+    rendezvous_order,
+    shared_prefix,
+    shared_prefix_tokens,
+)
 from sardinetrack.topology.servers import BackendServer
 
 RECOMPUTE_WEIGHT: Final = 20.0
@@ -78,7 +82,7 @@
         return self.recomputed_tokens > 0
 
 
-def by_prompt(
+def rank_by_prefix(
     prompt: Prompt,
     servers: Sequence[BackendServer],
     loads: Mapping[str, EstimatedLoad],
@@ -97,8 +101,8 @@
         and be refused everywhere beside idle servers.
     """
     by_name = {server.instance: server for server in servers}
-    key = shared_part(prompt)
-    order = ranked(key, by_name) if key else list(by_name)
+    key = shared_prefix(prompt)
+    order = rendezvous_order(key, by_name) if key else list(by_name)
     is_cached = any(server.ip in cached_at for server in servers)
     work = _prefill_work(prompt, uncached=not is_cached)
     candidates = [
@@ -114,7 +118,7 @@
     return candidates
 
 
-def by_load(
+def rank_by_load(
     servers: Sequence[BackendServer],
     loads: Mapping[str, EstimatedLoad],
     failure_domain: str,
@@ -136,7 +140,7 @@
     return sorted(candidates, key=_COST)
 
 
-def with_room(
+def with_capacity(
     candidates: Iterable[Candidate],
     max_wait_seconds: float,
 ) -> Iterator[Candidate]:
@@ -160,7 +164,7 @@
             yield one
 
 
-def worth_waiting_seconds(
+def worthwhile_wait_seconds(
     one: Candidate,
     other: Candidate | None,
     first_event_due_seconds: float = math.inf,
@@ -246,7 +250,7 @@
     :param uncached: no server caches the shared prefix, so one has to prefill
         it and the home server does.
     """
-    if shared_tokens(prompt) < SHARED_TOKENS:
+    if shared_prefix_tokens(prompt) < MIN_SHARED_PREFIX_TOKENS:
         anywhere = _PrefillWork(prompt.tokens, 0)
         return _PrefillWorkByServer(anywhere, anywhere, anywhere)
     own_tokens = _own_tokens(prompt)
--- a/src/sardinetrack/placement/holdings.py
+++ b/src/sardinetrack/placement/prefix_index.py
@@ -12,16 +12,16 @@
 Source: an engine of current size prefills as many new tokens as its KV cache
 holds in about 14 s under full load, and evicts what was used least recently.
 """
-MOST_HOLD_SECONDS: Final = 20.0
+MAX_RETENTION_SECONDS: Final = 20.0
 """Limit on a side's report; an engine that prefills little caches prefixes for
 minutes, but a cache event or a restart may have been missed during that time.
 """
-SHARED_TOKENS: Final = 400
+MIN_SHARED_PREFIX_TOKENS: Final = 400
 """Shorter prefixes are prefilled again, wherever they are cached."""
 _MAX_PREFIXES: Final = 50_000
 
 
-class Holdings:
+class PrefixCacheIndex:
     """Last use of each shared prefix at each server, by server address.
 
     Times are on the monotonic clock of the caller.
--- a/src/sardinetrack/placement/prompt.py
+++ b/src/sardinetrack/placement/prompt.py
@@ -6,10 +6,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromptPart:
+class PromptBlock:
     """One block of a prompt; prompts of several requests may begin alike."""
 
-    part_id: str
+    block_id: str
     tokens: int
 
 
@@ -17,7 +17,7 @@
 class Prompt:
     """Blocks and lengths of a prompt, and the length of its response."""
 
-    blocks: tuple[PromptPart, ...] = ()
+    blocks: tuple[PromptBlock, ...] = ()
     """In order; the last one belongs to the request or its session alone."""
     tokens: int = 0
     """Length of the prompt."""
--- a/src/sardinetrack/placement/home.py
+++ b/src/sardinetrack/placement/rendezvous.py
@@ -17,7 +17,7 @@
 """Server orders kept in memory; a busy entry sees some hundred prefixes."""
 
 
-def shared_part(prompt: Prompt) -> str:
+def shared_prefix(prompt: Prompt) -> str:
     """Return the id of the longest prefix that other requests share.
 
     The last block belongs to the request or its session alone; the one before
@@ -29,15 +29,15 @@
     parts = prompt.blocks
     if not parts:
         return ''
-    return parts[-2].part_id if len(parts) > 1 else parts[0].part_id
+    return parts[-2].block_id if len(parts) > 1 else parts[0].block_id
 
 
-def shared_tokens(prompt: Prompt) -> int:
+def shared_prefix_tokens(prompt: Prompt) -> int:
     """Return the number of tokens in the shared prefix."""
     return sum(part.tokens for part in prompt.blocks[:-1])
 
 
-def ranked(key: str, names: Iterable[str]) -> list[str]:
+def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
     """Order servers by rendezvous hashing.
 
     Entries agree on the order without communication, and when a server is
--- a/src/sardinetrack/platform/dialect.py
+++ b/src/sardinetrack/platform/dialect.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.placement.prompt import Prompt, PromptPart
+from sardinetrack.placement.prompt import Prompt, PromptBlock
 from sardinetrack.relay.api import (
     CallerRequest,
     Dialect,
@@ -196,13 +196,13 @@
     )
 
 
-def _parse_blocks(prefix: bytes) -> tuple[PromptPart, ...]:
-    blocks: list[PromptPart] = []
+def _parse_blocks(prefix: bytes) -> tuple[PromptBlock, ...]:
+    blocks: list[PromptBlock] = []
     for item in prefix.split(b','):
         block_id, colon, tokens = item.strip().partition(b':')
         if colon:
             name = block_id.decode(_ENCODING)
-            blocks.append(PromptPart(name, _parse_integer(tokens) or 0))
+            blocks.append(PromptBlock(name, _parse_integer(tokens) or 0))
     return tuple(blocks)
 
 
--- a/src/sardinetrack/relay/candidate_order.py
+++ b/src/sardinetrack/relay/candidate_order.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final
 
-from sardinetrack.placement.choice import Candidate, excluding, with_room
+from sardinetrack.placement.choice import Candidate, excluding, with_capacity
 
 STALE_SECONDS: Final = 0.1
 """Age from which the order of servers is computed again for the next try.
@@ -58,4 +58,4 @@
         if now - self._ranked_seconds > STALE_SECONDS:
             self._candidates = excluding(self._rank(), self._tried)
             self._ranked_seconds = now
-        return next(with_room(self._candidates, max_wait_seconds), None)
+        return next(with_capacity(self._candidates, max_wait_seconds), None)
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -8,7 +8,7 @@
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.fairness.decaying_service import DecayingService
 from sardinetrack.logs.events import Event, EventLog
-from sardinetrack.placement.holdings import Holdings
+from sardinetrack.placement.prefix_index import PrefixCacheIndex
 from sardinetrack.relay.crashes import CrashWatch
 from sardinetrack.relay.meters import Meters
 from sardinetrack.relay.server_pool import ServerPool
@@ -54,12 +54,12 @@
         self.servers = ServerList()
         self.connections = ServerPool()
         self.service = DecayingService[str]()
-        self.holdings = Holdings()
+        self.prefix_index = PrefixCacheIndex()
         self.meters = Meters()
         self.crashes = CrashWatch()
         self.sides = SideLinks(
             settings,
-            self.holdings,
+            self.prefix_index,
             self.crashes,
             self,
             log,
@@ -206,7 +206,7 @@
         self.sides.keep({one.ip for one in listed.values()})
         for removed in set(self._known) - set(listed):
             # The next server at its address starts with an empty cache.
-            self.holdings.remove_server(self._known[removed].ip)
+            self.prefix_index.remove_server(self._known[removed].ip)
             if self._known[removed].leaving:
                 self.crashes.forget(removed)
             else:
@@ -237,7 +237,7 @@
         The requests that ran when it crashed become suspect. The load of a
         model engine is reset with its link.
         """
-        self.holdings.remove_server(former.ip)
+        self.prefix_index.remove_server(former.ip)
         self.connections.forget(former.address)
         self.server_states.forget(server.instance)
         self.meters.restarts += 1
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/placing.py
@@ -15,13 +15,16 @@
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.placement.choice import (
     Candidate,
-    by_load,
-    by_prompt,
     excluding,
-    worth_waiting_seconds,
+    rank_by_load,
+    rank_by_prefix,
+    worthwhile_wait_seconds,
+)
+from sardinetrack.placement.prefix_index import MIN_SHARED_PREFIX_TOKENS
+from sardinetrack.placement.rendezvous import (
+    shared_prefix,
+    shared_prefix_tokens,
 )
-from sardinetrack.placement.holdings import SHARED_TOKENS
-from sardinetrack.placement.home import shared_part, shared_tokens
 from sardinetrack.relay.api import CallerRequest
 from sardinetrack.relay.candidate_order import CandidateOrder
 from sardinetrack.relay.crashes import fingerprint
@@ -77,8 +80,8 @@
         self._call = call
         self._trace = trace
         self._loop = asyncio.get_running_loop()
-        self._shared_prefix = shared_part(call.prompt)
-        if shared_tokens(call.prompt) < SHARED_TOKENS:
+        self._shared_prefix = shared_prefix(call.prompt)
+        if shared_prefix_tokens(call.prompt) < MIN_SHARED_PREFIX_TOKENS:
             self._shared_prefix = ''
         self._fingerprint = ''
         self._estimated_tokens: int | None = None
@@ -129,16 +132,16 @@
         state = self._state
         servers = state.usable_servers(self._loop.time(), plan.pool.name)
         if plan.pool.runs_models:
-            candidates = by_prompt(
+            candidates = rank_by_prefix(
                 self._call.prompt,
                 servers,
                 state.server_states.loads,
-                state.holdings.servers_with(
+                state.prefix_index.servers_with(
                     self._loop.time(), self._shared_prefix
                 ),
             )
         else:
-            candidates = by_load(
+            candidates = rank_by_load(
                 [
                     one
                     for one in servers
@@ -176,7 +179,7 @@
         while candidate is not None and order.tried_count < MOST_ASKED:
             order.mark_tried(candidate)
             left_seconds = max(0, deadline_seconds - self._loop.time())
-            stay_seconds = worth_waiting_seconds(
+            stay_seconds = worthwhile_wait_seconds(
                 candidate,
                 order.best(left_seconds),
                 self._first_event_due_seconds(plan) - self._loop.time(),
@@ -218,7 +221,7 @@
         )
         if admission_request.shared_prefix:
             ip = candidate.server.ip
-            self._state.holdings.record(
+            self._state.prefix_index.record(
                 now, ip, (admission_request.shared_prefix,)
             )
 
--- a/src/sardinetrack/relay/side_links.py
+++ b/src/sardinetrack/relay/side_links.py
@@ -8,9 +8,9 @@
 
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.messages.api import Strike
-from sardinetrack.placement.holdings import Holdings
-from sardinetrack.placement.home import ranked
 from sardinetrack.placement.load import EstimatedLoad
+from sardinetrack.placement.prefix_index import PrefixCacheIndex
+from sardinetrack.placement.rendezvous import rendezvous_order
 from sardinetrack.relay.crashes import CrashWatch
 from sardinetrack.relay.settings import NodeSettings
 from sardinetrack.topology.cold import ColdWord
@@ -36,7 +36,7 @@
     """
     by_name = {link.name: link for link in links}
     chosen: dict[str, SideLink] = {}
-    for name in ranked(_BROADCAST_KEY, by_name):
+    for name in rendezvous_order(_BROADCAST_KEY, by_name):
         link = by_name[name]
         chosen.setdefault(link.failure_domain, link)
     return list(chosen.values())
@@ -48,7 +48,7 @@
     def __init__(
         self,
         settings: NodeSettings,
-        holdings: Holdings,
+        prefix_index: PrefixCacheIndex,
         crashes: CrashWatch,
         restarts: RestartListener,
         log: EventLog,
@@ -60,7 +60,7 @@
         """
         self.views: Inbox = NoInbox()
         self._settings = settings
-        self._holdings = holdings
+        self._prefix_index = prefix_index
         self._crashes = crashes
         self._restarts = restarts
         self._log = log
@@ -157,7 +157,7 @@
             Hello(self._settings.instance, pool.slots, pool.memory_tokens),
             Beliefs(
                 EstimatedLoad(),
-                self._holdings,
+                self._prefix_index,
                 self.views,
                 self._crashes,
                 self._restarts,
--- a/src/sardinetrack/turns/entry.py
+++ b/src/sardinetrack/turns/entry.py
@@ -12,8 +12,8 @@
 from sardinetrack.fairness.service_updates import ServiceUpdates
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.messages.api import Strike
-from sardinetrack.placement.holdings import Holdings
 from sardinetrack.placement.load import EstimatedLoad
+from sardinetrack.placement.prefix_index import PrefixCacheIndex
 from sardinetrack.topology.cold import ColdWord
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.starts import UNKNOWN_START_HASH, ServerStart
@@ -74,7 +74,7 @@
     """State of one server that the messages of its side update."""
 
     load: EstimatedLoad
-    prefix_index: Holdings
+    prefix_index: PrefixCacheIndex
     view_receiver: Inbox
     strike_listener: StrikeListener
     restart_listener: RestartListener
--- a/src/sardinetrack/turns/side.py
+++ b/src/sardinetrack/turns/side.py
@@ -14,7 +14,7 @@
     Granted,
 )
 from sardinetrack.logs.events import Event, EventLog
-from sardinetrack.placement.holdings import MOST_HOLD_SECONDS
+from sardinetrack.placement.prefix_index import MAX_RETENTION_SECONDS
 from sardinetrack.routing.strikes import StrikeBook
 from sardinetrack.turns.clock import loop_now
 from sardinetrack.turns.desk import AdmissionDriver
@@ -321,4 +321,4 @@
 
     def _retention_seconds(self) -> float:
         seconds = self.admission.prefix_retention_seconds(loop_now())
-        return min(MOST_HOLD_SECONDS, seconds)
+        return min(MAX_RETENTION_SECONDS, seconds)
--- a/src/sardinetrack/views/choice.py
+++ b/src/sardinetrack/views/choice.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from sardinetrack.placement.home import ranked
+from sardinetrack.placement.rendezvous import rendezvous_order
 
 MIN_ENTRIES_PER_WATCHER: Final = 8
 """Subscribers from which a failure domain has a watcher of its own.
@@ -31,5 +31,7 @@
     near = [name for name, where in domains.items() if where == failure_domain]
     far = [name for name in domains if name not in near]
     if entries >= MIN_ENTRIES_PER_WATCHER * len(set(domains.values())):
-        return ranked(failure_domain, near) + ranked(_EVERYWHERE, far)
-    return ranked(_EVERYWHERE, domains)
+        return rendezvous_order(failure_domain, near) + rendezvous_order(
+            _EVERYWHERE, far
+        )
+    return rendezvous_order(_EVERYWHERE, domains)
--- a/tests/placement/steps/choice_steps.py
+++ b/tests/placement/steps/choice_steps.py
@@ -8,15 +8,15 @@
 from behave import given, then, when
 
 from sardinetrack.placement.choice import (
-    by_load,
-    by_prompt,
-    with_room,
-    worth_waiting_seconds,
+    rank_by_load,
+    rank_by_prefix,
+    with_capacity,
+    worthwhile_wait_seconds,
 )
-from sardinetrack.placement.holdings import Holdings
-from sardinetrack.placement.home import ranked
 from sardinetrack.placement.load import EstimatedLoad
-from sardinetrack.placement.prompt import Prompt, PromptPart
+from sardinetrack.placement.prefix_index import PrefixCacheIndex
+from sardinetrack.placement.prompt import Prompt, PromptBlock
+from sardinetrack.placement.rendezvous import rendezvous_order
 from sardinetrack.topology.servers import BackendServer
 
 
@@ -35,9 +35,9 @@
 def _prompt(shared, shared_tokens=5000, own_tokens=1000):
     return Prompt(
         (
-            PromptPart('base', 0),
-            PromptPart(shared, shared_tokens),
-            PromptPart('own', own_tokens),
+            PromptBlock('base', 0),
+            PromptBlock(shared, shared_tokens),
+            PromptBlock('own', own_tokens),
         ),
         shared_tokens + own_tokens,
         50,
@@ -106,7 +106,7 @@
     context.placed = []
     for _ in range(count):
         prompt = Prompt((), 2000, 50)
-        best = by_prompt(prompt, context.servers, context.loads)[0]
+        best = rank_by_prefix(prompt, context.servers, context.loads)[0]
         name = best.server.instance
         context.loads[name].added_tokens += best.prefill_tokens
         context.placed.append(name)
@@ -123,7 +123,9 @@
 def agree(context):
     names = [server.instance for server in context.servers]
     for prefix in _prefixes():
-        assert ranked(prefix, names) == ranked(prefix, reversed(names))
+        assert rendezvous_order(prefix, names) == rendezvous_order(
+            prefix, reversed(names)
+        )
 
 
 @then('only the prefixes with that home server have moved')
@@ -151,7 +153,7 @@
 
 @then('a request goes to an idle one in the own failure domain')
 def near_and_idle(context):
-    found = by_load(context.servers, context.loads, 'galata', 5)
+    found = rank_by_load(context.servers, context.loads, 'galata', 5)
     assert found[0].server.instance == 'i-2'
 
 
@@ -160,7 +162,7 @@
 
 
 def _best(context, prompt):
-    found = by_prompt(prompt, context.servers, context.loads)
+    found = rank_by_prefix(prompt, context.servers, context.loads)
     return found[0].server.instance
 
 
@@ -169,12 +171,12 @@
 )
 def load_caching(context, seconds):
     prompt = _prompt('hot')
-    order = by_prompt(prompt, context.servers, context.loads)
+    order = rank_by_prefix(prompt, context.servers, context.loads)
     context.caching = [one.server for one in order[:2]]
     for busy in context.caching:
         context.loads[busy.instance].reported_wait_seconds = seconds
     ips = {one.ip for one in context.caching}
-    context.found = by_prompt(prompt, context.servers, context.loads, ips)
+    context.found = rank_by_prefix(prompt, context.servers, context.loads, ips)
 
 
 @then('the other caching server is before the idle ones by cost')
@@ -185,27 +187,27 @@
 
 @then('it is not among those with free capacity')
 def caching_late(context):
-    kept = list(with_room(context.found[1:], 0.4))
+    kept = list(with_capacity(context.found[1:], 0.4))
     assert kept
     assert all(one.server not in context.caching for one in kept)
 
 
 @then('all idle ones are')
 def idle_kept(context):
-    kept = list(with_room(context.found, 0.4))
+    kept = list(with_capacity(context.found, 0.4))
     assert len(kept) == len(context.servers) - len(context.caching)
 
 
 @when('a prompt with {tokens:d} shared tokens is placed')
 def place_one(context, tokens):
     prompt = _prompt('hot', tokens)
-    context.found = by_prompt(prompt, context.servers, context.loads)
+    context.found = rank_by_prefix(prompt, context.servers, context.loads)
 
 
 def _worth_waiting(context, first_event_due_seconds=math.inf):
     home, *others = context.found
-    other = next(with_room(others, 0.4), None)
-    return worth_waiting_seconds(home, other, first_event_due_seconds)
+    other = next(with_capacity(others, 0.4), None)
+    return worthwhile_wait_seconds(home, other, first_event_due_seconds)
 
 
 @then(
@@ -236,7 +238,7 @@
 
 @when('the only server that caches a prefix is not among the servers')
 def remove_caching(context):
-    context.found = by_prompt(
+    context.found = rank_by_prefix(
         _prompt('hot'),
         context.servers,
         context.loads,
@@ -256,15 +258,15 @@
     'and one that reports nothing',
 )
 def open_holdings(context, seconds):
-    context.holdings = Holdings()
-    context.holdings.set_retention('10.0.0.1', seconds)
+    context.prefix_index = PrefixCacheIndex()
+    context.prefix_index.set_retention('10.0.0.1', seconds)
 
 
 @when('both have used a prefix {seconds:g} seconds ago')
 def both_used(context, seconds):
     for ip in ('10.0.0.1', '10.0.0.2'):
-        context.holdings.record(100, ip, ('p7',))
-    context.cached = context.holdings.servers_with(100 + seconds, 'p7')
+        context.prefix_index.record(100, ip, ('p7',))
+    context.cached = context.prefix_index.servers_with(100 + seconds, 'p7')
 
 
 @then('only the one that reports nothing counts as caching it')
--- a/tests/platform/steps/translation_steps.py
+++ b/tests/platform/steps/translation_steps.py
@@ -212,7 +212,7 @@
 def head_parsed(context):
     call = context.call
     assert call.prompt.tokens == 1460
-    assert [part.part_id for part in call.prompt.blocks] == ['5c', '91', 'e4']
+    assert [part.block_id for part in call.prompt.blocks] == ['5c', '91', 'e4']
     assert (call.api_key, call.max_wait_seconds) == ('secret-key', 15)
     assert (call.last_event_id, call.host, call.path) == (
         12,
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -34,7 +34,7 @@
     async def act():
         state, server = context.world.entry_state, _first(context)
         now = asyncio.get_running_loop().time()
-        state.holdings.record(now, server.ip, (_PREFIX,))
+        state.prefix_index.record(now, server.ip, (_PREFIX,))
         state.server_states.load(server).update(3, _RATE)
         kept = await state.connections.acquire(server.address)
         state.connections.release(server.address, kept)
@@ -62,7 +62,7 @@
     load = entry_state.server_states.load(server)
     return (
         bool(
-            entry_state.holdings.servers_with(
+            entry_state.prefix_index.servers_with(
                 context.world.loop.time(), _PREFIX
             )
         ),
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -9,8 +9,8 @@
 
 from sardinetrack.logs.events import EventLog
 from sardinetrack.messages.api import Strike
-from sardinetrack.placement.holdings import Holdings
 from sardinetrack.placement.load import EstimatedLoad
+from sardinetrack.placement.prefix_index import PrefixCacheIndex
 from sardinetrack.relay.crashes import STRIKE_SECONDS, CrashWatch
 from sardinetrack.topology.cold import ColdWord
 from sardinetrack.topology.freshness import boot_clock
@@ -52,13 +52,13 @@
     """One entry's connection to the side."""
 
     def __init__(self, name, slots):
-        self.holdings = Holdings()
+        self.prefix_index = PrefixCacheIndex()
         self.load = EstimatedLoad()
         self.crashes = CrashWatch()
         self.received = _ReceivedStarts()
         self.state = Beliefs(
             self.load,
-            self.holdings,
+            self.prefix_index,
             NoInbox(),
             self.crashes,
             self.received,
@@ -330,7 +330,7 @@
     async def act():
         await asyncio.sleep(seconds)
         now = asyncio.get_running_loop().time()
-        return _entry(context, number).holdings.servers_with(now, prefix)
+        return _entry(context, number).prefix_index.servers_with(now, prefix)
 
     return _run(context, act())
 
