--- a/benchmarks/chaos/virtual/settings.py
+++ b/benchmarks/chaos/virtual/settings.py
@@ -10,7 +10,7 @@
 from sardinetrack.entry.parts import EntryParts
 from sardinetrack.links.secret import PeerSecret
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 from sardinetrack.store.api import Platform
 
 WAIT_SECONDS: Final = 20.0
@@ -53,7 +53,7 @@
         settings=settings,
         peer_secret=PeerSecret(SECRET),
         incarnation=incarnation,
-        routing=Router(Identity(name, incarnation), rng),
+        routing=Router(ProcessIdentity(name, incarnation), rng),
         platform=platform,
         claims=claims,
     )
--- a/benchmarks/once/__main__.py
+++ b/benchmarks/once/__main__.py
@@ -82,7 +82,7 @@
             platform,
             ClaimSettings(shards=1),
             wall_clock=anyio.current_time,
-            chance=self.rng,
+            jitter_rng=self.rng,
         ) as claims:
             task_status.started(claims)
             await anyio.sleep_forever()
--- a/benchmarks/policy/carrier.py
+++ b/benchmarks/policy/carrier.py
@@ -88,7 +88,7 @@
     def _dispatch(self, node: EntryNode, effect: Dispatch) -> None:
         request = self._world.requests[effect.request_id]
         side = self._world.sides[effect.side]
-        bids = node.routing.bids_for(effect.side)
+        bids = node.routing.current_bids(effect.side)
         node.attempts[effect.attempt_id] = (effect.side, request)
         self._world.meter.counts['orders'] += 1
         arrival = Arrival(
@@ -156,7 +156,9 @@
                 continue
             call = partial(self._world.at_entry, other)
             if isinstance(message, ServiceReport):
-                action = partial(call, other.routing.peer_service, message)
+                action = partial(
+                    call, other.routing.apply_service_report, message
+                )
             else:
                 action = partial(call, other.routing.apply_strike, message)
             links = self._world.links
--- a/benchmarks/policy/fair.py
+++ b/benchmarks/policy/fair.py
@@ -6,15 +6,17 @@
 
 from sardinetrack.admission.api import Admission
 from sardinetrack.admission.slots import SlotAdmission
-from sardinetrack.routing.api import Routing
+from sardinetrack.routing.api import RoutingPolicy
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 
 class FairPolicy:
     """The policy that the daemons use."""
 
-    def routing(self, identity: Identity, random: Random) -> Routing:
+    def routing(
+        self, identity: ProcessIdentity, random: Random
+    ) -> RoutingPolicy:
         """Build an entry's decisions."""
         return Router(identity, random)
 
--- a/benchmarks/policy/faults.py
+++ b/benchmarks/policy/faults.py
@@ -63,7 +63,7 @@
 
 def break_link(world: World, node: EntryNode, side: SideNode) -> None:
     """Close the link of an entry and a side, and settle their attempts."""
-    world.at_entry(node, node.routing.side_down, side.name)
+    world.at_entry(node, node.routing.side_disconnected, side.name)
     _disconnect_entry(world, node, side)
     costs = _stop_all(world, node, side)
     for attempt_id, (name, _) in list(node.attempts.items()):
--- a/benchmarks/policy/nodes.py
+++ b/benchmarks/policy/nodes.py
@@ -8,14 +8,16 @@
 
 from benchmarks.policy.shapes import Demand
 from sardinetrack.admission.api import Admission
-from sardinetrack.routing.api import Routing
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.api import RoutingPolicy
+from sardinetrack.routing.shared import ProcessIdentity
 
 
 class Policy(Protocol):
     """Builds the decision objects under measurement."""
 
-    def routing(self, identity: Identity, random: Random) -> Routing:
+    def routing(
+        self, identity: ProcessIdentity, random: Random
+    ) -> RoutingPolicy:
         """Build an entry's decisions."""
 
     def admission(self, incarnation: str, limit: int) -> Admission:
@@ -52,7 +54,7 @@
     """An entry and its attempts: side and request by attempt id."""
 
     name: str
-    routing: Routing
+    routing: RoutingPolicy
     attempts: dict[str, tuple[str, Request]] = field(default_factory=dict)
 
 
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -28,7 +28,7 @@
 )
 from sardinetrack.admission.api import AdmissionEffect
 from sardinetrack.routing.api import EntryEffect, RoutedRequest, SideInfo
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 TICK_SECONDS = 0.1
 PROGRESS_SECONDS = 0.5
@@ -66,7 +66,7 @@
 
     def add_entry(self, name: str, epoch: int) -> None:
         """Start an entry with no state and connect it to all sides."""
-        identity = Identity(name, f'i{epoch}')
+        identity = ProcessIdentity(name, f'i{epoch}')
         rng = Random(self.random.random())
         node = EntryNode(name, self.policy.routing(identity, rng))
         self.entries[name] = node
@@ -92,7 +92,7 @@
             side.domain,
             '127.0.0.1:1',
         )
-        self.at_entry(node, node.routing.side_up, info)
+        self.at_entry(node, node.routing.side_connected, info)
         load = side.admission.load()
         self.at_entry(node, node.routing.update_side_load, side.name, load)
 
--- a/benchmarks/slopes/entry.py
+++ b/benchmarks/slopes/entry.py
@@ -14,7 +14,7 @@
 from sardinetrack.messages.api import Grant
 from sardinetrack.routing.api import AttemptOutcome, Dispatch
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 KNOWN: Final = (16, 850, 8500)
 SIDES: Final = (1, 20, 200)
@@ -36,7 +36,7 @@
         :param free: number of free slots that each side reports.
         """
         self.router = Router(
-            Identity('entry-1', samples.INCARNATION),
+            ProcessIdentity('entry-1', samples.INCARNATION),
             random.Random(7),
         )
         self.now = float(100)
@@ -46,10 +46,10 @@
             samples.workspaces(known),
             [samples.pool()],
         )
-        self.router.peer_service(self.now, samples.report(known))
+        self.router.apply_service_report(self.now, samples.report(known))
         for number in range(sides):
             info = samples.side_info(number)
-            self.router.side_up(self.now, info)
+            self.router.side_connected(self.now, info)
             self.router.update_side_load(
                 self.now, info.side, samples.load(free)
             )
@@ -155,7 +155,7 @@
         'bids_for',
         size,
         'us',
-        processor_us(partial(loaded.router.bids_for, 'side-0')),
+        processor_us(partial(loaded.router.current_bids, 'side-0')),
     )
     yield Figure('tick', size, 'us', _tick_us(loaded))
 
@@ -181,10 +181,12 @@
     loaded = _copy(known, 20, 0)
     yield Figure('tick, nothing waits', size, 'us', _tick_us(loaded))
     message = samples.report(known, 'entry-2')
-    loaded.router.peer_service(loaded.now, message)
+    loaded.router.apply_service_report(loaded.now, message)
     yield Figure(
         'peer_service',
         f'{known} rows',
         'us',
-        processor_us(partial(loaded.router.peer_service, loaded.now, message)),
+        processor_us(
+            partial(loaded.router.apply_service_report, loaded.now, message)
+        ),
     )
--- a/src/sardinetrack/compose/entry.py
+++ b/src/sardinetrack/compose/entry.py
@@ -18,7 +18,7 @@
 from sardinetrack.process.ready import EntryReady, print_ready
 from sardinetrack.process.signals import run_until_drained
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 
 @asynccontextmanager
@@ -41,7 +41,7 @@
                 peer_secret=PeerSecret(resolve_secret(settings.peer_secret)),
                 incarnation=incarnation,
                 routing=Router(
-                    Identity(settings.instance, incarnation),
+                    ProcessIdentity(settings.instance, incarnation),
                     random.Random(),
                 ),
                 platform=platform,
--- a/src/sardinetrack/entry/attempt.py
+++ b/src/sardinetrack/entry/attempt.py
@@ -114,7 +114,7 @@
         return result
 
     async def _send(self, side: SideEndpoint) -> AttemptResult | None:
-        bids = self._dispatcher.routing.bids_for(side.name)
+        bids = self._dispatcher.routing.current_bids(side.name)
         try:
             async with self._sides.http.stream(
                 'POST',
--- a/src/sardinetrack/entry/dispatcher.py
+++ b/src/sardinetrack/entry/dispatcher.py
@@ -24,7 +24,7 @@
     EntryEffect,
     Reject,
     RoutedRequest,
-    Routing,
+    RoutingPolicy,
     SendToEntries,
     SendToSide,
     WaitNotice,
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        routing: Routing,
+        routing: RoutingPolicy,
         outbox: Outbox,
         metrics: EntryMetrics,
         clock: Callable[[], float] = anyio.current_time,
--- a/src/sardinetrack/entry/metrics.py
+++ b/src/sardinetrack/entry/metrics.py
@@ -16,7 +16,7 @@
 
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.links.api import PeerRole
-from sardinetrack.routing.api import AttemptOutcome, HoldReason
+from sardinetrack.routing.api import AttemptOutcome, WaitReason
 
 _POOL: Final = 'pool'
 _WAIT_BUCKETS: Final = (0.005, 0.02, 0.1, 0.5, 1, 2, 5, 10, 30, 60)
@@ -106,7 +106,7 @@
         """Observe the wait of a request."""
         self._wait.labels(pool).observe(seconds)
 
-    def count_wait(self, pool: str, reason: HoldReason) -> None:
+    def count_wait(self, pool: str, reason: WaitReason) -> None:
         """Count a reason for which a request or its response waits."""
         self._wait_reasons.labels(pool, reason.value).inc()
 
--- a/src/sardinetrack/entry/parts.py
+++ b/src/sardinetrack/entry/parts.py
@@ -9,7 +9,7 @@
 from sardinetrack.entry.heads import HeadBounds
 from sardinetrack.links.api import Hello, PeerRole
 from sardinetrack.links.secret import PeerSecret
-from sardinetrack.routing.api import Routing
+from sardinetrack.routing.api import RoutingPolicy
 from sardinetrack.store.api import Platform
 
 
@@ -21,7 +21,7 @@
     peer_secret: PeerSecret
     incarnation: str
     """Unique to each start of the process."""
-    routing: Routing
+    routing: RoutingPolicy
     platform: Platform
     claims: Claims
     head_bounds: HeadBounds = field(default_factory=HeadBounds)
--- a/src/sardinetrack/entry/peer_events.py
+++ b/src/sardinetrack/entry/peer_events.py
@@ -117,7 +117,9 @@
             address=row.address,
         )
         routing = self._dispatcher.routing
-        self._apply_effects(routing.side_up(self._dispatcher.clock(), info))
+        self._apply_effects(
+            routing.side_connected(self._dispatcher.clock(), info)
+        )
 
     def _link_down(self, link: Link) -> None:
         linked = self._peers.side(link.peer.instance)
@@ -149,7 +151,9 @@
         name = linked.endpoint.name
         _LOG.info('side is no longer used', side=name)
         routing = self._dispatcher.routing
-        self._apply_effects(routing.side_down(self._dispatcher.clock(), name))
+        self._apply_effects(
+            routing.side_disconnected(self._dispatcher.clock(), name)
+        )
 
     def _receive(self, link: Link, message: LinkMessage) -> None:
         match message:
@@ -170,11 +174,11 @@
             case Grant():
                 return routing.grant(now, name, message)
             case ServiceReport():
-                return routing.peer_service(now, message)
+                return routing.apply_service_report(now, message)
             case Strike():
                 return self._apply_strike(link, message)
             case StrikeNoted():
-                return routing.strike_noted(now, name, message.number)
+                return routing.strike_acknowledged(now, name, message.number)
         _LOG.warning('unexpected message', peer=name)
         return ()
 
--- a/src/sardinetrack/once/claims.py
+++ b/src/sardinetrack/once/claims.py
@@ -79,18 +79,18 @@
         settings: ClaimSettings | None = None,
         *,
         wall_clock: Callable[[], float] = time.time,
-        chance: random.Random | None = None,
+        jitter_rng: random.Random | None = None,
     ) -> None:
         """Build a claim store; use it as a context manager.
 
         :param wall_clock: returns seconds since the epoch, about equal in all
             processes.
-        :param chance: source of the jitter after errors.
+        :param jitter_rng: source of the jitter after errors.
         """
         self._platform = platform
         self._settings = settings or ClaimSettings()
         self._wall_clock = wall_clock
-        self._rng = chance or random.Random()
+        self._rng = jitter_rng or random.Random()
         self._shards: dict[int, Shard] = {}
         self._layout: Layout | None = None
         self._stack = AsyncExitStack()
--- a/src/sardinetrack/relay/crashes.py
+++ b/src/sardinetrack/relay/crashes.py
@@ -9,7 +9,7 @@
 
 from sardinetrack.messages.api import Strike
 from sardinetrack.relay.api import CallerRequest
-from sardinetrack.routing.strikes import StrikeBook
+from sardinetrack.routing.strikes import StrikeRegistry
 from sardinetrack.turns.entry import StrikeListener
 
 SERVERS_TO_BLOCK: Final = 3
@@ -19,7 +19,7 @@
 a crash of a quarter of the engines one in sixteen of their requests meets two
 crashes, and one in sixty meets three.
 """
-STRIKE_SECONDS: Final = 60.0
+STRIKE_TTL_SECONDS: Final = 60.0
 """How long a strike counts; callers send such a request again immediately."""
 CRASH_CONFIRM_SECONDS: Final = 3.0
 """Longest time between the end of a connection and the sign of a crash.
@@ -48,7 +48,7 @@
     """
 
     def __init__(self) -> None:
-        self.strike_registry = StrikeBook(SERVERS_TO_BLOCK)
+        self.strike_registry = StrikeRegistry(SERVERS_TO_BLOCK)
         self._suspects: dict[str, dict[str, float]] = {}
 
     def refused_seconds(
@@ -58,7 +58,7 @@
         if not self.strike_registry:
             return 0
         name = fingerprint(call, workspace)
-        return self.strike_registry.condemned_seconds(now, name)
+        return self.strike_registry.blocked_seconds(now, name)
 
     def connection_ended(
         self,
@@ -76,7 +76,7 @@
             # For a request with two strikes the next server need not be
             # confirmed as unreachable first: the server after it would crash
             # in that time.
-            strikes = (Strike(name, server, STRIKE_SECONDS),)
+            strikes = (Strike(name, server, STRIKE_TTL_SECONDS),)
             self.add_strikes(now, strikes)
             return strikes
         suspects = self._suspects.setdefault(server, {})
@@ -91,7 +91,7 @@
         :return: the strikes against the requests that ran there until just now.
         """
         strikes = tuple(
-            Strike(name, server, STRIKE_SECONDS)
+            Strike(name, server, STRIKE_TTL_SECONDS)
             for name, ended_seconds in self._suspects.pop(server, {}).items()
             if now - ended_seconds <= CRASH_CONFIRM_SECONDS
         )
--- a/src/sardinetrack/routing/admission_checks.py
+++ b/src/sardinetrack/routing/admission_checks.py
@@ -41,7 +41,7 @@
         :param work: the request.
         :return: the rejection, ``None`` when the request may be queued.
         """
-        blocked = self._shared.strikes.condemned_seconds(
+        blocked = self._shared.strikes.blocked_seconds(
             now,
             work.fingerprint,
         )
--- a/src/sardinetrack/routing/api.py
+++ b/src/sardinetrack/routing/api.py
@@ -111,7 +111,7 @@
     message: ServiceReport | Strike
 
 
-class HoldReason(StrEnum):
+class WaitReason(StrEnum):
     """Why the first request of a queue, or an error response, is delayed."""
 
     NO_SLOT = 'no_slot'
@@ -134,7 +134,7 @@
     """Log why a request still waits; nothing is sent."""
 
     request_id: str
-    reason: HoldReason
+    reason: WaitReason
     avoided: tuple[str, ...]
     """Sides at which it failed."""
     waits_for: tuple[str, ...]
@@ -147,7 +147,7 @@
 EntryEffect = Dispatch | Reject | SendToSide | SendToEntries | WaitNotice
 
 
-class Routing(ABC):
+class RoutingPolicy(ABC):
     """Routes the requests of one entry and owns its queues."""
 
     @abstractmethod
@@ -160,11 +160,13 @@
         """Apply a configuration."""
 
     @abstractmethod
-    def side_up(self, now: float, info: SideInfo) -> Sequence[EntryEffect]:
+    def side_connected(
+        self, now: float, info: SideInfo
+    ) -> Sequence[EntryEffect]:
         """Start using a side whose link is up."""
 
     @abstractmethod
-    def side_down(self, now: float, side: str) -> Sequence[EntryEffect]:
+    def side_disconnected(self, now: float, side: str) -> Sequence[EntryEffect]:
         """Stop using a side: its link broke or it is draining."""
 
     @abstractmethod
@@ -220,7 +222,7 @@
         """
 
     @abstractmethod
-    def peer_service(
+    def apply_service_report(
         self,
         now: float,
         report: ServiceReport,
@@ -243,7 +245,7 @@
         """Record that a request was running when a backend server crashed."""
 
     @abstractmethod
-    def strike_noted(
+    def strike_acknowledged(
         self,
         now: float,
         entry: str,
@@ -262,5 +264,5 @@
         """Reject overdue requests; refresh bids and reports that are due."""
 
     @abstractmethod
-    def bids_for(self, side: str) -> Bids:
+    def current_bids(self, side: str) -> Bids:
         """Return the current bids for a side, to be sent with a run request."""
--- a/src/sardinetrack/routing/breaker.py
+++ b/src/sardinetrack/routing/breaker.py
@@ -7,7 +7,7 @@
 
 from sardinetrack.charts.typed import TypedChart
 
-FAILURES_TO_OPEN: Final = 3
+FAILURE_THRESHOLD: Final = 3
 INITIAL_COOLDOWN_SECONDS: Final = 1.0
 MAX_COOLDOWN_SECONDS: Final = 30.0
 _BACKOFF_FACTOR: Final = 2.0
@@ -86,7 +86,7 @@
         self._failures += 1
         if self.state is BreakerState.HALF_OPEN:
             self._open(now, BreakerEvent.PROBE_FAILED)
-        elif self._failures >= FAILURES_TO_OPEN:
+        elif self._failures >= FAILURE_THRESHOLD:
             self._open(now, BreakerEvent.FAILURE_LIMIT)
 
     def request_inconclusive(self, generation: int) -> None:
--- a/src/sardinetrack/routing/outcome_handler.py
+++ b/src/sardinetrack/routing/outcome_handler.py
@@ -130,7 +130,7 @@
         fingerprint = queued.work.fingerprint
         strikes = self._shared.strikes
         retry = queued.work.idempotent and not answered
-        retry = retry and not strikes.condemned_seconds(now, fingerprint)
+        retry = retry and not strikes.blocked_seconds(now, fingerprint)
         if retry and self._shared.retries.try_withdraw():
             queued.failed_sides |= {attempt.side}
             effects.extend(pool.enqueue(now, queued, at_front=True))
--- a/src/sardinetrack/routing/pool.py
+++ b/src/sardinetrack/routing/pool.py
@@ -255,7 +255,7 @@
         )
         self._update_waiting(now, workspace)
         strikes = self._shared.strikes
-        if strikes.condemned_seconds(now, queued.work.fingerprint) > 0:
+        if strikes.blocked_seconds(now, queued.work.fingerprint) > 0:
             self.open_requests -= 1
             return rejection_for(queued, ErrorKind.CRASHES_SERVERS)
         return self._dispatch(now, queued, side, grant.number, reason)
--- a/src/sardinetrack/routing/queue.py
+++ b/src/sardinetrack/routing/queue.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from sardinetrack.errors.api import ErrorKind
-from sardinetrack.routing.api import HoldReason, RoutedRequest
+from sardinetrack.routing.api import RoutedRequest, WaitReason
 
 _LOOKAHEAD: Final = 4
 """Requests at the front among which one with a cached prefix goes first."""
@@ -37,7 +37,7 @@
     """Error of the last attempt that may have run."""
     queued_seconds: float = 0
     """When it was last queued, in monotonic time."""
-    reported_reason: HoldReason | None = None
+    reported_reason: WaitReason | None = None
     """Why it waits, as last reported."""
 
 
--- a/src/sardinetrack/routing/reporting.py
+++ b/src/sardinetrack/routing/reporting.py
@@ -8,7 +8,7 @@
 from sardinetrack.fairness.ledger import Ledger
 from sardinetrack.messages.api import ServiceReport
 from sardinetrack.routing.api import SendToEntries
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 MESSAGES_PER_REQUEST: Final = 0.8
 """Budget for reports; short requests are reported more often than long
@@ -25,7 +25,9 @@
 class Reporter:
     """Sends a report after some dispatches, or some time after a change."""
 
-    def __init__(self, pool: str, identity: Identity, ledger: Ledger) -> None:
+    def __init__(
+        self, pool: str, identity: ProcessIdentity, ledger: Ledger
+    ) -> None:
         self._pool = pool
         self._identity = identity
         self._ledger = ledger
--- a/src/sardinetrack/routing/router.py
+++ b/src/sardinetrack/routing/router.py
@@ -22,22 +22,22 @@
     EntryEffect,
     Reject,
     RoutedRequest,
-    Routing,
+    RoutingPolicy,
     SendToSide,
     SideInfo,
 )
 from sardinetrack.routing.outcome_handler import OutcomeHandler
 from sardinetrack.routing.pool import PoolRouter
 from sardinetrack.routing.rng import RandomSource
-from sardinetrack.routing.shared import Identity, SharedState
+from sardinetrack.routing.shared import ProcessIdentity, SharedState
 
 _STRIKE_CLEANUP_SECONDS: Final = 10.0
 
 
-class Router(Routing):
+class Router(RoutingPolicy):
     """Routes the requests of one entry, with a ``PoolRouter`` per pool."""
 
-    def __init__(self, identity: Identity, rng: RandomSource) -> None:
+    def __init__(self, identity: ProcessIdentity, rng: RandomSource) -> None:
         """Create a router without pools.
 
         :param identity: of this process.
@@ -64,14 +64,16 @@
             effects.extend(pool_router.dispatch_ready(now))
         return effects
 
-    def side_up(self, now: float, info: SideInfo) -> Sequence[EntryEffect]:
+    def side_connected(
+        self, now: float, info: SideInfo
+    ) -> Sequence[EntryEffect]:
         """Start using a side whose link is up."""
         pool = self._pool(info.pool)
         self._pool_of_side[info.side] = pool
         pool.sides.add(info, self._shared.breaker(info.backend_server))
         return pool.initial_bids(now, info.side)
 
-    def side_down(self, now: float, side: str) -> Sequence[EntryEffect]:
+    def side_disconnected(self, now: float, side: str) -> Sequence[EntryEffect]:
         """Stop using a side: its link broke or it is draining."""
         pool = self._pool_of_side.pop(side, None)
         if pool is not None:
@@ -151,7 +153,7 @@
         )
         return effects
 
-    def peer_service(
+    def apply_service_report(
         self,
         now: float,
         report: ServiceReport,
@@ -182,7 +184,7 @@
         self._shared.strikes.add(now, strike)
         return ()
 
-    def strike_noted(
+    def strike_acknowledged(
         self,
         now: float,
         entry: str,
@@ -209,7 +211,7 @@
             self._shared.strikes.remove_expired(now)
         return effects
 
-    def bids_for(self, side: str) -> Bids:
+    def current_bids(self, side: str) -> Bids:
         """Return the current bids for a side, to be sent with a run request."""
         pool = self._pool_of_side.get(side)
         found = pool.sides.find(side) if pool else None
--- a/src/sardinetrack/routing/scheduler.py
+++ b/src/sardinetrack/routing/scheduler.py
@@ -10,7 +10,7 @@
 from sardinetrack.fairness.invariant import ensure
 from sardinetrack.fairness.ledger import Ledger
 from sardinetrack.messages.api import BidRow, Bids
-from sardinetrack.routing.api import HoldReason, RoutedRequest, WaitNotice
+from sardinetrack.routing.api import RoutedRequest, WaitNotice, WaitReason
 from sardinetrack.routing.attempt import Attempt
 from sardinetrack.routing.queue import QueuedRequest, RequestQueues
 from sardinetrack.routing.shared import SharedState
@@ -160,17 +160,17 @@
         rows.extend(self._peer_rows(names, MAX_BID_ROWS - len(rows)))
         return Bids(pool, side.grants_seen, tuple(rows))
 
-    def _wait_reason(self, now: float, queued: QueuedRequest) -> HoldReason:
+    def _wait_reason(self, now: float, queued: QueuedRequest) -> WaitReason:
         workspace = queued.work.workspace
         if self.free_concurrency(workspace) <= 0:
-            return HoldReason.AT_LIMIT
+            return WaitReason.AT_LIMIT
         usable = self._sides.usable(now)
         with_slots = [side for side in usable if side.limit]
         if not all(self.is_excluded(now, queued, side) for side in with_slots):
-            return HoldReason.NO_SLOT
+            return WaitReason.NO_SLOT
         if queued.failed_sides and self._has_alternative(now, queued):
-            return HoldReason.AVOIDS
-        return HoldReason.SUSPECT if with_slots else HoldReason.NO_SLOT
+            return WaitReason.AVOIDS
+        return WaitReason.SUSPECT if with_slots else WaitReason.NO_SLOT
 
     def _eligible(self, now: float, side: Side | None) -> list[str]:
         """Return the workspaces with a request that may go to a side now."""
--- a/src/sardinetrack/routing/shared.py
+++ b/src/sardinetrack/routing/shared.py
@@ -11,14 +11,14 @@
 from sardinetrack.routing.retries import RetryBudget
 from sardinetrack.routing.rng import RandomSource
 from sardinetrack.routing.strike_sync import StrikeSync
-from sardinetrack.routing.strikes import StrikeBook
+from sardinetrack.routing.strikes import StrikeRegistry
 
 _UNKNOWN_LIMITS: Final = WorkspaceLimits(1.0, 1, 1.0, 1)
 """For requests still queued when their workspace is deleted."""
 
 
 @dataclass(frozen=True, slots=True)
-class Identity:
+class ProcessIdentity:
     """Name and incarnation of an entry's process."""
 
     entry: str
@@ -28,7 +28,7 @@
 class SharedState:
     """Limits, breakers, strikes, retry budget and attempt ids of one entry."""
 
-    def __init__(self, identity: Identity, rng: RandomSource) -> None:
+    def __init__(self, identity: ProcessIdentity, rng: RandomSource) -> None:
         """Create the state without limits and breakers.
 
         :param identity: of this process.
@@ -36,7 +36,7 @@
         """
         self.identity = identity
         self.rng = rng
-        self.strikes = StrikeBook()
+        self.strikes = StrikeRegistry()
         self.strike_sync = StrikeSync()
         self.retries = RetryBudget()
         self._limits: dict[str, WorkspaceLimits] = {}
--- a/src/sardinetrack/routing/strike_sync.py
+++ b/src/sardinetrack/routing/strike_sync.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from sardinetrack.routing.api import EntryEffect, HoldReason, Reject, WaitNotice
+from sardinetrack.routing.api import EntryEffect, Reject, WaitNotice, WaitReason
 
 MAX_DELAY_SECONDS: Final = 4.0
 """Longer than a link may be silent before it counts as down."""
@@ -69,7 +69,7 @@
         if not unacknowledged:
             return (replace(reject, strike=0),)
         self._delayed.append(_DelayedRejection(reject, now + MAX_DELAY_SECONDS))
-        return (self._notice(reject, HoldReason.CRASH_NEWS, unacknowledged),)
+        return (self._notice(reject, WaitReason.CRASH_NEWS, unacknowledged),)
 
     def due(self, now: float) -> Sequence[EntryEffect]:
         """Return the delayed responses that are now due.
@@ -86,7 +86,7 @@
                 still_delayed.append(delayed)
                 continue
             if unacknowledged:
-                reason = HoldReason.CRASH_UNKNOWN
+                reason = WaitReason.CRASH_UNKNOWN
                 effects.append(
                     self._notice(delayed.reject, reason, unacknowledged)
                 )
@@ -106,7 +106,7 @@
     def _notice(
         self,
         reject: Reject,
-        reason: HoldReason,
+        reason: WaitReason,
         entries: tuple[str, ...],
     ) -> WaitNotice:
         return WaitNotice(reject.request_id, reason, (), entries, 0)
--- a/src/sardinetrack/routing/strikes.py
+++ b/src/sardinetrack/routing/strikes.py
@@ -14,7 +14,7 @@
 """To a new peer; sending all would overflow the link's outbox."""
 
 
-class StrikeBook:
+class StrikeRegistry:
     """Counts the different servers that crashed while a fingerprint ran."""
 
     def __init__(self, servers_to_block: int = SERVERS_TO_BLOCK) -> None:
@@ -49,7 +49,7 @@
         expiries = self._expiries.get(fingerprint, {})
         return sum(expiry > now for expiry in expiries.values())
 
-    def condemned_seconds(self, now: float, fingerprint: str) -> float:
+    def blocked_seconds(self, now: float, fingerprint: str) -> float:
         """Return how long a fingerprint stays blocked; 0 when it is not."""
         if self.count(now, fingerprint) < self._servers_to_block:
             return 0
--- a/src/sardinetrack/turns/side.py
+++ b/src/sardinetrack/turns/side.py
@@ -15,7 +15,7 @@
 )
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.placement.prefix_index import MAX_RETENTION_SECONDS
-from sardinetrack.routing.strikes import StrikeBook
+from sardinetrack.routing.strikes import StrikeRegistry
 from sardinetrack.turns.clock import loop_now
 from sardinetrack.turns.desk import AdmissionDriver
 from sardinetrack.turns.engine_start import EngineStarts, StartUpdate
@@ -69,7 +69,7 @@
         self._requests: dict[str, AskTurn] = {}
         self._refused = RefusedRequests()
         self._new_prefixes: set[str] = set()
-        self._strikes = StrikeBook()
+        self._strikes = StrikeRegistry()
         self._stack = AsyncExitStack()
 
     async def __aenter__(self) -> Self:
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -31,7 +31,7 @@
     head_key,
 )
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 from sardinetrack.store.api import (
     ListedInstance,
     Listing,
@@ -211,7 +211,7 @@
         )
         claims = self.enter(self.portal.call(self._claims))
         self.claims.append(claims)
-        identity = Identity(name, f'{name}-1')
+        identity = ProcessIdentity(name, f'{name}-1')
         parts = EntryParts(
             settings=settings,
             peer_secret=SECRET,
--- a/tests/fairness/steps/textbook_steps.py
+++ b/tests/fairness/steps/textbook_steps.py
@@ -32,7 +32,7 @@
     SideInfo,
 )
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 FOREVER = 1e9
 NAMES = ('w0', 'w1', 'w2', 'w3')
@@ -56,7 +56,7 @@
         self.sent = {}
         self.requests = {}
         self.side = SlotAdmission('first', 1)
-        self.entry = Router(Identity('a', 'first'), Random(1))
+        self.entry = Router(ProcessIdentity('a', 'first'), Random(1))
         tenants = tuple(
             Tenant(f'w{number}', weight, 1, (1.0,))
             for number, weight in enumerate(weights)
@@ -64,7 +64,7 @@
         catalogue = workspaces(tenants, DEPLOYMENTS[0])
         self.entry.configure(0, catalogue, [catalogue_pool(DEPLOYMENTS[0])])
         info = SideInfo('s', DEPLOYMENTS[0].pool, 's', 'galata', '127.0.0.1:1')
-        self.entry.side_up(0, info)
+        self.entry.side_connected(0, info)
         self.entry.update_side_load(0, 's', self.side.load())
 
     def from_entry(self, effects):
@@ -129,7 +129,7 @@
     def _order(self, effect):
         demand = self.requests[effect.request_id]
         self.sent[effect.attempt_id] = demand
-        bids = self.entry.bids_for('s')
+        bids = self.entry.current_bids('s')
         self.from_side(self.side.update_bids(self.now, 'a', bids))
         arrival = Arrival(
             effect.attempt_id,
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -10,13 +10,13 @@
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.messages.api import BidRow, Bids, SideLoad, SidePhase
 from sardinetrack.messages.run import Fate
-from sardinetrack.routing.api import Dispatch, Reject, Routing
+from sardinetrack.routing.api import Dispatch, Reject, RoutingPolicy
 from sardinetrack.routing.router import Router
 
 UNLIMITED_SECONDS = 1e9
 
 
-class RandomRouting(Routing):
+class RandomRouting(RoutingPolicy):
     """Dispatches each request immediately to a random side."""
 
     def __init__(self, identity, random):
@@ -33,12 +33,12 @@
         self._limits = {one.name: one.limits.waiting for one in workspaces}
         return ()
 
-    def side_up(self, now, info):
+    def side_connected(self, now, info):
         """Add a side."""
         self._sides.append(info.side)
         return ()
 
-    def side_down(self, now, side):
+    def side_disconnected(self, now, side):
         """Remove a side."""
         self._sides.remove(side)
         return ()
@@ -82,7 +82,7 @@
             'random',
         )
 
-    def bids_for(self, side):
+    def current_bids(self, side):
         """Return empty bids."""
         return Bids('', 0, ())
 
@@ -93,10 +93,10 @@
     cancel = _ignore
     grant = _ignore
     adjust_charge = _ignore
-    peer_service = _ignore
+    apply_service_report = _ignore
     peer_lost = _ignore
     apply_strike = _ignore
-    strike_noted = _ignore
+    strike_acknowledged = _ignore
     deliver_rejection = _ignore
     peer_linked = _ignore
     tick = _ignore
@@ -165,7 +165,7 @@
 class IsolatedRouter(Router):
     """Fair among its own workspaces; ignores the reports of other entries."""
 
-    def peer_service(self, now, report):
+    def apply_service_report(self, now, report):
         """Ignore a service report."""
         return ()
 
--- a/tests/once/claims_world.py
+++ b/tests/once/claims_world.py
@@ -143,7 +143,7 @@
                 platform,
                 settings,
                 wall_clock=anyio.current_time,
-                chance=self.rng,
+                jitter_rng=self.rng,
             ) as claims:
                 self.entries[name] = claims
                 self.platforms[name] = platform
--- a/tests/once/random_run.py
+++ b/tests/once/random_run.py
@@ -104,7 +104,7 @@
             self.platform,
             settings,
             wall_clock=self._wall_clock,
-            chance=rng,
+            jitter_rng=rng,
         ) as claims:
             self.claims = claims
             await anyio.sleep_forever()
--- a/tests/relay/steps/relay_steps.py
+++ b/tests/relay/steps/relay_steps.py
@@ -16,7 +16,7 @@
     configuration,
 )
 
-from sardinetrack.routing.breaker import FAILURES_TO_OPEN
+from sardinetrack.routing.breaker import FAILURE_THRESHOLD
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.freshness import boot_clock
 
@@ -389,7 +389,7 @@
     state = context.world.entry_state
     for server in state.servers.of_pool('plain')[:count]:
         breaker = state.server_states.breaker(server)
-        for _ in range(FAILURES_TO_OPEN):
+        for _ in range(FAILURE_THRESHOLD):
             breaker.request_failed(
                 context.world.loop.time(), breaker.generation
             )
--- a/tests/relay/steps/restart_steps.py
+++ b/tests/relay/steps/restart_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from sardinetrack.placement.load import FIRST_RATE
-from sardinetrack.routing.breaker import FAILURES_TO_OPEN, BreakerState
+from sardinetrack.routing.breaker import FAILURE_THRESHOLD, BreakerState
 from sardinetrack.topology.starts import ServerStart
 
 _PREFIX = 'p7'
@@ -39,7 +39,7 @@
         kept = await state.connections.acquire(server.address)
         state.connections.release(server.address, kept)
         breaker = state.server_states.breaker(server)
-        for _ in range(FAILURES_TO_OPEN):
+        for _ in range(FAILURE_THRESHOLD):
             breaker.request_failed(now, breaker.generation)
 
     context.world.run(act())
--- a/tests/routing/crash_simulation.py
+++ b/tests/routing/crash_simulation.py
@@ -18,7 +18,7 @@
     SideInfo,
 )
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 ENTRIES = ('a', 'b', 'c')
 SERVERS = tuple(f'engine{number}' for number in range(8))
@@ -57,11 +57,11 @@
         raise AssertionError('no response')
 
     def _entry(self, name: str) -> Router:
-        router = Router(Identity(name, 'first'), self._random)
+        router = Router(ProcessIdentity(name, 'first'), self._random)
         router.configure(0, [workspace('pilot')], [pool()])
         for server in SERVERS:
             info = SideInfo(server, POOL, server, 'galata', '127.0.0.1:1')
-            router.side_up(0, info)
+            router.side_connected(0, info)
             router.update_side_load(
                 0, server, SideLoad('first', SidePhase.SERVING, 4, 0, 4)
             )
@@ -99,7 +99,7 @@
             router.apply_strike(self._now, message)
             self._links[receiver, sender].append(message.number)
         else:
-            effects = router.strike_noted(self._now, sender, message)
+            effects = router.strike_acknowledged(self._now, sender, message)
             self._handle_effects(receiver, effects)
 
     def _handle_effects(self, name: str, effects) -> None:
--- a/tests/routing/steps/breaker_steps.py
+++ b/tests/routing/steps/breaker_steps.py
@@ -11,7 +11,7 @@
     BreakerState,
 )
 from sardinetrack.routing.retries import RetryBudget
-from sardinetrack.routing.strikes import STRIKE_TTL_SECONDS, StrikeBook
+from sardinetrack.routing.strikes import STRIKE_TTL_SECONDS, StrikeRegistry
 
 
 @given('a breaker with a request in flight')
@@ -116,7 +116,7 @@
 @step('{fingerprint} was running when server {server} crashed')
 def crash(context, fingerprint, server):
     if 'strikes' not in context:
-        context.strikes = StrikeBook()
+        context.strikes = StrikeRegistry()
     context.strikes.add(0, Strike(fingerprint, server, STRIKE_TTL_SECONDS))
 
 
@@ -127,9 +127,9 @@
 
 @then('{fingerprint} is not blocked')
 def check_innocent(context, fingerprint):
-    assert not context.strikes.condemned_seconds(0, fingerprint)
+    assert not context.strikes.blocked_seconds(0, fingerprint)
 
 
 @then('{fingerprint} is blocked for at most {seconds:g} seconds')
 def check_blocked(context, fingerprint, seconds):
-    assert 0 < context.strikes.condemned_seconds(0, fingerprint) <= seconds
+    assert 0 < context.strikes.blocked_seconds(0, fingerprint) <= seconds
--- a/tests/routing/steps/router_steps.py
+++ b/tests/routing/steps/router_steps.py
@@ -33,7 +33,7 @@
     WaitNotice,
 )
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 POOL = 'ice-llm'
 QUEUE_LIMIT = 8
@@ -78,11 +78,11 @@
 def start_entry(context):
     context.now = 0
     context.effects = []
-    context.router = Router(Identity('a', 'first'), Random(1))
+    context.router = Router(ProcessIdentity('a', 'first'), Random(1))
     names = [workspace('pilot'), workspace('agency')]
     context.router.configure(0, names, [pool()])
     info = SideInfo('s1', POOL, 'engine1', 'galata', '127.0.0.1:1')
-    context.router.side_up(0, info)
+    context.router.side_connected(0, info)
     load = SideLoad('first', SidePhase.SERVING, 1, 0, 1)
     context.router.update_side_load(0, 's1', load)
 
@@ -205,7 +205,7 @@
 def report_peer(context, name, running, waiting):
     row = ServiceRow(name, 0, running, waiting)
     report = ServiceReport('b', 'first', POOL, (row,))
-    context.router.peer_service(context.now, report)
+    context.router.apply_service_report(context.now, report)
 
 
 @then('{count:d} requests of {name} are dispatched')
@@ -222,7 +222,7 @@
     load = SideLoad('first', SidePhase.SERVING, 0, 0, 0)
     for name in names.split(' and '):
         info = SideInfo(name, POOL, f'engine-{name}', 'galata', '127.0.0.1:2')
-        context.router.side_up(0, info)
+        context.router.side_connected(0, info)
         context.router.update_side_load(0, name, load)
 
 
--- a/tests/routing/steps/suspects_steps.py
+++ b/tests/routing/steps/suspects_steps.py
@@ -18,16 +18,16 @@
 )
 from sardinetrack.routing.api import (
     AttemptOutcome,
-    HoldReason,
     Reject,
     RoutedRequest,
     SendToEntries,
     SendToSide,
     SideInfo,
     WaitNotice,
+    WaitReason,
 )
 from sardinetrack.routing.router import Router
-from sardinetrack.routing.shared import Identity
+from sardinetrack.routing.shared import ProcessIdentity
 
 _SEEDS = 300
 _ATTEMPTS = 8
@@ -55,12 +55,12 @@
 def start_entry(context, count):
     context.now = 0
     context.effects = []
-    context.router = Router(Identity('a', 'first'), Random(1))
+    context.router = Router(ProcessIdentity('a', 'first'), Random(1))
     context.router.configure(0, [workspace('pilot')], [pool()])
     context.sides = [f's{number}' for number in range(count)]
     for side in context.sides:
         info = SideInfo(side, POOL, f'engine-{side}', 'galata', '127.0.0.1:1')
-        context.router.side_up(0, info)
+        context.router.side_connected(0, info)
         report_load(context, side, limit=1, free=1)
 
 
@@ -140,13 +140,13 @@
 @then('the response to p1 waits for the acknowledgement of c')
 def still_delayed(context):
     assert not rejects(context), context.effects
-    assert notices(context)[-1].reason is HoldReason.CRASH_NEWS
+    assert notices(context)[-1].reason is WaitReason.CRASH_NEWS
 
 
 @then('a notice lists b and c as entries without the strike')
 def check_unacknowledged(context):
     last = notices(context)[-1]
-    assert last.reason is HoldReason.CRASH_UNKNOWN, last
+    assert last.reason is WaitReason.CRASH_UNKNOWN, last
     assert last.waits_for == ('b', 'c'), last
 
 
@@ -171,7 +171,7 @@
 
 
 def acknowledge(context, entry, number):
-    released = context.router.strike_noted(context.now, entry, number)
+    released = context.router.strike_acknowledged(context.now, entry, number)
     context.effects.extend(released)
 
 
@@ -220,7 +220,7 @@
     'another entry receives both, and that p1 ran at a crash of server {server}'
 )
 def peer_clears(context, server):
-    context.router = Router(Identity('b', 'first'), Random(1))
+    context.router = Router(ProcessIdentity('b', 'first'), Random(1))
     context.router.configure(0, [workspace('pilot')], [pool()])
     context.router.apply_strike(context.now, Strike('print-p1', 'one', 60.0))
     context.router.apply_strike(context.now, Strike('print-p1', 'one', 0))
@@ -231,7 +231,7 @@
 def still_served(context):
     for side in context.sides:
         info = SideInfo(side, POOL, f'engine-{side}', 'galata', '127.0.0.1:1')
-        context.router.side_up(context.now, info)
+        context.router.side_connected(context.now, info)
         report_load(context, side, limit=1, free=1)
     before = len(attempts(context, 'p1'))
     submit(context, 'p1')
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -11,7 +11,7 @@
 from sardinetrack.messages.api import Strike
 from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.placement.prefix_index import PrefixCacheIndex
-from sardinetrack.relay.crashes import STRIKE_SECONDS, CrashWatch
+from sardinetrack.relay.crashes import STRIKE_TTL_SECONDS, CrashWatch
 from sardinetrack.topology.cold import ColdWord
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.starts import ServerStart
@@ -231,7 +231,7 @@
 def report_strikes(context, number, count):
     async def act():
         strikes = tuple(
-            Strike('f1', f'i-{one}', STRIKE_SECONDS) for one in range(count)
+            Strike('f1', f'i-{one}', STRIKE_TTL_SECONDS) for one in range(count)
         )
         _entry(context, number).connection.send(Struck(strikes))
         await _settle()
