--- a/src/sardinetrack/admission/api.py
+++ b/src/sardinetrack/admission/api.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 
 from sardinetrack.messages.api import Bids, Grant, SideLoad
-from sardinetrack.messages.run import Fate
+from sardinetrack.messages.run import AttemptStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,7 +139,7 @@
         attempt_id: str,
         *,
         cancel: bool,
-    ) -> tuple[Fate, Sequence[AdmissionEffect]]:
+    ) -> tuple[AttemptStatus, Sequence[AdmissionEffect]]:
         """Return the status of an attempt, for a status query.
 
         An attempt that has not started is tombstoned and never starts.
--- a/src/sardinetrack/admission/attempts.py
+++ b/src/sardinetrack/admission/attempts.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from sardinetrack.charts.typed import TypedChart
-from sardinetrack.messages.run import Fate
+from sardinetrack.messages.run import AttemptStatus
 
 KEEP_SECONDS: Final = 900.0
 """How long an ended attempt is kept; entries query its status much sooner."""
@@ -44,11 +44,11 @@
 _LIVE: Final = frozenset((AttemptState.HELD, AttemptState.RUNNING))
 _STATUSES: Final = MappingProxyType(
     {
-        AttemptState.RUNNING: Fate.RUNNING,
-        AttemptState.FINISHED: Fate.FINISHED,
-        AttemptState.FAILED: Fate.FAILED,
-        AttemptState.STOPPED: Fate.STOPPED,
-        AttemptState.TOMBSTONED: Fate.NOT_STARTED,
+        AttemptState.RUNNING: AttemptStatus.RUNNING,
+        AttemptState.FINISHED: AttemptStatus.FINISHED,
+        AttemptState.FAILED: AttemptStatus.FAILED,
+        AttemptState.STOPPED: AttemptStatus.STOPPED,
+        AttemptState.TOMBSTONED: AttemptStatus.NOT_STARTED,
     }
 )
 
@@ -95,7 +95,7 @@
         elif after is not before:
             self._end(now, attempt_id, after)
 
-    def final_status(self, now: float, attempt_id: str) -> Fate:
+    def final_status(self, now: float, attempt_id: str) -> AttemptStatus:
         """Return the status; an attempt that has not started never will.
 
         A record evicted by newer ones may be of an attempt that ran, so no
@@ -109,7 +109,7 @@
         unseen = self.state(attempt_id) is AttemptState.UNSEEN
         self.apply(now, attempt_id, AttemptEvent.ASK)
         if unseen and now < self._incomplete_until_seconds:
-            return Fate.UNKNOWN
+            return AttemptStatus.UNKNOWN
         return _STATUSES[self.state(attempt_id)]
 
     def drop_expired(self, now: float) -> None:
--- a/src/sardinetrack/admission/slots.py
+++ b/src/sardinetrack/admission/slots.py
@@ -26,7 +26,7 @@
 from sardinetrack.admission.grant_prefetch import GrantPrefetch
 from sardinetrack.fairness.invariant import ensure
 from sardinetrack.messages.api import Bids, Grant, SideLoad, SidePhase
-from sardinetrack.messages.run import Fate
+from sardinetrack.messages.run import AttemptStatus
 
 _ANNOUNCE_SECONDS: Final = 5.0
 """Interval at which an idle side announces a changed load."""
@@ -134,14 +134,14 @@
         attempt_id: str,
         *,
         cancel: bool,
-    ) -> tuple[Fate, Sequence[AdmissionEffect]]:
+    ) -> tuple[AttemptStatus, Sequence[AdmissionEffect]]:
         """Return the status of an attempt; one not started never will be."""
         status = self._attempts.final_status(now, attempt_id)
         if self._queued.pop(attempt_id, None) is not None:
             self._suspects.discard(attempt_id)
             refusal = RefuseRequest(attempt_id, RefusalReason.TOMBSTONED)
             return status, (refusal, *self._fill_slots(now))
-        if cancel and status is Fate.RUNNING:
+        if cancel and status is AttemptStatus.RUNNING:
             return status, (CancelRequest(attempt_id),)
         return status, ()
 
--- a/src/sardinetrack/entry/attempt.py
+++ b/src/sardinetrack/entry/attempt.py
@@ -21,7 +21,7 @@
 from sardinetrack.http.client import BrokenError, NotSentError, StreamedReply
 from sardinetrack.links.run_reply import RunReply
 from sardinetrack.logs.lines import Part, PartLogger
-from sardinetrack.messages.run import RUN_PATH, Fate
+from sardinetrack.messages.run import RUN_PATH, AttemptStatus
 from sardinetrack.routing.api import AttemptOutcome, Dispatch
 
 _LOG: Final = PartLogger(Part.ENTRY)
@@ -143,13 +143,13 @@
     ) -> AttemptResult | None:
         reply = RunReply(streamed)
         match reply.run_result.fate:
-            case Fate.NOT_STARTED:
+            case AttemptStatus.NOT_STARTED:
                 return _NOT_STARTED
-            case Fate.FAILED:
+            case AttemptStatus.FAILED:
                 return AttemptResult(AttemptOutcome.FAILED)
-            case Fate.STOPPED:
+            case AttemptStatus.STOPPED:
                 return AttemptResult(AttemptOutcome.UNKNOWN)
-            case Fate.UNKNOWN:
+            case AttemptStatus.UNKNOWN:
                 return None
         await self._relay_response(reply)
         return AttemptResult(AttemptOutcome.COMPLETED, self._cost())
--- a/src/sardinetrack/entry/run_request.py
+++ b/src/sardinetrack/entry/run_request.py
@@ -5,8 +5,8 @@
 from sardinetrack.entry.call import Call
 from sardinetrack.entry.side_directory import SideDirectory, SideEndpoint
 from sardinetrack.messages.api import Bids
-from sardinetrack.messages.run import RUN_HEADER, RunOrder
-from sardinetrack.messages.run_codec import order_text
+from sardinetrack.messages.run import RUN_HEADER, RunRequest
+from sardinetrack.messages.run_codec import encode_run_request
 from sardinetrack.routing.api import Dispatch
 
 
@@ -26,7 +26,7 @@
     :param bids: this entry's other queued requests for the side's slots.
     :return: pairs of header name and value.
     """
-    request = RunOrder(
+    request = RunRequest(
         attempt_id=dispatch.attempt_id,
         incarnation=side.incarnation,
         entry=sides.entry,
@@ -48,6 +48,6 @@
     )
     return [
         sides.secret.header(),
-        (RUN_HEADER, order_text(request)),
+        (RUN_HEADER, encode_run_request(request)),
         ('content-type', 'application/octet-stream'),
     ]
--- a/src/sardinetrack/entry/stall_detection.py
+++ b/src/sardinetrack/entry/stall_detection.py
@@ -11,7 +11,7 @@
 from sardinetrack.entry.side_directory import SideDirectory, SideEndpoint
 from sardinetrack.entry.status_query import StatusQuery
 from sardinetrack.logs.lines import Part, PartLogger
-from sardinetrack.messages.run import Fate
+from sardinetrack.messages.run import AttemptStatus
 
 _LOG: Final = PartLogger(Part.ENTRY)
 STALL_SECONDS: Final = 2.0
@@ -23,7 +23,7 @@
 rest of a started response can only come from the side that started it, and a
 side whose process or machine stalls for seconds still has it.
 """
-_MAY_STILL_RESPOND: Final = frozenset((Fate.RUNNING, None))
+_MAY_STILL_RESPOND: Final = frozenset((AttemptStatus.RUNNING, None))
 """Statuses that justify waiting longer; ``None``: the side did not respond."""
 
 
--- a/src/sardinetrack/entry/status_query.py
+++ b/src/sardinetrack/entry/status_query.py
@@ -13,9 +13,9 @@
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.messages.run import (
     ATTEMPT_PATH,
-    AttemptAnswer,
-    AttemptQuery,
-    Fate,
+    AttemptStatus,
+    AttemptStatusRequest,
+    AttemptStatusResponse,
 )
 from sardinetrack.routing.api import AttemptOutcome, Dispatch
 
@@ -26,14 +26,14 @@
 """Less than a side keeps records: ``admission.attempts.KEEP_SECONDS``."""
 _OUTCOMES: Final = MappingProxyType(
     {
-        Fate.NOT_STARTED: AttemptOutcome.NOT_STARTED,
+        AttemptStatus.NOT_STARTED: AttemptOutcome.NOT_STARTED,
         # Only the connection broke: reporting a failure would record a strike
         # against the request for a crash that did not happen.
-        Fate.RUNNING: AttemptOutcome.UNKNOWN,
-        Fate.FINISHED: AttemptOutcome.UNKNOWN,
-        Fate.STOPPED: AttemptOutcome.UNKNOWN,
-        Fate.FAILED: AttemptOutcome.FAILED,
-        Fate.UNKNOWN: AttemptOutcome.UNKNOWN,
+        AttemptStatus.RUNNING: AttemptOutcome.UNKNOWN,
+        AttemptStatus.FINISHED: AttemptOutcome.UNKNOWN,
+        AttemptStatus.STOPPED: AttemptOutcome.UNKNOWN,
+        AttemptStatus.FAILED: AttemptOutcome.FAILED,
+        AttemptStatus.UNKNOWN: AttemptOutcome.UNKNOWN,
     },
 )
 
@@ -67,14 +67,16 @@
                 return _trusted(_OUTCOMES[status], began_seconds)
         return AttemptOutcome.UNKNOWN
 
-    async def query_once(self, attempt_id: str, *, cancel: bool) -> Fate | None:
+    async def query_once(
+        self, attempt_id: str, *, cancel: bool
+    ) -> AttemptStatus | None:
         """Query the status of an attempt once.
 
         :param attempt_id: the attempt; if not started, it never will be.
         :param cancel: whether to stop it if it runs.
         :return: its status; ``None`` when there was no response.
         """
-        query = AttemptQuery(attempt_id, self._side.incarnation, cancel)
+        query = AttemptStatusRequest(attempt_id, self._side.incarnation, cancel)
         with anyio.move_on_after(_QUERY_TIMEOUT_SECONDS):
             try:
                 return await self._call(attempt_id, query)
@@ -87,14 +89,16 @@
                 )
         return None
 
-    async def _call(self, attempt_id: str, query: AttemptQuery) -> Fate:
+    async def _call(
+        self, attempt_id: str, query: AttemptStatusRequest
+    ) -> AttemptStatus:
         reply = await self._sides.http.call(
             'POST',
             self._side.url(f'{ATTEMPT_PATH}{attempt_id}'),
             headers=[self._sides.secret.header()],
             body=msgspec.json.encode(query),
         )
-        return msgspec.json.decode(reply.body, type=AttemptAnswer).fate
+        return msgspec.json.decode(reply.body, type=AttemptStatusResponse).fate
 
 
 def _trusted(end: AttemptOutcome, began_seconds: float) -> AttemptOutcome:
--- a/src/sardinetrack/links/run_reply.py
+++ b/src/sardinetrack/links/run_reply.py
@@ -10,8 +10,8 @@
 from sardinetrack.messages.run import RESULT_HEADER, RunResult
 from sardinetrack.messages.run_codec import (
     SERVER_HEADERS_HEADER,
-    read_result,
-    read_server_headers,
+    decode_run_result,
+    decode_server_headers,
 )
 
 
@@ -30,10 +30,10 @@
         """
         self._response = response
         try:
-            self.run_result: RunResult = read_result(
+            self.run_result: RunResult = decode_run_result(
                 response.header(RESULT_HEADER) or '',
             )
-            self.headers = read_server_headers(
+            self.headers = decode_server_headers(
                 response.header(SERVER_HEADERS_HEADER) or '[]',
             )
         except msgspec.DecodeError as error:
--- a/src/sardinetrack/messages/run.py
+++ b/src/sardinetrack/messages/run.py
@@ -13,7 +13,7 @@
 RESULT_HEADER: Final = 'sardinetrack-result'
 
 
-class RunOrder(Struct, frozen=True):
+class RunRequest(Struct, frozen=True):
     """Run request of an entry to a side; sent as JSON in ``RUN_HEADER``."""
 
     attempt_id: str
@@ -39,7 +39,7 @@
     """The entry's current bids, see ``BidRow``; saves a separate message."""
 
 
-class Fate(StrEnum):
+class AttemptStatus(StrEnum):
     """Status of an attempt at its side."""
 
     NOT_STARTED = 'not_started'
@@ -57,7 +57,7 @@
 class RunResult(Struct, frozen=True):
     """A side's result of a run request; sent as JSON in ``RESULT_HEADER``."""
 
-    fate: Fate
+    fate: AttemptStatus
     incarnation: str
     status: int = 0
     """HTTP status of the backend server's response; 0 if there is none."""
@@ -67,7 +67,7 @@
     """Free slots at the side."""
 
 
-class AttemptQuery(Struct, frozen=True):
+class AttemptStatusRequest(Struct, frozen=True):
     """Status query after a broken connection; body of a POST request."""
 
     attempt_id: str
@@ -77,8 +77,8 @@
     """Also cancel the attempt if it runs."""
 
 
-class AttemptAnswer(Struct, frozen=True):
+class AttemptStatusResponse(Struct, frozen=True):
     """Response to a status query; ``NOT_STARTED`` is final."""
 
-    fate: Fate
+    fate: AttemptStatus
     incarnation: str
--- a/src/sardinetrack/messages/run_codec.py
+++ b/src/sardinetrack/messages/run_codec.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from sardinetrack.messages.run import RunOrder, RunResult
+from sardinetrack.messages.run import RunRequest, RunResult
 
 ServerHeaders = tuple[tuple[str, str], ...]
 
@@ -23,25 +23,25 @@
 _HEADER_ENCODING: Final = 'latin-1'
 
 
-def order_text(run_request: RunOrder) -> str:
+def encode_run_request(run_request: RunRequest) -> str:
     """Encode a run request for ``RUN_HEADER``."""
     return msgspec.json.encode(run_request).decode(_HEADER_ENCODING)
 
 
-def read_order(text: str) -> RunOrder:
+def decode_run_request(text: str) -> RunRequest:
     """Decode the value of ``RUN_HEADER``.
 
     :raises msgspec.DecodeError: it is not a valid run request.
     """
-    return msgspec.json.decode(text.encode(_HEADER_ENCODING), type=RunOrder)
+    return msgspec.json.decode(text.encode(_HEADER_ENCODING), type=RunRequest)
 
 
-def result_text(run_result: RunResult) -> str:
+def encode_run_result(run_result: RunResult) -> str:
     """Encode a result for ``RESULT_HEADER``."""
     return msgspec.json.encode(run_result).decode(_HEADER_ENCODING)
 
 
-def read_result(text: str) -> RunResult:
+def decode_run_result(text: str) -> RunResult:
     """Decode the value of ``RESULT_HEADER``.
 
     :raises msgspec.DecodeError: it is not a valid result.
@@ -49,12 +49,12 @@
     return msgspec.json.decode(text.encode(_HEADER_ENCODING), type=RunResult)
 
 
-def server_headers_text(headers: ServerHeaders) -> str:
+def encode_server_headers(headers: ServerHeaders) -> str:
     """Encode the headers of a backend server."""
     return msgspec.json.encode(headers).decode(_HEADER_ENCODING)
 
 
-def read_server_headers(text: str) -> ServerHeaders:
+def decode_server_headers(text: str) -> ServerHeaders:
     """Decode the headers of a backend server.
 
     :raises msgspec.DecodeError: they are not pairs of strings.
--- a/src/sardinetrack/side/active_attempts.py
+++ b/src/sardinetrack/side/active_attempts.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.streams.memory import MemoryObjectSendStream
 
-from sardinetrack.messages.run import RunOrder, RunResult
+from sardinetrack.messages.run import RunRequest, RunResult
 from sardinetrack.side.events import (
     AttemptDecision,
     AttemptEnded,
@@ -31,7 +31,7 @@
 class ActiveAttempt:
     """An attempt between its arrival and the end of its task."""
 
-    run_request: RunOrder
+    run_request: RunRequest
     decisions: MemoryObjectSendStream[AttemptDecision]
     started_at: float | None = None
     refused: bool = False
--- a/src/sardinetrack/side/attempt.py
+++ b/src/sardinetrack/side/attempt.py
@@ -8,7 +8,7 @@
 import anyio
 
 from sardinetrack.admission.api import RefusalReason
-from sardinetrack.messages.run import Fate, RunOrder, RunResult
+from sardinetrack.messages.run import AttemptStatus, RunRequest, RunResult
 from sardinetrack.side.events import (
     AttemptDecision,
     AttemptEnded,
@@ -26,7 +26,7 @@
 class Attempt:
     """Submits a run request to the owner task and reports how it ended."""
 
-    def __init__(self, run_request: RunOrder, owner: SideEvents) -> None:
+    def __init__(self, run_request: RunRequest, owner: SideEvents) -> None:
         """Create the attempt; entering its context submits it.
 
         :param run_request: the request as received from the entry.
@@ -109,7 +109,7 @@
     def _refusal_after_end(self) -> Refused:
         return Refused(
             RunResult(
-                Fate.NOT_STARTED,
+                AttemptStatus.NOT_STARTED,
                 self.run_request.incarnation,
                 reason=RefusalReason.DRAINING,
             ),
--- a/src/sardinetrack/side/attempt_endpoint.py
+++ b/src/sardinetrack/side/attempt_endpoint.py
@@ -10,7 +10,7 @@
 
 from sardinetrack.errors.api import AnsweredError, ErrorKind
 from sardinetrack.http.asgi import Exchange
-from sardinetrack.messages.run import ATTEMPT_PATH, AttemptQuery
+from sardinetrack.messages.run import ATTEMPT_PATH, AttemptStatusRequest
 from sardinetrack.side.events import AttemptQueried, SideEvents
 from sardinetrack.side.owner_queries import query_owner
 
@@ -33,10 +33,10 @@
         await exchange.answer_json(HTTPStatus.OK, response)
 
 
-async def _read_query(exchange: Exchange) -> AttemptQuery:
+async def _read_query(exchange: Exchange) -> AttemptStatusRequest:
     body = await exchange.body(_MAX_QUERY_BYTES, _QUERY_SECONDS)
     try:
-        query = msgspec.json.decode(body, type=AttemptQuery)
+        query = msgspec.json.decode(body, type=AttemptStatusRequest)
     except msgspec.DecodeError as error:
         raise AnsweredError(ErrorKind.BAD_REQUEST, str(error)) from error
     if query.attempt_id != exchange.path.removeprefix(ATTEMPT_PATH):
--- a/src/sardinetrack/side/backend.py
+++ b/src/sardinetrack/side/backend.py
@@ -16,7 +16,7 @@
     Reply,
     StreamedReply,
 )
-from sardinetrack.messages.run import RunOrder
+from sardinetrack.messages.run import RunRequest
 from sardinetrack.side.load_report import LoadReport
 
 _PROBE_SECONDS: Final = 1.0
@@ -46,7 +46,7 @@
 
     def run(
         self,
-        run_request: RunOrder,
+        run_request: RunRequest,
         body: bytes,
     ) -> AbstractAsyncContextManager[StreamedReply]:
         """Send a request; leaving the context early cancels it at the server.
--- a/src/sardinetrack/side/backend_run.py
+++ b/src/sardinetrack/side/backend_run.py
@@ -11,7 +11,7 @@
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.http.client import BrokenError, NotSentError, StreamedReply
 from sardinetrack.logs.lines import Part, PartLogger
-from sardinetrack.messages.run import Fate, RunResult
+from sardinetrack.messages.run import AttemptStatus, RunResult
 from sardinetrack.side.attempt import Attempt
 from sardinetrack.side.backend_watch import request_probe
 from sardinetrack.side.costs import meter_for
@@ -108,7 +108,7 @@
         self, response: StreamedReply, started: Started
     ) -> None:
         run_result = RunResult(
-            Fate.RUNNING,
+            AttemptStatus.RUNNING,
             self._attempt.run_request.incarnation,
             status=response.status,
             free=started.free,
@@ -127,7 +127,7 @@
 
     async def _respond_not_started(self) -> None:
         run_result = RunResult(
-            Fate.NOT_STARTED,
+            AttemptStatus.NOT_STARTED,
             self._attempt.run_request.incarnation,
             reason=DaemonRefusal.NO_SERVER,
         )
@@ -140,7 +140,7 @@
         if self._exchange.started:
             return False
         run_result = RunResult(
-            Fate.FAILED, self._attempt.run_request.incarnation
+            AttemptStatus.FAILED, self._attempt.run_request.incarnation
         )
         await send_result(self._exchange, run_result)
         return True
--- a/src/sardinetrack/side/events.py
+++ b/src/sardinetrack/side/events.py
@@ -11,9 +11,9 @@
 from sardinetrack.links.api import LinkEvent
 from sardinetrack.messages.api import ConfigDigest, SideLoad
 from sardinetrack.messages.run import (
-    AttemptAnswer,
-    AttemptQuery,
-    RunOrder,
+    AttemptStatusRequest,
+    AttemptStatusResponse,
+    RunRequest,
     RunResult,
 )
 
@@ -45,7 +45,7 @@
 class RunRequestReceived:
     """A run request and its complete body have arrived."""
 
-    run_request: RunOrder
+    run_request: RunRequest
     decisions: MemoryObjectSendStream[AttemptDecision]
     """Buffers two decisions, so that sending them never blocks."""
 
@@ -65,8 +65,8 @@
 class AttemptQueried:
     """An entry has sent a status query for an attempt."""
 
-    query: AttemptQuery
-    responses: MemoryObjectSendStream[AttemptAnswer]
+    query: AttemptStatusRequest
+    responses: MemoryObjectSendStream[AttemptStatusResponse]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/sardinetrack/side/log.py
+++ b/src/sardinetrack/side/log.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from sardinetrack.logs.lines import DecisionRecord, Part, PartLogger
-from sardinetrack.messages.run import RunOrder
+from sardinetrack.messages.run import RunRequest
 from sardinetrack.side.identity import SideIdentity
 
 _LOG: Final = PartLogger(Part.SIDE)
@@ -17,7 +17,9 @@
     def __init__(self, identity: SideIdentity) -> None:
         self._identity = identity
 
-    def record(self, sentence: str, run_request: RunOrder, reason: str) -> None:
+    def record(
+        self, sentence: str, run_request: RunRequest, reason: str
+    ) -> None:
         """Log a decision about a run request.
 
         The side does not know the id of the caller's request; the entry logs it
--- a/src/sardinetrack/side/request_event_handler.py
+++ b/src/sardinetrack/side/request_event_handler.py
@@ -4,7 +4,12 @@
 
 from sardinetrack.admission.api import Arrival, RefusalReason
 from sardinetrack.messages.api import BidRow, Bids
-from sardinetrack.messages.run import AttemptAnswer, Fate, RunOrder, RunResult
+from sardinetrack.messages.run import (
+    AttemptStatus,
+    AttemptStatusResponse,
+    RunRequest,
+    RunResult,
+)
 from sardinetrack.side.active_attempts import ActiveAttempt
 from sardinetrack.side.events import (
     AttemptEnded,
@@ -70,7 +75,7 @@
             # that process started is unknown here, and "not run" might be
             # wrong.
             event.responses.send_nowait(
-                AttemptAnswer(Fate.UNKNOWN, own_incarnation)
+                AttemptStatusResponse(AttemptStatus.UNKNOWN, own_incarnation)
             )
             return ()
         fate, effects = self._state.admission.resolve_status(
@@ -78,7 +83,9 @@
             query.attempt_id,
             cancel=query.cancel,
         )
-        event.responses.send_nowait(AttemptAnswer(fate, own_incarnation))
+        event.responses.send_nowait(
+            AttemptStatusResponse(fate, own_incarnation)
+        )
         return effects
 
     def carry_out_refusal(
@@ -88,7 +95,7 @@
         reason: RefusalReason,
     ) -> None:
         """Carry out a refusal of the admission object."""
-        fate = Fate.NOT_STARTED
+        fate = AttemptStatus.NOT_STARTED
         if reason is RefusalReason.DUPLICATE:
             # The first run request with this id may have run.
             fate, _ = self._state.admission.resolve_status(
@@ -100,11 +107,11 @@
         # Both run requests have the same id: the first one's task is still
         # active, and this refusal must neither reach it nor claim that nothing
         # ran.
-        refusal = self._result(Fate.UNKNOWN, RefusalReason.DUPLICATE)
+        refusal = self._result(AttemptStatus.UNKNOWN, RefusalReason.DUPLICATE)
         second = ActiveAttempt(event.run_request, event.decisions)
         self._state.attempts.refuse_request(second, refusal)
 
-    def _result(self, fate: Fate, reason: RefusalReason) -> RunResult:
+    def _result(self, fate: AttemptStatus, reason: RefusalReason) -> RunResult:
         return RunResult(
             fate,
             self._state.identity.incarnation,
@@ -112,7 +119,7 @@
             free=self._state.admission.load().free,
         )
 
-    def _carried_bids(self, now: float, run_request: RunOrder) -> Effects:
+    def _carried_bids(self, now: float, run_request: RunRequest) -> Effects:
         if (
             not run_request.bids
             or self._state.links.get(run_request.entry) is None
@@ -128,7 +135,7 @@
         return self._state.admission.update_bids(now, run_request.entry, bids)
 
 
-def _arrival(run_request: RunOrder) -> Arrival:
+def _arrival(run_request: RunRequest) -> Arrival:
     return Arrival(
         attempt_id=run_request.attempt_id,
         entry=run_request.entry,
--- a/src/sardinetrack/side/responses.py
+++ b/src/sardinetrack/side/responses.py
@@ -12,18 +12,18 @@
 from sardinetrack.errors.table import answer_for
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.http.client import StreamedReply
-from sardinetrack.messages.run import RESULT_HEADER, Fate, RunResult
+from sardinetrack.messages.run import RESULT_HEADER, AttemptStatus, RunResult
 from sardinetrack.messages.run_codec import (
     SERVER_HEADERS_HEADER,
-    result_text,
-    server_headers_text,
+    encode_run_result,
+    encode_server_headers,
 )
 
 _STATUS_OF_FATE: Final = MappingProxyType(
     {
-        Fate.FAILED: HTTPStatus.BAD_GATEWAY,
-        Fate.STOPPED: HTTPStatus.BAD_GATEWAY,
-        Fate.NOT_STARTED: HTTPStatus.CONFLICT,
+        AttemptStatus.FAILED: HTTPStatus.BAD_GATEWAY,
+        AttemptStatus.STOPPED: HTTPStatus.BAD_GATEWAY,
+        AttemptStatus.NOT_STARTED: HTTPStatus.CONFLICT,
     },
 )
 
@@ -53,7 +53,7 @@
     """
     await exchange.respond(
         status or _STATUS_OF_FATE.get(run_result.fate, HTTPStatus.CONFLICT),
-        headers=[(RESULT_HEADER, result_text(run_result))],
+        headers=[(RESULT_HEADER, encode_run_result(run_result))],
     )
 
 
@@ -66,7 +66,7 @@
     await exchange.start(
         HTTPStatus.OK,
         [
-            (RESULT_HEADER, result_text(run_result)),
-            (SERVER_HEADERS_HEADER, server_headers_text(response.headers)),
+            (RESULT_HEADER, encode_run_result(run_result)),
+            (SERVER_HEADERS_HEADER, encode_server_headers(response.headers)),
         ],
     )
--- a/src/sardinetrack/side/run_dependencies.py
+++ b/src/sardinetrack/side/run_dependencies.py
@@ -6,7 +6,7 @@
 
 from anyio.streams.memory import MemoryObjectSendStream
 
-from sardinetrack.messages.run import RunOrder
+from sardinetrack.messages.run import RunRequest
 from sardinetrack.side.backend import BackendServer
 from sardinetrack.side.backend_watch import ProbeNow
 from sardinetrack.side.configuration import SideConfiguration
@@ -30,7 +30,9 @@
     metrics: SideMetrics
     send_seconds: float
 
-    def record_refusal(self, run_request: RunOrder | None, reason: str) -> None:
+    def record_refusal(
+        self, run_request: RunRequest | None, reason: str
+    ) -> None:
         """Log and count a run request that the daemon itself refuses."""
         self.metrics.refused.labels(reason).inc()
         if run_request is not None:
--- a/src/sardinetrack/side/run_endpoint.py
+++ b/src/sardinetrack/side/run_endpoint.py
@@ -11,8 +11,13 @@
 from sardinetrack.errors.api import AnsweredError
 from sardinetrack.errors.table import answer_for
 from sardinetrack.http.asgi import Exchange
-from sardinetrack.messages.run import RUN_HEADER, Fate, RunOrder, RunResult
-from sardinetrack.messages.run_codec import read_order
+from sardinetrack.messages.run import (
+    RUN_HEADER,
+    AttemptStatus,
+    RunRequest,
+    RunResult,
+)
+from sardinetrack.messages.run_codec import decode_run_request
 from sardinetrack.side.attempt import Attempt
 from sardinetrack.side.backend_run import BackendRun
 from sardinetrack.side.refusals import DaemonRefusal
@@ -55,7 +60,7 @@
     async def _admit(
         self,
         exchange: Exchange,
-        run_request: RunOrder,
+        run_request: RunRequest,
         pool: Pool,
     ) -> None:
         try:
@@ -74,14 +79,14 @@
     async def _refuse(
         self,
         exchange: Exchange,
-        run_request: RunOrder | None,
+        run_request: RunRequest | None,
         reason: str,
         status: HTTPStatus = HTTPStatus.CONFLICT,
     ) -> None:
         # The admission object has not seen the request, so this is final: the
         # entry sends it only once, on this connection.
         run_result = RunResult(
-            Fate.NOT_STARTED,
+            AttemptStatus.NOT_STARTED,
             self._dependencies.identity.incarnation,
             reason=reason,
         )
@@ -89,8 +94,8 @@
         await send_result(exchange, run_result, status)
 
 
-def _read_run_request(exchange: Exchange) -> RunOrder:
-    run_request = read_order(exchange.header(RUN_HEADER) or '')
+def _read_run_request(exchange: Exchange) -> RunRequest:
+    run_request = decode_run_request(exchange.header(RUN_HEADER) or '')
     if not run_request.path.startswith('/'):
         raise msgspec.ValidationError('the path must start with a slash')
     return run_request
--- a/src/sardinetrack/side/run_task.py
+++ b/src/sardinetrack/side/run_task.py
@@ -5,7 +5,7 @@
 import anyio
 
 from sardinetrack.http.asgi import Exchange
-from sardinetrack.messages.run import Fate, RunResult
+from sardinetrack.messages.run import AttemptStatus, RunResult
 from sardinetrack.side.attempt import Attempt
 from sardinetrack.side.backend_run import BackendRun
 from sardinetrack.side.events import Refused, Started
@@ -81,5 +81,5 @@
         incarnation = self._attempt.run_request.incarnation
         await send_result(
             self._exchange,
-            RunResult(Fate.STOPPED, incarnation, reason='stopped'),
+            RunResult(AttemptStatus.STOPPED, incarnation, reason='stopped'),
         )
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -21,7 +21,7 @@
 from sardinetrack.entry.heads import HeadBounds
 from sardinetrack.entry.parts import EntryParts
 from sardinetrack.logs.formatters import JsonFormatter
-from sardinetrack.messages.run import RunOrder
+from sardinetrack.messages.run import RunRequest
 from sardinetrack.once.claims import ShardedClaims
 from sardinetrack.once.record import (
     LAYOUT_KEY,
@@ -239,7 +239,7 @@
         ]
         return bool(page['revision']) and loads.count(SLOTS) == len(self.sides)
 
-    def last_run_request(self, name: str) -> RunOrder:
+    def last_run_request(self, name: str) -> RunRequest:
         """Return the latest run request that a side has received."""
         return self.sides[name].run_requests[-1]
 
--- a/tests/entry/fake_side.py
+++ b/tests/entry/fake_side.py
@@ -35,17 +35,17 @@
 from sardinetrack.messages.run import (
     RESULT_HEADER,
     RUN_HEADER,
-    AttemptAnswer,
-    AttemptQuery,
-    Fate,
-    RunOrder,
+    AttemptStatus,
+    AttemptStatusRequest,
+    AttemptStatusResponse,
+    RunRequest,
     RunResult,
 )
 from sardinetrack.messages.run_codec import (
     SERVER_HEADERS_HEADER,
-    read_order,
-    result_text,
-    server_headers_text,
+    decode_run_request,
+    encode_run_result,
+    encode_server_headers,
 )
 
 SECRET = PeerSecret('fleet')
@@ -56,7 +56,7 @@
 class Script:
     """The response of the side to one run request."""
 
-    fate: Fate = Fate.RUNNING
+    fate: AttemptStatus = AttemptStatus.RUNNING
     status: int = 200
     headers: tuple[tuple[str, str], ...] = ()
     chunks: tuple[bytes, ...] = ()
@@ -79,11 +79,11 @@
     name: str
     pool: str
     scripts: deque[Script] = field(default_factory=deque)
-    status_replies: deque[Fate] = field(default_factory=deque)
+    status_replies: deque[AttemptStatus] = field(default_factory=deque)
     """Responses to status queries; without any left there is no response."""
-    run_requests: list[RunOrder] = field(default_factory=list)
+    run_requests: list[RunRequest] = field(default_factory=list)
     bodies: list[bytes] = field(default_factory=list)
-    status_queries: list[AttemptQuery] = field(default_factory=list)
+    status_queries: list[AttemptStatusRequest] = field(default_factory=list)
     received: list[LinkMessage] = field(default_factory=list)
     links: list[Link] = field(default_factory=list)
     disconnects: int = 0
@@ -173,19 +173,23 @@
 
     async def _answer_status_query(self, exchange: Exchange) -> None:
         body = await exchange.body(10_000, 1)
-        self.status_queries.append(msgspec.json.decode(body, type=AttemptQuery))
+        self.status_queries.append(
+            msgspec.json.decode(body, type=AttemptStatusRequest)
+        )
         if not self.status_replies:
             await exchange.wait_for_disconnect()
             return
         fate = self.status_replies.popleft()
-        answer = AttemptAnswer(fate, self.incarnation)
+        answer = AttemptStatusResponse(fate, self.incarnation)
         await exchange.answer_json(200, answer)
 
     async def _run(self, exchange: Exchange) -> None:
         script = self.scripts[0]
         if len(self.scripts) > 1:
             self.scripts.popleft()
-        self.run_requests.append(read_order(exchange.header(RUN_HEADER) or ''))
+        self.run_requests.append(
+            decode_run_request(exchange.header(RUN_HEADER) or '')
+        )
         self.bodies.append(await exchange.body(10_000_000, 5))
         if script.fills:
             self.free = 0
@@ -212,12 +216,12 @@
 
     async def _answer(self, exchange: Exchange, script: Script) -> None:
         result = RunResult(script.fate, self.incarnation, script.status)
-        hop_status = 409 if script.fate is Fate.NOT_STARTED else 200
+        hop_status = 409 if script.fate is AttemptStatus.NOT_STARTED else 200
         await exchange.start(
             hop_status,
             [
-                (RESULT_HEADER, result_text(result)),
-                (SERVER_HEADERS_HEADER, server_headers_text(script.headers)),
+                (RESULT_HEADER, encode_run_result(result)),
+                (SERVER_HEADERS_HEADER, encode_server_headers(script.headers)),
             ],
         )
         for chunk in script.chunks:
--- a/tests/entry/steps/not_run_steps.py
+++ b/tests/entry/steps/not_run_steps.py
@@ -9,14 +9,14 @@
 from behave import given, then
 from fake_side import Script
 
-from sardinetrack.messages.run import Fate
+from sardinetrack.messages.run import AttemptStatus
 
 CHART = Script(chunks=(b'chart',), headers=(('content-length', '5'),))
 
 
 @given('"{name}" refuses one run request and then returns "chart"')
 def refuse_once(context: Any, name: str) -> None:
-    context.world.script(name, Script(fate=Fate.NOT_STARTED))
+    context.world.script(name, Script(fate=AttemptStatus.NOT_STARTED))
     context.world.script(name, CHART)
 
 
@@ -44,7 +44,7 @@
 @given('the sides respond to status queries with "{fate}"')
 def set_statuses(context: Any, fate: str) -> None:
     for side in context.world.sides.values():
-        side.status_replies.append(Fate(fate))
+        side.status_replies.append(AttemptStatus(fate))
 
 
 @given('all sides are busy')
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -9,7 +9,7 @@
 from sardinetrack.admission.slots import SlotAdmission
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.messages.api import BidRow, Bids, SideLoad, SidePhase
-from sardinetrack.messages.run import Fate
+from sardinetrack.messages.run import AttemptStatus
 from sardinetrack.routing.api import Dispatch, Reject, RoutingPolicy
 from sardinetrack.routing.router import Router
 
@@ -125,7 +125,7 @@
         """Remove a queued request."""
         if attempt_id in self._queue:
             self._queue.remove(attempt_id)
-        return Fate.NOT_STARTED, ()
+        return AttemptStatus.NOT_STARTED, ()
 
     def load(self):
         """Return a load report without any figures."""
--- a/tests/side/side_backend.py
+++ b/tests/side/side_backend.py
@@ -9,7 +9,7 @@
 
 from sardinetrack.catalogue.api import Pool, PoolClass
 from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
-from sardinetrack.messages.run import RunOrder
+from sardinetrack.messages.run import RunRequest
 
 INCARNATION: Final = 'side-1-second'
 _BODY_SECONDS: Final = 15.0
@@ -25,7 +25,7 @@
     checks_fencing=frozenset(),
     prompt_token_cost=0.1,
 )
-RUN_REQUEST: Final = RunOrder(
+RUN_REQUEST: Final = RunRequest(
     attempt_id='a1',
     incarnation=INCARNATION,
     entry='entry-1',
--- a/tests/side/side_fakes.py
+++ b/tests/side/side_fakes.py
@@ -27,7 +27,7 @@
     SideLoad,
     SidePhase,
 )
-from sardinetrack.messages.run import Fate
+from sardinetrack.messages.run import AttemptStatus
 from sardinetrack.side.configuration import SideConfiguration
 from sardinetrack.side.events import AttemptEnded
 
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.arrivals: list[Arrival] = []
         self.limit = 0
-        self.fates: dict[str, Fate] = {}
+        self.fates: dict[str, AttemptStatus] = {}
         self.draining = False
         self.calls: list[str] = []
         self.ends: list[AttemptEnded] = []
@@ -46,14 +46,14 @@
     @property
     def running(self) -> int:
         """Count running attempts."""
-        return list(self.fates.values()).count(Fate.RUNNING)
+        return list(self.fates.values()).count(AttemptStatus.RUNNING)
 
     def arrive(self, now: float, arrival: Arrival) -> Sequence[AdmissionEffect]:
         """Start the request if a slot is free."""
         self.arrivals.append(arrival)
         known = self.fates.get(arrival.attempt_id)
         if known is not None:
-            tombstone = known is Fate.NOT_STARTED
+            tombstone = known is AttemptStatus.NOT_STARTED
             return [
                 RefuseRequest(
                     arrival.attempt_id,
@@ -66,7 +66,7 @@
             return [RefuseRequest(arrival.attempt_id, RefusalReason.DRAINING)]
         if self.running >= self.limit:
             return [RefuseRequest(arrival.attempt_id, RefusalReason.BUSY)]
-        self.fates[arrival.attempt_id] = Fate.RUNNING
+        self.fates[arrival.attempt_id] = AttemptStatus.RUNNING
         return [StartRequest(arrival.attempt_id), BroadcastLoad()]
 
     def update_bids(
@@ -100,17 +100,17 @@
         stopped: bool = False,
     ) -> Sequence[AdmissionEffect]:
         """Record the end."""
-        fate = Fate.STOPPED if stopped else Fate.FAILED
-        self.fates[attempt_id] = Fate.FINISHED if is_complete else fate
+        fate = AttemptStatus.STOPPED if stopped else AttemptStatus.FAILED
+        self.fates[attempt_id] = AttemptStatus.FINISHED if is_complete else fate
         self.ends.append(AttemptEnded(attempt_id, is_complete, cost))
         return [BroadcastLoad()]
 
     def resolve_status(
         self, now: float, attempt_id: str, *, cancel: bool
-    ) -> tuple[Fate, Sequence[AdmissionEffect]]:
+    ) -> tuple[AttemptStatus, Sequence[AdmissionEffect]]:
         """Return the fate; an unknown attempt never starts."""
-        fate = self.fates.setdefault(attempt_id, Fate.NOT_STARTED)
-        stop = cancel and fate is Fate.RUNNING
+        fate = self.fates.setdefault(attempt_id, AttemptStatus.NOT_STARTED)
+        stop = cancel and fate is AttemptStatus.RUNNING
         return fate, [CancelRequest(attempt_id)] if stop else []
 
     def resize(self, now: float, limit: int) -> Sequence[AdmissionEffect]:
--- a/tests/side/side_world.py
+++ b/tests/side/side_world.py
@@ -28,12 +28,12 @@
     ATTEMPT_PATH,
     RUN_HEADER,
     RUN_PATH,
-    AttemptAnswer,
-    AttemptQuery,
-    Fate,
-    RunOrder,
+    AttemptStatus,
+    AttemptStatusRequest,
+    AttemptStatusResponse,
+    RunRequest,
 )
-from sardinetrack.messages.run_codec import order_text
+from sardinetrack.messages.run_codec import encode_run_request
 from sardinetrack.side.daemon import SideDaemon
 from sardinetrack.side.parts import SideParts
 
@@ -72,7 +72,7 @@
         return self.side.operator_server.url + path
 
     async def send_run_request(
-        self, run_request: RunOrder, body: bytes = b''
+        self, run_request: RunRequest, body: bytes = b''
     ) -> Any:
         """Send a run request and read the complete response."""
         async with self.streamed(run_request, body) as response:
@@ -82,13 +82,16 @@
 
     @asynccontextmanager
     async def streamed(
-        self, run_request: RunOrder, body: bytes = b''
+        self, run_request: RunRequest, body: bytes = b''
     ) -> AsyncIterator[RunReply]:
         """Send a run request and yield its response while it arrives."""
         async with self.client.stream(
             'POST',
             self.peer_url(RUN_PATH),
-            headers=[SECRET.header(), (RUN_HEADER, order_text(run_request))],
+            headers=[
+                SECRET.header(),
+                (RUN_HEADER, encode_run_request(run_request)),
+            ],
             body=body,
         ) as response:
             yield RunReply(response)
@@ -98,16 +101,18 @@
         attempt_id: str,
         incarnation: str = INCARNATION,
         cancel: bool = False,
-    ) -> Fate:
+    ) -> AttemptStatus:
         """Send a status query and return the fate of the attempt."""
-        query = AttemptQuery(attempt_id, incarnation, cancel)
+        query = AttemptStatusRequest(attempt_id, incarnation, cancel)
         response = await self.client.call(
             'POST',
             self.peer_url(ATTEMPT_PATH + attempt_id),
             headers=[SECRET.header()],
             body=msgspec.json.encode(query),
         )
-        return msgspec.json.decode(response.body, type=AttemptAnswer).fate
+        return msgspec.json.decode(
+            response.body, type=AttemptStatusResponse
+        ).fate
 
     async def get(self, url: str, *pairs: tuple[str, str]) -> Reply:
         """Fetch a page."""
--- a/tests/side/steps/side_steps.py
+++ b/tests/side/steps/side_steps.py
@@ -39,8 +39,11 @@
     SideLoad,
     SidePhase,
 )
-from sardinetrack.messages.run import RUN_HEADER, RUN_PATH, Fate
-from sardinetrack.messages.run_codec import order_text, read_result
+from sardinetrack.messages.run import RUN_HEADER, RUN_PATH, AttemptStatus
+from sardinetrack.messages.run_codec import (
+    decode_run_result,
+    encode_run_request,
+)
 from sardinetrack.side.events import AttemptEnded
 
 SECRETS = MappingProxyType(
@@ -57,7 +60,7 @@
         'a path elsewhere': (
             (
                 RUN_HEADER,
-                order_text(
+                encode_run_request(
                     msgspec.structs.replace(RUN_REQUEST, path='@127.0.0.1/')
                 ),
             ),
@@ -306,7 +309,7 @@
 @then('the response has fate {fate} and status {status:d}')
 def step_fate_status(context: Any, fate: str, status: int) -> None:
     run_result = context.response.run_result
-    assert run_result.fate == Fate(fate), run_result
+    assert run_result.fate == AttemptStatus(fate), run_result
     assert context.response.status == run_result.status == status, run_result
 
 
@@ -370,15 +373,18 @@
 def step_fate(context: Any, attempt_id: str, fate: str) -> None:
     context.portal.call(
         context.world.wait_until,
-        lambda: context.world.admission.fates[attempt_id] is not Fate.RUNNING,
+        lambda: (
+            context.world.admission.fates[attempt_id]
+            is not AttemptStatus.RUNNING
+        ),
     )
     fate_now = context.portal.call(context.world.query_attempt, attempt_id)
-    assert fate_now == Fate(fate), fate_now
+    assert fate_now == AttemptStatus(fate), fate_now
 
 
 @then('the returned fate is {fate}')
 def step_fate_returned(context: Any, fate: str) -> None:
-    assert context.fate == Fate(fate), context.fate
+    assert context.fate == AttemptStatus(fate), context.fate
 
 
 @then('the rest of the response is truncated')
@@ -389,7 +395,7 @@
 @then('the run request is refused with status {status:d} for "{reason}"')
 def step_refused(context: Any, status: int, reason: str) -> None:
     if context.response is None:
-        run_result = read_result(
+        run_result = decode_run_result(
             context.raw_response.header('sardinetrack-result')
         )
         assert context.raw_response.status == status, context.raw_response
@@ -398,12 +404,12 @@
     context.refusal = run_result
     assert run_result.reason == reason, run_result
     if reason != 'duplicate':
-        assert run_result.fate is Fate.NOT_STARTED, run_result
+        assert run_result.fate is AttemptStatus.NOT_STARTED, run_result
 
 
 @then("the refusal's fate is {fate}")
 def step_refusal_fate(context: Any, fate: str) -> None:
-    assert context.refusal.fate == Fate(fate), context.refusal
+    assert context.refusal.fate == AttemptStatus(fate), context.refusal
 
 
 @then('the side offers {count:d} slots')
@@ -629,7 +635,7 @@
     address = world.side.peer_server
     host = address.address.rpartition(':')[0]
     name, text = SECRET.header()
-    field = order_text(RUN_REQUEST)
+    field = encode_run_request(RUN_REQUEST)
     async with await anyio.connect_tcp(host, address.port) as stream:
         await stream.send(
             f'POST {RUN_PATH} HTTP/1.1\r\nhost: side\r\n{name}: {text}\r\n'
