--- a/src/sardinetrack/catalogue/problems.py
+++ b/src/sardinetrack/catalogue/problems.py
@@ -6,7 +6,11 @@
 
 from pydantic import ValidationError
 
-from sardinetrack.errors.problem import ValidationProblem, path_of, reason_of
+from sardinetrack.errors.problem import (
+    ValidationProblem,
+    dotted_path,
+    strip_error_prefix,
+)
 
 
 class InvalidEntryError(Exception):
@@ -34,6 +38,8 @@
     found = error.errors(include_url=False, include_input=False)
     # The first element of a location is the kind that the validation chose.
     return [
-        ValidationProblem(path_of(detail['loc'][1:]), reason_of(detail['msg']))
+        ValidationProblem(
+            dotted_path(detail['loc'][1:]), strip_error_prefix(detail['msg'])
+        )
         for detail in found
     ]
--- a/src/sardinetrack/cli/arguments.py
+++ b/src/sardinetrack/cli/arguments.py
@@ -9,7 +9,7 @@
 
 from sardinetrack.config.address import HttpUrl
 from sardinetrack.config.model import Port
-from sardinetrack.errors.problem import reason_of
+from sardinetrack.errors.problem import strip_error_prefix
 
 Content = TypeVar('Content')
 
@@ -38,4 +38,4 @@
         return adapter.validate_python(text)
     except ValidationError as error:
         message = error.errors(include_url=False)[0]['msg']
-        raise ArgumentTypeError(reason_of(message).lower()) from error
+        raise ArgumentTypeError(strip_error_prefix(message).lower()) from error
--- a/src/sardinetrack/config/loader.py
+++ b/src/sardinetrack/config/loader.py
@@ -18,7 +18,11 @@
 )
 from sardinetrack.config.secret import SecretSources
 from sardinetrack.config.syntax import SyntaxProblemError, parse_text
-from sardinetrack.errors.problem import ValidationProblem, path_of, reason_of
+from sardinetrack.errors.problem import (
+    ValidationProblem,
+    dotted_path,
+    strip_error_prefix,
+)
 
 Settings = TypeVar('Settings', bound=BaseModel)
 
@@ -95,8 +99,8 @@
 
 
 def _to_problem(detail: ErrorDetails) -> ValidationProblem:
-    location = path_of(detail['loc'])
-    reason = _REASONS.get(detail['type'], reason_of(detail['msg']))
+    location = dotted_path(detail['loc'])
+    reason = _REASONS.get(detail['type'], strip_error_prefix(detail['msg']))
     return ValidationProblem(
         location or _WHOLE_FILE, reason[:1].lower() + reason[1:]
     )
--- a/src/sardinetrack/entry/authentication.py
+++ b/src/sardinetrack/entry/authentication.py
@@ -6,7 +6,7 @@
 
 from sardinetrack.catalogue.api import Workspace
 from sardinetrack.catalogue.view import CatalogueView
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.asgi import Exchange
 
 
@@ -18,16 +18,16 @@
     :param exchange: a caller's request.
     :param catalogue: the active configuration.
     :return: the workspace.
-    :raises AnsweredError: the token is missing or unknown, or there is no
+    :raises RequestError: the token is missing or unknown, or there is no
         configuration to check it against.
     """
     token = _bearer_token(exchange.header('authorization') or '')
     digest = hashlib.sha256(token.encode('latin-1')).hexdigest()
     workspace = catalogue.workspace_by_token_hash(digest)
     if not token:
-        raise AnsweredError(ErrorKind.UNAUTHENTICATED)
+        raise RequestError(ErrorKind.UNAUTHENTICATED)
     if workspace is None:
-        raise AnsweredError(_unknown_token_kind(catalogue))
+        raise RequestError(_unknown_token_kind(catalogue))
     return workspace
 
 
--- a/src/sardinetrack/entry/bodies.py
+++ b/src/sardinetrack/entry/bodies.py
@@ -6,7 +6,7 @@
 from types import TracebackType
 from typing import Final, Self
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 
 _TOTAL_BYTES: Final = 128_000_000
 _WORKSPACE_BYTES: Final = 32_000_000
@@ -44,13 +44,13 @@
 
         :param workspace: the workspace whose request they belong to.
         :param size_bytes: negative to release.
-        :raises AnsweredError: the reservation would exceed a limit.
+        :raises RequestError: the reservation would exceed a limit.
         """
         total_bytes = self.reserved_bytes + size_bytes
         own_bytes = self._reserved[workspace] + size_bytes
         fits = total_bytes <= self._total_bytes
         if size_bytes > 0 and not (fits and own_bytes <= self._workspace_bytes):
-            raise AnsweredError(
+            raise RequestError(
                 ErrorKind.QUEUE_FULL,
                 'too many bytes of request bodies are queued',
             )
@@ -86,7 +86,7 @@
         """Set the number of reserved bytes.
 
         :param size_bytes: replaces what was reserved before.
-        :raises AnsweredError: the reservation would exceed a limit.
+        :raises RequestError: the reservation would exceed a limit.
         """
         self._budget.adjust(self._workspace, size_bytes - self._reserved_bytes)
         self._reserved_bytes = size_bytes
--- a/src/sardinetrack/entry/caller.py
+++ b/src/sardinetrack/entry/caller.py
@@ -9,7 +9,7 @@
 import anyio
 
 from sardinetrack.entry.headers import HeaderList
-from sardinetrack.errors.api import AnsweredError
+from sardinetrack.errors.api import RequestError
 from sardinetrack.http.asgi import CallerGoneError, Exchange
 
 TRANSPORT_STATE: Final = 'sardinetrack.transport'
@@ -121,15 +121,15 @@
 
     :param caller: the caller that the job responds to.
     :param job: the coroutine function to run.
-    :raises AnsweredError: raised by the job.
+    :raises RequestError: raised by the job.
     :raises CallerGoneError: the caller disconnected first.
     """
-    failure: AnsweredError | CallerGoneError | None = None
+    failure: RequestError | CallerGoneError | None = None
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_cancel_on_disconnect, caller, tasks.cancel_scope)
         try:
             await job()
-        except (AnsweredError, CallerGoneError) as error:
+        except (RequestError, CallerGoneError) as error:
             failure = error
         tasks.cancel_scope.cancel()
     if failure is not None:
--- a/src/sardinetrack/entry/completions.py
+++ b/src/sardinetrack/entry/completions.py
@@ -8,7 +8,7 @@
 import msgspec
 import xxhash
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 
 _BYTES_PER_TOKEN: Final = 4
 _PREFIX_BYTES: Final = 1024
@@ -68,15 +68,15 @@
 
     :param body: the caller's body.
     :return: the parsed request.
-    :raises AnsweredError: the request is invalid.
+    :raises RequestError: the request is invalid.
     """
     try:
         return _REQUESTS.decode(body)
     except msgspec.DecodeError as error:
         detail = str(error)[:_DETAIL_LENGTH]
-        raise AnsweredError(ErrorKind.BAD_REQUEST, detail) from error
+        raise RequestError(ErrorKind.BAD_REQUEST, detail) from error
     except (UnicodeDecodeError, RecursionError) as error:
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.BAD_REQUEST, 'the body is not valid JSON'
         ) from error
 
--- a/src/sardinetrack/entry/drain_gate.py
+++ b/src/sardinetrack/entry/drain_gate.py
@@ -8,7 +8,7 @@
 import anyio
 
 from sardinetrack.charts.drain import DRAIN, DrainEvent, DrainState
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 
 
 class DrainGate:
@@ -48,10 +48,10 @@
     def admitted(self) -> Iterator[None]:
         """Count a request as in progress while the context is open.
 
-        :raises AnsweredError: new requests are rejected.
+        :raises RequestError: new requests are rejected.
         """
         if not self.accepts_requests:
-            raise AnsweredError(ErrorKind.NOT_RUN_DRAINING)
+            raise RequestError(ErrorKind.NOT_RUN_DRAINING)
         self.inside += 1
         try:
             yield
--- a/src/sardinetrack/entry/error_responses.py
+++ b/src/sardinetrack/entry/error_responses.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import ErrorResponse, answer_for
+from sardinetrack.errors.api import ErrorKind, RequestError
+from sardinetrack.errors.table import ErrorResponse, error_response_for
 
 REQUEST_ID_HEADER: Final = 'x-request-id'
 NOT_RUN_HEADER: Final = 'sardinetrack-not-run'
@@ -31,13 +31,13 @@
     error: ErrorBody
 
 
-def error_document(failure: AnsweredError) -> ErrorDocument:
+def error_document(failure: RequestError) -> ErrorDocument:
     """Build the body of an error response.
 
     :param failure: the error to report.
     :return: the body, to be encoded as JSON.
     """
-    response = answer_for(failure.kind)
+    response = error_response_for(failure.kind)
     message = response.message
     if failure.detail:
         message = f'{message} ({failure.detail})'
@@ -46,13 +46,13 @@
     )
 
 
-def error_headers(failure: AnsweredError) -> list[tuple[str, str]]:
+def error_headers(failure: RequestError) -> list[tuple[str, str]]:
     """Build the headers of an error response.
 
     :param failure: the error to report.
     :return: pairs of header name and value, without ``x-request-id``.
     """
-    response = answer_for(failure.kind)
+    response = error_response_for(failure.kind)
     pairs = [(NOT_RUN_HEADER, 'true' if response.not_run else 'false')]
     seconds = _retry_after_seconds(failure, response)
     if seconds is not None:
@@ -67,12 +67,12 @@
 
     :return: one complete event, encoded.
     """
-    document = error_document(AnsweredError(ErrorKind.ANSWER_CUT))
+    document = error_document(RequestError(ErrorKind.ANSWER_CUT))
     return b'data: %b\n\n' % msgspec.json.encode(document)
 
 
 def _retry_after_seconds(
-    failure: AnsweredError, response: ErrorResponse
+    failure: RequestError, response: ErrorResponse
 ) -> int | None:
     seconds = failure.retry_after_seconds
     if seconds is None:
--- a/src/sardinetrack/entry/heads.py
+++ b/src/sardinetrack/entry/heads.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 
 _MAX_HEAD_BYTES: Final = 32_768
 _MAX_HEADERS: Final = 100
@@ -41,10 +41,10 @@
 
         :param size_bytes: bytes of all header names and values.
         :param headers: number of headers.
-        :raises AnsweredError: the head exceeds a limit.
+        :raises RequestError: the head exceeds a limit.
         """
         if size_bytes > self.max_bytes or headers > self.max_headers:
-            raise AnsweredError(ErrorKind.HEADERS_TOO_LARGE)
+            raise RequestError(ErrorKind.HEADERS_TOO_LARGE)
 
 
 def check_head(headers: Sequence[tuple[bytes, bytes]]) -> None:
@@ -55,23 +55,23 @@
     smuggling).
 
     :param headers: pairs of lower-case name and value.
-    :raises AnsweredError: the head is ambiguous.
+    :raises RequestError: the head is ambiguous.
     """
     counts = Counter(name for name, _ in headers)
     repeated = [name.decode() for name in _SINGLE if counts[name] > 1]
     if repeated:
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.BAD_REQUEST,
             f'{repeated[0]} is repeated',
         )
     if counts[_LENGTH] and counts[_CODING]:
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.BAD_REQUEST,
             'content-length and transfer-encoding are mutually exclusive',
         )
     codings = (text.lower() for name, text in headers if name == _CODING)
     if any(coding != b'chunked' for coding in codings):
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.BAD_REQUEST,
             'the transfer-encoding is not supported',
         )
--- a/src/sardinetrack/entry/history.py
+++ b/src/sardinetrack/entry/history.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import answer_for
+from sardinetrack.errors.api import ErrorKind, RequestError
+from sardinetrack.errors.table import error_response_for
 from sardinetrack.routing.api import AttemptOutcome, Reject
 
 
@@ -34,7 +34,7 @@
             self._ran = True
         self._on_change(self._ran or self._unknown)
 
-    def failure(self, reject: Reject) -> AnsweredError:
+    def failure(self, reject: Reject) -> RequestError:
         """Convert the final decision to the caller's error.
 
         A repeatable request may have run on one server and then reached its
@@ -44,14 +44,14 @@
         :param reject: the decision.
         :return: the error to respond with.
         """
-        return AnsweredError(
+        return RequestError(
             self._true_kind(reject.kind),
             reject.detail,
             retry_after_seconds=reject.retry_after_seconds,
         )
 
     def _true_kind(self, kind: ErrorKind) -> ErrorKind:
-        if not answer_for(kind).not_run:
+        if not error_response_for(kind).not_run:
             return kind
         if self._unknown:
             return ErrorKind.OUTCOME_UNKNOWN
--- a/src/sardinetrack/entry/keyed.py
+++ b/src/sardinetrack/entry/keyed.py
@@ -22,7 +22,7 @@
     Mismatch,
     OutcomeLost,
 )
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 
 _MARGIN_SECONDS: Final = 30.0
 _LATEST_START_SECONDS: Final = 15.0
@@ -57,7 +57,7 @@
     def update(self, may_have_run: bool) -> None:
         """Update whether the request may have run.
 
-        :raises AnsweredError: a run request is about to be sent after the
+        :raises RequestError: a run request is about to be sent after the
             deadline.
         """
         # An entry that was suspended while it held a claim could otherwise
@@ -65,7 +65,7 @@
         # time as a later resend.
         late = anyio.current_time() > self._start_by_seconds
         if late and may_have_run and not self.possibly_started:
-            raise AnsweredError(ErrorKind.NOT_RUN_DEADLINE)
+            raise RequestError(ErrorKind.NOT_RUN_DEADLINE)
         self.possibly_started = may_have_run
 
 
@@ -87,7 +87,7 @@
         :param call: the request to run.
         :param key: its idempotency key.
         :param run: runs the call.
-        :raises AnsweredError: the key is taken or can't be claimed, or the run
+        :raises RequestError: the key is taken or can't be claimed, or the run
             failed.
         """
         state = _RunState(
@@ -98,7 +98,7 @@
         try:
             await run(state.update)
             end = ClaimEnd.FINISHED
-        except AnsweredError as failure:
+        except RequestError as failure:
             end = _outcome_of(failure)
             raise
         finally:
@@ -119,7 +119,7 @@
         try:
             answer = await self._claims.claim(request)
         except ClaimsDownError as error:
-            raise AnsweredError(
+            raise RequestError(
                 ErrorKind.NOT_RUN_PLATFORM_DOWN,
                 retry_after_seconds=error.retry_after_seconds,
             ) from error
@@ -137,7 +137,7 @@
                 await self._claims.finish(claimed, end)
 
 
-def _outcome_of(failure: AnsweredError) -> ClaimEnd:
+def _outcome_of(failure: RequestError) -> ClaimEnd:
     if failure.kind is ErrorKind.OUTCOME_UNKNOWN:
         return ClaimEnd.UNKNOWN
     return ClaimEnd.FINISHED
@@ -146,4 +146,4 @@
 def _require_claimed(answer: ClaimAnswer) -> Claimed:
     if isinstance(answer, Claimed):
         return answer
-    raise AnsweredError(_REFUSALS[type(answer)])
+    raise RequestError(_REFUSALS[type(answer)])
--- a/src/sardinetrack/entry/models.py
+++ b/src/sardinetrack/entry/models.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sardinetrack.catalogue.api import Pool
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 
 
 class Model(msgspec.Struct, frozen=True):
@@ -32,7 +32,7 @@
     :param pools: the active pools.
     :param name: the name of one model, or empty for all.
     :return: the body of the response.
-    :raises AnsweredError: there is no such model.
+    :raises RequestError: there is no such model.
     """
     found = tuple(
         Model(model, pool.owner)
@@ -43,5 +43,5 @@
     if not name:
         return ModelList(found)
     if not found:
-        raise AnsweredError(ErrorKind.UNKNOWN_MODEL)
+        raise RequestError(ErrorKind.UNKNOWN_MODEL)
     return found[0]
--- a/src/sardinetrack/entry/operator.py
+++ b/src/sardinetrack/entry/operator.py
@@ -12,8 +12,8 @@
 from sardinetrack.entry.error_responses import error_document, error_headers
 from sardinetrack.entry.metrics import EntryMetrics
 from sardinetrack.entry.status import EntryStatus
-from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import answer_for
+from sardinetrack.errors.api import ErrorKind, RequestError
+from sardinetrack.errors.table import error_response_for
 from sardinetrack.http.asgi import Exchange
 
 Page = Callable[[Exchange], Awaitable[None]]
@@ -94,9 +94,9 @@
     :param exchange: the request to respond to.
     :param kind: selects the response.
     """
-    failure = AnsweredError(kind)
+    failure = RequestError(kind)
     await exchange.answer_json(
-        answer_for(kind).status,
+        error_response_for(kind).status,
         error_document(failure),
         error_headers(failure),
     )
--- a/src/sardinetrack/entry/protocol.py
+++ b/src/sardinetrack/entry/protocol.py
@@ -13,8 +13,8 @@
 from sardinetrack.entry.caller import TRANSPORT_STATE
 from sardinetrack.entry.error_responses import error_document, error_headers
 from sardinetrack.entry.heads import HeadBounds, check_head
-from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import answer_for
+from sardinetrack.errors.api import ErrorKind, RequestError
+from sardinetrack.errors.table import error_response_for
 from sardinetrack.http.ending import EndingProtocol
 from sardinetrack.http.idle import IdleConnections
 
@@ -37,7 +37,7 @@
         self._in_head = True
         self._in_body = False
         self._rejected = False
-        self._rejection = AnsweredError(
+        self._rejection = RequestError(
             ErrorKind.BAD_REQUEST, 'malformed HTTP request'
         )
         self._timer: asyncio.TimerHandle | None = None
@@ -52,7 +52,7 @@
         if self.idle.make_room(len(self.connections)):
             self.idle.add(self, self.close_idle)
         else:
-            self._reject(AnsweredError(ErrorKind.TOO_MANY_CONNECTIONS))
+            self._reject(RequestError(ErrorKind.TOO_MANY_CONNECTIONS))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Stop the timer and unregister the connection."""
@@ -128,11 +128,11 @@
 
     def _check_head(self) -> None:
         if self.parser.should_upgrade():
-            raise AnsweredError(
+            raise RequestError(
                 ErrorKind.BAD_REQUEST, 'protocol upgrades are not supported'
             )
         if self.parser.get_http_version() not in _VERSIONS:
-            raise AnsweredError(
+            raise RequestError(
                 ErrorKind.BAD_REQUEST,
                 'the HTTP version is not supported; use HTTP/1.1',
             )
@@ -141,14 +141,14 @@
     def _run_check(self, check: Callable[[], None]) -> None:
         try:
             check()
-        except AnsweredError as failure:
+        except RequestError as failure:
             self._rejection = failure
             raise
 
     def _count_incomplete_head(self, size_bytes: int) -> None:
         self._head_bytes += size_bytes
         if self._head_bytes > 2 * self.bounds.max_bytes:
-            self._reject(AnsweredError(ErrorKind.HEADERS_TOO_LARGE))
+            self._reject(RequestError(ErrorKind.HEADERS_TOO_LARGE))
 
     def _on_head_timeout(self) -> None:
         self._timer = None
@@ -156,7 +156,7 @@
             self._start_timer(self.bounds.head_seconds, self._on_head_timeout)
         elif self._head_bytes:
             self._reject(
-                AnsweredError(
+                RequestError(
                     ErrorKind.BODY_TIMEOUT, 'timed out reading the request head'
                 ),
             )
@@ -168,7 +168,7 @@
         """Whether the response to an earlier request is incomplete."""
         return not self.has_no_request
 
-    def _reject(self, failure: AnsweredError) -> None:
+    def _reject(self, failure: RequestError) -> None:
         """Send an error response without the application, then close."""
         if self._rejected:
             return
@@ -222,7 +222,7 @@
     return cast('type[CallerProtocol]', made)
 
 
-def _error_response(failure: AnsweredError) -> bytes:
+def _error_response(failure: RequestError) -> bytes:
     body = msgspec.json.encode(error_document(failure))
     headers = [
         ('content-type', 'application/json'),
@@ -231,5 +231,5 @@
         *error_headers(failure),
     ]
     lines = ''.join(f'{name}: {text}{_CRLF}' for name, text in headers)
-    status = STATUS_LINE[answer_for(failure.kind).status]
+    status = STATUS_LINE[error_response_for(failure.kind).status]
     return b'%b%b\r\n%b' % (status, lines.encode(_LATIN), body)
--- a/src/sardinetrack/entry/reader.py
+++ b/src/sardinetrack/entry/reader.py
@@ -20,7 +20,7 @@
 from sardinetrack.entry.cost import CostEstimates, CostKey
 from sardinetrack.entry.headers import request_headers_to_forward
 from sardinetrack.entry.services import ServiceTarget, is_repeatable
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.routing.api import RoutedRequest
 
@@ -73,7 +73,7 @@
     ) -> Call:
         """Read a chat completion request.
 
-        :raises AnsweredError: the request is invalid or exceeds a limit.
+        :raises RequestError: the request is invalid or exceeds a limit.
         """
         key = _idempotency_key(exchange)
         body = await self._body(
@@ -84,9 +84,9 @@
         chat_request = parse_completion(body)
         pool = self._catalogue.pool_by_model(chat_request.model)
         if pool is None:
-            raise AnsweredError(ErrorKind.UNKNOWN_MODEL)
+            raise RequestError(ErrorKind.UNKNOWN_MODEL)
         if len(body) > pool.max_body_bytes:
-            raise AnsweredError(ErrorKind.BODY_TOO_LARGE)
+            raise RequestError(ErrorKind.BODY_TOO_LARGE)
         target = _Target(
             pool,
             COMPLETIONS_PATH,
@@ -100,13 +100,13 @@
     async def service(self, exchange: Exchange, origin: RequestOrigin) -> Call:
         """Read a request to a plain service.
 
-        :raises AnsweredError: the request is invalid or exceeds a limit.
+        :raises RequestError: the request is invalid or exceeds a limit.
         """
         key = _idempotency_key(exchange)
         service = ServiceTarget.parse(exchange.target)
         pool = self._catalogue.pool_by_service(service.name)
         if pool is None:
-            raise AnsweredError(ErrorKind.UNKNOWN_SERVICE)
+            raise RequestError(ErrorKind.UNKNOWN_SERVICE)
         body = await self._body(
             exchange,
             origin.account,
@@ -128,7 +128,7 @@
     ) -> bytes:
         declared_bytes = _declared_bytes(exchange)
         if declared_bytes is not None and declared_bytes > max_bytes:
-            raise AnsweredError(ErrorKind.BODY_TOO_LARGE)
+            raise RequestError(ErrorKind.BODY_TOO_LARGE)
         account.reserve(max_bytes if declared_bytes is None else declared_bytes)
         body = await exchange.body(max_bytes, self._bounds.body_seconds)
         account.reserve(len(body))
@@ -205,7 +205,7 @@
     if key is None:
         return None
     if not key or len(key) > _MAX_KEY_LENGTH:
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.BAD_REQUEST,
             f'the idempotency key must have 1 to {_MAX_KEY_LENGTH} characters',
         )
--- a/src/sardinetrack/entry/request_handler.py
+++ b/src/sardinetrack/entry/request_handler.py
@@ -26,8 +26,8 @@
 )
 from sardinetrack.entry.runner import CallRunner
 from sardinetrack.entry.services import SERVICES_PATH
-from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import answer_for
+from sardinetrack.errors.api import ErrorKind, RequestError
+from sardinetrack.errors.table import error_response_for
 from sardinetrack.http.asgi import CallerGoneError, Exchange
 from sardinetrack.logs.lines import Part, PartLogger
 
@@ -65,7 +65,7 @@
         exchange.is_last = self._is_draining
         try:
             await self._serve(exchange, external_request_id)
-        except AnsweredError as failure:
+        except RequestError as failure:
             await self._respond_error(exchange, external_request_id, failure)
         except CallerGoneError:
             self._metrics.count_disconnect()
@@ -75,7 +75,7 @@
                 'unhandled exception in a request',
                 request_id=external_request_id,
             )
-            internal_error = AnsweredError(ErrorKind.INTERNAL)
+            internal_error = RequestError(ErrorKind.INTERNAL)
             await self._respond_error(
                 exchange, external_request_id, internal_error
             )
@@ -113,7 +113,7 @@
         if path == _MODELS_PATH or path.startswith(f'{_MODELS_PATH}/'):
             _require_method(exchange, 'GET')
             return self._models
-        raise AnsweredError(ErrorKind.UNKNOWN_PATH)
+        raise RequestError(ErrorKind.UNKNOWN_PATH)
 
     async def _service(self, exchange: Exchange, origin: RequestOrigin) -> None:
         call = await self._reader.service(exchange, origin)
@@ -138,7 +138,7 @@
         self,
         exchange: Exchange,
         external_request_id: str,
-        failure: AnsweredError,
+        failure: RequestError,
     ) -> None:
         self._metrics.count_error(failure.kind)
         unauthenticated = failure.kind is ErrorKind.UNAUTHENTICATED
@@ -147,7 +147,7 @@
             'error response',
             request_id=external_request_id,
             error=failure.kind.value,
-            not_run=answer_for(failure.kind).not_run,
+            not_run=error_response_for(failure.kind).not_run,
             answer_begun=exchange.started,
             drain=self._gate.state.value,
             in_state_seconds=round(self._gate.state_seconds(), _DIGITS),
@@ -159,7 +159,7 @@
             *error_headers(failure),
         ]
         await exchange.answer_json(
-            answer_for(failure.kind).status,
+            error_response_for(failure.kind).status,
             error_document(failure),
             headers,
         )
@@ -167,7 +167,7 @@
 
 def _require_method(exchange: Exchange, method: str) -> None:
     if exchange.method != method:
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.METHOD_NOT_ALLOWED,
             f'use {method}',
         )
--- a/src/sardinetrack/entry/runner.py
+++ b/src/sardinetrack/entry/runner.py
@@ -16,7 +16,7 @@
 from sardinetrack.entry.pending_request import PendingRequest
 from sardinetrack.entry.side_directory import SideDirectory
 from sardinetrack.entry.truncation import truncate_response
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.asgi import CallerGoneError, Exchange
 from sardinetrack.routing.api import AttemptOutcome, Dispatch, Reject
 
@@ -43,7 +43,7 @@
     async def run(self, call: Call, exchange: Exchange) -> None:
         """Run a call and send its response.
 
-        :raises AnsweredError: the call failed, possibly after its response had
+        :raises RequestError: the call failed, possibly after its response had
             started.
         :raises CallerGoneError: the caller disconnected.
         """
@@ -113,7 +113,7 @@
             # must not follow it, whatever the decision.
             pending.finished = True
             await truncate_response(call, caller)
-            raise AnsweredError(ErrorKind.ANSWER_CUT)
+            raise RequestError(ErrorKind.ANSWER_CUT)
         return decision
 
     def _settle(
--- a/src/sardinetrack/errors/__init__.py
+++ b/src/sardinetrack/errors/__init__.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
-from sardinetrack.errors.table import ERROR_RESPONSES, ErrorResponse, answer_for
+from sardinetrack.errors.api import ErrorKind, RequestError
+from sardinetrack.errors.table import (
+    ERROR_RESPONSES,
+    ErrorResponse,
+    error_response_for,
+)
 
 __all__ = [
     'ERROR_RESPONSES',
-    'AnsweredError',
+    'RequestError',
     'ErrorResponse',
     'ErrorKind',
-    'answer_for',
+    'error_response_for',
 ]
--- a/src/sardinetrack/errors/api.py
+++ b/src/sardinetrack/errors/api.py
@@ -39,7 +39,7 @@
     INTERNAL = 'internal_error'
 
 
-class AnsweredError(Exception):
+class RequestError(Exception):
     """An error that is sent to the caller; the table defines its response."""
 
     def __init__(
--- a/src/sardinetrack/errors/problem.py
+++ b/src/sardinetrack/errors/problem.py
@@ -21,11 +21,11 @@
         return f'{self.place}: {self.reason}' if self.place else self.reason
 
 
-def path_of(place: tuple[Any, ...]) -> str:
+def dotted_path(place: tuple[Any, ...]) -> str:
     """Return the location of a validation error as a dotted path."""
     return '.'.join(str(part) for part in place)
 
 
-def reason_of(message: str) -> str:
+def strip_error_prefix(message: str) -> str:
     """Strip the prefix that pydantic adds to the text of a ``ValueError``."""
     return message.removeprefix(_VALUE_ERROR_PREFIX)
--- a/src/sardinetrack/errors/table.py
+++ b/src/sardinetrack/errors/table.py
@@ -223,7 +223,7 @@
 )
 
 
-def answer_for(kind: ErrorKind) -> ErrorResponse:
+def error_response_for(kind: ErrorKind) -> ErrorResponse:
     """Return the response for an error kind.
 
     :param kind: an error kind; every kind has a response.
--- a/src/sardinetrack/http/asgi.py
+++ b/src/sardinetrack/http/asgi.py
@@ -14,7 +14,7 @@
 import anyio
 import msgspec
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -101,13 +101,13 @@
     async def body(self, max_bytes: int, timeout_seconds: float) -> bytes:
         """Read the complete body.
 
-        :raises AnsweredError: the body is too large or arrives too slowly.
+        :raises RequestError: the body is too large or arrives too slowly.
         """
         try:
             with anyio.fail_after(timeout_seconds):
                 return await self._bounded_body(max_bytes)
         except TimeoutError as error:
-            raise AnsweredError(ErrorKind.BODY_TIMEOUT) from error
+            raise RequestError(ErrorKind.BODY_TIMEOUT) from error
 
     async def wait_for_disconnect(self) -> None:
         """Wait until the client disconnects; call after reading the body."""
@@ -179,6 +179,6 @@
         async for chunk in self.body_chunks():
             size_bytes += len(chunk)
             if size_bytes > max_bytes:
-                raise AnsweredError(ErrorKind.BODY_TOO_LARGE)
+                raise RequestError(ErrorKind.BODY_TOO_LARGE)
             chunks.append(chunk)
         return b''.join(chunks)
--- a/src/sardinetrack/platform/dialect.py
+++ b/src/sardinetrack/platform/dialect.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.placement.prompt import Prompt, PromptBlock
 from sardinetrack.relay.api import (
     CallerRequest,
@@ -74,7 +74,7 @@
         host = _single_header(headers, b'host').decode(_ENCODING).lower()
         path = target.partition(b'?')[0].decode(_ENCODING)
         if not path.startswith('/'):
-            raise AnsweredError(
+            raise RequestError(
                 ErrorKind.BAD_REQUEST, 'the request path must start with /'
             )
         return CallerRequest(
@@ -142,7 +142,7 @@
 def _single_header(headers: Headers, required: bytes) -> bytes:
     contents = [content for name, content in headers if name == required]
     if len(contents) != 1:
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.BAD_REQUEST,
             f'header {required.decode()} must occur exactly once',
         )
--- a/src/sardinetrack/relay/api.py
+++ b/src/sardinetrack/relay/api.py
@@ -80,7 +80,7 @@
     ) -> CallerRequest:
         """Parse the head of a request; its body follows.
 
-        :raises AnsweredError: the head is not valid.
+        :raises RequestError: the head is not valid.
         """
 
     @abstractmethod
--- a/src/sardinetrack/relay/caller_connection.py
+++ b/src/sardinetrack/relay/caller_connection.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.sockets import descriptor, has_unread
 from sardinetrack.relay.api import CallerRequest, Dialect
 from sardinetrack.relay.connection_owner import ConnectionOwner
@@ -46,9 +46,9 @@
         self._call: CallerRequest | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._rejection: AnsweredError | None = None
+        self._rejection: RequestError | None = None
         self._task: asyncio.Task[None] | None = None
-        self._pipelined: deque[CallerRequest | AnsweredError] = deque()
+        self._pipelined: deque[CallerRequest | RequestError] = deque()
         self._closing = False
         self._close_announced = False
         self._unreadable = False
@@ -88,7 +88,7 @@
             # parsed: that could be a request smuggled in the body of another
             # one.
             self._unreadable = True
-            self._queue(AnsweredError(ErrorKind.BAD_REQUEST))
+            self._queue(RequestError(ErrorKind.BAD_REQUEST))
 
     def eof_received(self) -> bool:
         """Treat a half-closed connection as a disconnected caller."""
@@ -198,7 +198,7 @@
                 self._headers,
                 self._owner.now(),
             )
-        except AnsweredError as error:
+        except RequestError as error:
             self._rejection = self._rejection or error
             return
         if (b'expect', b'100-continue') in self._headers:
@@ -221,7 +221,7 @@
         self._head = None
         self._headers = []
         if call is None or self._rejection is not None:
-            self._queue(self._rejection or AnsweredError(ErrorKind.BAD_REQUEST))
+            self._queue(self._rejection or RequestError(ErrorKind.BAD_REQUEST))
             return
         call.body = b''.join(self._body)
         call.closes_connection = not self._parser.should_keep_alive()
@@ -263,7 +263,7 @@
         self._close_announced = closes or self._closing
         return _CLOSE if self._close_announced else b''
 
-    def _queue(self, request: CallerRequest | AnsweredError) -> None:
+    def _queue(self, request: CallerRequest | RequestError) -> None:
         self._pipelined.append(request)
         if self._task is None:
             self._serve_next()
@@ -274,7 +274,7 @@
         """Serve the next queued request."""
         while self._pipelined and self._task is None:
             request = self._pipelined.popleft()
-            if isinstance(request, AnsweredError):
+            if isinstance(request, RequestError):
                 self._write_rejection(request)
                 return
             self._call = request
@@ -284,9 +284,9 @@
             self._task.add_done_callback(self._request_done)
 
     def _reject(self, kind: ErrorKind) -> None:
-        self._rejection = self._rejection or AnsweredError(kind)
+        self._rejection = self._rejection or RequestError(kind)
 
-    def _write_rejection(self, rejection: AnsweredError) -> None:
+    def _write_rejection(self, rejection: RequestError) -> None:
         # The rejected request may not have been read to its end; the rest of
         # it would be parsed as the next request.
         self._closing = True
--- a/src/sardinetrack/relay/entry.py
+++ b/src/sardinetrack/relay/entry.py
@@ -10,7 +10,7 @@
 from types import TracebackType
 from typing import Final, Self
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.sockets import LAST_REQUEST_SECONDS
 from sardinetrack.logs.events import Event
 from sardinetrack.relay.api import CallerRequest, Dialect
@@ -240,7 +240,7 @@
         workspace = self._state.workspace_name(call.api_key)
         refusal = self._refusal(workspace)
         if refusal is not None:
-            exchange.refuse(AnsweredError(refusal))
+            exchange.refuse(RequestError(refusal))
             self._record_end(call, exchange)
             return
         self._exchanges.add(exchange)
--- a/src/sardinetrack/relay/error_response.py
+++ b/src/sardinetrack/relay/error_response.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from sardinetrack.errors.api import AnsweredError
-from sardinetrack.errors.table import answer_for
+from sardinetrack.errors.api import RequestError
+from sardinetrack.errors.table import error_response_for
 
 
 @cache
@@ -21,12 +21,12 @@
     return f'HTTP/1.1 {status} {phrase}\r\n'.encode()
 
 
-def error_response(error: AnsweredError) -> tuple[int, bytes, bytes]:
+def error_response(error: RequestError) -> tuple[int, bytes, bytes]:
     """Serialise the response to a failure.
 
     :return: status, header lines and body.
     """
-    response = answer_for(error.kind)
+    response = error_response_for(error.kind)
     retry_after = error.retry_after_seconds
     if retry_after is None:
         retry_after = response.retry_after_seconds
--- a/src/sardinetrack/relay/exchange.py
+++ b/src/sardinetrack/relay/exchange.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.logs.events import Event
 from sardinetrack.relay.api import CallerRequest, Dialect
 from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
@@ -55,10 +55,10 @@
         """Serve the request."""
         try:
             await self._run_with_deadline()
-        except AnsweredError as error:
+        except RequestError as error:
             self.refuse(error)
 
-    def refuse(self, error: AnsweredError) -> None:
+    def refuse(self, error: RequestError) -> None:
         """Send an error response, or truncate a response that has begun."""
         cause = self.trace.reason or error.detail
         kind = error.kind.value
@@ -82,16 +82,16 @@
             kind = ErrorKind.TIMED_OUT
             if self.trace.proved_not_run:
                 kind = ErrorKind.NOT_RUN_DEADLINE
-            raise AnsweredError(kind) from error
+            raise RequestError(kind) from error
 
     def _check_crashes(self, plan: Plan) -> None:
         """Refuse a request that has crashed too many servers.
 
-        :raises AnsweredError: the request is blocked.
+        :raises RequestError: the request is blocked.
         """
         seconds = self._refused_seconds(plan)
         if seconds > 0:
-            raise AnsweredError(
+            raise RequestError(
                 ErrorKind.NOT_RUN_CRASHES,
                 retry_after_seconds=seconds,
             )
@@ -123,7 +123,7 @@
     def _handle_outcome(self, plan: Plan, attempt: Attempt) -> bool:
         """Return whether the response is delivered; if not, retry.
 
-        :raises AnsweredError: the request may not be retried.
+        :raises RequestError: the request may not be retried.
         """
         outcome = attempt.done.result()
         if outcome is SendOutcome.DELIVERED:
@@ -154,10 +154,10 @@
         return self._state.budget(plan.pool.name).try_withdraw()
 
 
-def _final_error(outcome: SendOutcome, reason: str) -> AnsweredError:
+def _final_error(outcome: SendOutcome, reason: str) -> RequestError:
     if outcome is SendOutcome.NOT_RUN:
-        return AnsweredError(
+        return RequestError(
             ErrorKind.NOT_RUN_NO_SERVER,
             retry_after_seconds=SERVER_UNREACHABLE_RETRY_SECONDS,
         )
-    return AnsweredError(ErrorKind.OUTCOME_UNKNOWN, reason)
+    return RequestError(ErrorKind.OUTCOME_UNKNOWN, reason)
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.fairness.decaying_service import DecayingService
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.placement.prefix_index import PrefixCacheIndex
@@ -87,10 +87,10 @@
     def active_configuration(self) -> Configuration:
         """Return the active configuration.
 
-        :raises AnsweredError: there is none yet.
+        :raises RequestError: there is none yet.
         """
         if self.configuration is None:
-            raise AnsweredError(ErrorKind.NOT_RUN_PLATFORM_DOWN)
+            raise RequestError(ErrorKind.NOT_RUN_PLATFORM_DOWN)
         return self.configuration
 
     def workspace_name(self, api_key: str | None) -> str:
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/placing.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from sardinetrack.admission.request import AdmissionRequest
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.placement.choice import (
     Candidate,
     excluding,
@@ -90,7 +90,7 @@
     async def place(self, plan: Plan) -> Placement:
         """Wait until the request may be sent.
 
-        :raises AnsweredError: no server can run it in time.
+        :raises RequestError: no server can run it in time.
         """
         candidates = self._candidates(plan)
         if not candidates or len(self._trace.unreachable) > MAX_UNREACHABLE:
@@ -103,16 +103,16 @@
         finally:
             self._record_wait(self._loop.time() - began_seconds)
 
-    def _no_server_error(self, plan: Plan) -> AnsweredError:
+    def _no_server_error(self, plan: Plan) -> RequestError:
         """Return the error for a request that no server can run."""
         servers = self._state.servers
         if servers.only_evacuated(plan.pool.name):
-            return AnsweredError(
+            return RequestError(
                 ErrorKind.NOT_RUN_NO_SERVER,
                 'all servers are evacuated',
                 retry_after_seconds=EVACUATED_RETRY_SECONDS,
             )
-        return AnsweredError(
+        return RequestError(
             ErrorKind.NOT_RUN_NO_SERVER,
             retry_after_seconds=SERVER_UNREACHABLE_RETRY_SECONDS,
         )
@@ -281,9 +281,9 @@
 
     def _refusal_error(
         self, refusals: Sequence[PermitRefusedError]
-    ) -> AnsweredError:
+    ) -> RequestError:
         self._trace.reason = '; '.join(str(refusal) for refusal in refusals)
-        return AnsweredError(
+        return RequestError(
             ErrorKind.NOT_RUN_DEADLINE,
             retry_after_seconds=min(
                 refusal.retry_after_seconds for refusal in refusals
--- a/src/sardinetrack/relay/request_plan.py
+++ b/src/sardinetrack/relay/request_plan.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.relay.api import CallerRequest
 from sardinetrack.relay.fleet import EntryState
 from sardinetrack.topology.configuration import (
@@ -48,13 +48,13 @@
 def make_plan(state: EntryState, call: CallerRequest) -> Plan:
     """Find route, workspace and pool.
 
-    :raises AnsweredError: the request is not allowed, or this instance can't
+    :raises RequestError: the request is not allowed, or this instance can't
         know whether it is.
     """
     configuration = state.active_configuration()
     route = configuration.route(call.host, call.path)
     if route is None:
-        raise AnsweredError(ErrorKind.UNKNOWN_PATH)
+        raise RequestError(ErrorKind.UNKNOWN_PATH)
     workspace = _workspace(state, configuration, route, call)
     caller_seconds = call.max_wait_seconds
     allowed = route.timeout_seconds
@@ -74,7 +74,7 @@
 ) -> None:
     """Check key and route again just before a request is sent.
 
-    :raises AnsweredError: they were removed in the meantime.
+    :raises RequestError: they were removed in the meantime.
     """
     configuration = state.active_configuration()
     if plan.workspace is not None:
@@ -84,7 +84,7 @@
     route = configuration.route(call.host, call.path)
     pools = () if route is None else route.pools
     if all(weighted.pool != plan.pool.name for weighted in pools):
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.NOT_RUN_LOST,
             'the route has changed',
             retry_after_seconds=0,
@@ -100,14 +100,14 @@
     if route.anonymous or not configuration.workspaces:
         return None
     if not state.freshness.is_fresh():
-        raise AnsweredError(
+        raise RequestError(
             ErrorKind.NOT_RUN_PLATFORM_DOWN,
             'the configuration can not be confirmed',
             retry_after_seconds=1,
         )
     workspace = configuration.workspaces.get(call.api_key or '')
     if workspace is None:
-        raise AnsweredError(ErrorKind.UNAUTHENTICATED)
+        raise RequestError(ErrorKind.UNAUTHENTICATED)
     return workspace
 
 
@@ -130,5 +130,5 @@
             break
     pool = configuration.pools.get(name)
     if pool is None:
-        raise AnsweredError(ErrorKind.NOT_RUN_NO_SERVER)
+        raise RequestError(ErrorKind.NOT_RUN_NO_SERVER)
     return pool
--- a/src/sardinetrack/relay/sender.py
+++ b/src/sardinetrack/relay/sender.py
@@ -105,7 +105,7 @@
 
         :return: the attempt, whose outcome is known.
         :raises NotConnectedError: nothing was sent.
-        :raises AnsweredError: the request is no longer allowed; nothing was
+        :raises RequestError: the request is no longer allowed; nothing was
             sent.
         """
         server = placement.candidate.server
--- a/src/sardinetrack/side/attempt_endpoint.py
+++ b/src/sardinetrack/side/attempt_endpoint.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.messages.run import ATTEMPT_PATH, AttemptStatusRequest
 from sardinetrack.side.events import AttemptQueried, SideEvents
@@ -38,7 +38,7 @@
     try:
         query = msgspec.json.decode(body, type=AttemptStatusRequest)
     except msgspec.DecodeError as error:
-        raise AnsweredError(ErrorKind.BAD_REQUEST, str(error)) from error
+        raise RequestError(ErrorKind.BAD_REQUEST, str(error)) from error
     if query.attempt_id != exchange.path.removeprefix(ATTEMPT_PATH):
-        raise AnsweredError(ErrorKind.BAD_REQUEST, 'two attempt ids')
+        raise RequestError(ErrorKind.BAD_REQUEST, 'two attempt ids')
     return query
--- a/src/sardinetrack/side/owner_queries.py
+++ b/src/sardinetrack/side/owner_queries.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.streams.memory import MemoryObjectSendStream
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.side.events import SideEvent, SideEvents
 
 Answer = TypeVar('Answer')
@@ -21,7 +21,7 @@
     """Send a query event to the owner task and wait for the response.
 
     :param build_event: builds the event around the stream for its response.
-    :raises AnsweredError: the owner task has ended.
+    :raises RequestError: the owner task has ended.
     """
     sender, receiver = anyio.create_memory_object_stream[Answer](1)
     with receiver:
@@ -29,4 +29,4 @@
             await owner.send(build_event(sender))
             return await receiver.receive()
         except (anyio.BrokenResourceError, anyio.EndOfStream) as error:
-            raise AnsweredError(ErrorKind.INTERNAL, 'closing') from error
+            raise RequestError(ErrorKind.INTERNAL, 'closing') from error
--- a/src/sardinetrack/side/peer_application.py
+++ b/src/sardinetrack/side/peer_application.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
 from sardinetrack.links.api import LINK_PATH, STATUS_PATH
 from sardinetrack.links.secret import AUTHORIZATION_HEADER, PeerSecret
@@ -66,5 +66,5 @@
         if self._secret.matches(exchange.header(AUTHORIZATION_HEADER)):
             await self._routes.handle(exchange)
         else:
-            error = AnsweredError(ErrorKind.PEER_REFUSED)
+            error = RequestError(ErrorKind.PEER_REFUSED)
             await send_error(exchange, error)
--- a/src/sardinetrack/side/responses.py
+++ b/src/sardinetrack/side/responses.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from sardinetrack.errors.api import AnsweredError
-from sardinetrack.errors.table import answer_for
+from sardinetrack.errors.api import RequestError
+from sardinetrack.errors.table import error_response_for
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.http.client import StreamedReply
 from sardinetrack.messages.run import RESULT_HEADER, AttemptStatus, RunResult
@@ -35,9 +35,9 @@
     message: str
 
 
-async def send_error(exchange: Exchange, error: AnsweredError) -> None:
+async def send_error(exchange: Exchange, error: RequestError) -> None:
     """Respond with the status and message of the error's kind."""
-    row = answer_for(error.kind)
+    row = error_response_for(error.kind)
     content = PeerErrorBody(error.kind.value, error.detail or row.message)
     await exchange.answer_json(row.status, content)
 
--- a/src/sardinetrack/side/routes.py
+++ b/src/sardinetrack/side/routes.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Awaitable, Callable, Mapping
 
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.asgi import CallerGoneError, Exchange
 from sardinetrack.side.responses import send_error
 
@@ -27,7 +27,7 @@
         """Handle one request; an error gets the response of its kind."""
         try:
             await self._find_handler(exchange)(exchange)
-        except AnsweredError as error:
+        except RequestError as error:
             await send_error(exchange, error)
         except CallerGoneError:
             return
@@ -40,5 +40,5 @@
         if handler is not None:
             return handler
         if path in self._paths:
-            raise AnsweredError(ErrorKind.METHOD_NOT_ALLOWED)
-        raise AnsweredError(ErrorKind.UNKNOWN_PATH)
+            raise RequestError(ErrorKind.METHOD_NOT_ALLOWED)
+        raise RequestError(ErrorKind.UNKNOWN_PATH)
--- a/src/sardinetrack/side/run_endpoint.py
+++ b/src/sardinetrack/side/run_endpoint.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from sardinetrack.catalogue.api import Pool
-from sardinetrack.errors.api import AnsweredError
-from sardinetrack.errors.table import answer_for
+from sardinetrack.errors.api import RequestError
+from sardinetrack.errors.table import error_response_for
 from sardinetrack.http.asgi import Exchange
 from sardinetrack.messages.run import (
     RUN_HEADER,
@@ -65,8 +65,8 @@
     ) -> None:
         try:
             body = await exchange.body(pool.max_body_bytes, _BODY_SECONDS)
-        except AnsweredError as error:
-            status = answer_for(error.kind).status
+        except RequestError as error:
+            status = error_response_for(error.kind).status
             await self._refuse(exchange, run_request, error.kind, status)
             return
         async with Attempt(run_request, self._dependencies.owner) as attempt:
--- a/src/sardinetrack/standin/platform.py
+++ b/src/sardinetrack/standin/platform.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from sardinetrack.errors.api import AnsweredError
+from sardinetrack.errors.api import RequestError
 from sardinetrack.http.asgi import (
     CallerGoneError,
     Exchange,
@@ -75,7 +75,7 @@
         exchange = Exchange(scope, receive, send)
         try:
             await self._respond(exchange)
-        except (AnsweredError, RefusedError, ValueError) as error:
+        except (RequestError, RefusedError, ValueError) as error:
             text = str(error).encode()
             await exchange.respond(HTTPStatus.BAD_REQUEST, text)
         except UnavailableError:
--- a/tests/entry/steps/caller_interface_steps.py
+++ b/tests/entry/steps/caller_interface_steps.py
@@ -16,7 +16,7 @@
 from samples import COMPLETIONS, JSON, completion
 
 from sardinetrack.errors.api import ErrorKind
-from sardinetrack.errors.table import answer_for
+from sardinetrack.errors.table import error_response_for
 from sardinetrack.store.in_process import Disturbance
 
 AUTHORIZED = f'host: entry\r\nauthorization: Bearer {TOKEN_TEXT}\r\n'
@@ -367,7 +367,7 @@
     if response.status < 400:
         return True
     kind = ErrorKind(response.error['code'])
-    return answer_for(kind).status == response.status
+    return error_response_for(kind).status == response.status
 
 
 @then('every error is a defined one and none is internal')
--- a/tests/entry/steps/parts_steps.py
+++ b/tests/entry/steps/parts_steps.py
@@ -15,7 +15,7 @@
 from sardinetrack.entry.history import RunHistory
 from sardinetrack.entry.services import is_repeatable
 from sardinetrack.entry.sse import EventReader
-from sardinetrack.errors.api import AnsweredError, ErrorKind
+from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.routing.api import AttemptOutcome, Reject
 
 CALLS = (RepeatableCall('GET', '/charts'),)
@@ -94,7 +94,7 @@
 def check_refused(context: Any, name: str) -> None:
     try:
         context.budget.account(name).reserve(1)
-    except AnsweredError as error:
+    except RequestError as error:
         assert error.kind is ErrorKind.QUEUE_FULL
         return
     raise AssertionError('the reservation was not rejected')
@@ -109,7 +109,7 @@
 
 @then('an error with a delay of {seconds:g} seconds has Retry-After "{text}"')
 def check_seconds(context: Any, seconds: float, text: str) -> None:
-    failure = AnsweredError(
+    failure = RequestError(
         ErrorKind.QUEUE_FULL,
         retry_after_seconds=seconds,
     )
--- a/tests/errors/steps/pages_steps.py
+++ b/tests/errors/steps/pages_steps.py
@@ -9,7 +9,7 @@
 from behave import then, when
 from behave.runner import Context
 
-from sardinetrack.errors import ERROR_RESPONSES, ErrorKind, answer_for
+from sardinetrack.errors import ERROR_RESPONSES, ErrorKind, error_response_for
 
 _DOCS = Path(__file__).parents[3] / 'docs'
 _CODE = re.compile('`([a-z_]+)`')
@@ -50,20 +50,20 @@
 @then('each row has the HTTP status of its response')
 def step_status(context: Context) -> None:
     for row in context.rows:
-        assert int(row.status) == answer_for(_kind(row)).status, row
+        assert int(row.status) == error_response_for(_kind(row)).status, row
 
 
 @then('each row says "not run" exactly if its response does')
 def step_not_run(context: Context) -> None:
     for row in context.rows:
-        expected = 'yes' if answer_for(_kind(row)).not_run else 'no'
+        expected = 'yes' if error_response_for(_kind(row)).not_run else 'no'
         assert row.not_run == expected, row
 
 
 @then("each row has its response's default for Retry-After")
 def step_retry_after(context: Context) -> None:
     for row in context.rows:
-        seconds = answer_for(_kind(row)).retry_after_seconds
+        seconds = error_response_for(_kind(row)).retry_after_seconds
         expected = '-' if seconds is None else str(seconds)
         assert row.retry_after == expected, row
 
--- a/tests/once/steps/claims_steps.py
+++ b/tests/once/steps/claims_steps.py
@@ -14,7 +14,7 @@
 from random_run import run_seed
 
 from sardinetrack.entry.keyed import KeyedRuns
-from sardinetrack.errors.api import AnsweredError
+from sardinetrack.errors.api import RequestError
 from sardinetrack.once.record import ShardHead, head_key, segment_key
 from sardinetrack.store.api import UncertainError
 
@@ -152,7 +152,7 @@
         context.sent = True
 
     async def main() -> None:
-        with suppress(AnsweredError):
+        with suppress(RequestError):
             await runs.run(call, key, send_run_request)
         await anyio.sleep(1)
 
