--- a/benchmarks/charts.py
+++ b/benchmarks/charts.py
@@ -21,7 +21,7 @@
 from sardinetrack.admission.api import Arrival
 from sardinetrack.admission.attempts import AttemptEvent, AttemptState
 from sardinetrack.admission.slots import SlotAdmission
-from sardinetrack.charts import StateChart, TypedChart
+from sardinetrack.charts import StateChart, TypedStateChart
 from sardinetrack.charts.model import ChartFile
 
 LOOPS = 20_000
@@ -94,7 +94,7 @@
     name = 'TypedChart'
 
     def __init__(self) -> None:
-        self._chart = TypedChart('attempt', AttemptState, AttemptEvent)
+        self._chart = TypedStateChart('attempt', AttemptState, AttemptEvent)
 
     def run(self) -> None:
         """Fire the events."""
--- a/src/sardinetrack/admission/attempts.py
+++ b/src/sardinetrack/admission/attempts.py
@@ -8,7 +8,7 @@
 from types import MappingProxyType
 from typing import Final
 
-from sardinetrack.charts.typed import TypedChart
+from sardinetrack.charts.typed import TypedStateChart
 from sardinetrack.messages.run import AttemptStatus
 
 KEEP_SECONDS: Final = 900.0
@@ -40,7 +40,7 @@
     STOP = 'stop'
 
 
-_CHART: Final = TypedChart('attempt', AttemptState, AttemptEvent)
+_CHART: Final = TypedStateChart('attempt', AttemptState, AttemptEvent)
 _LIVE: Final = frozenset((AttemptState.HELD, AttemptState.RUNNING))
 _STATUSES: Final = MappingProxyType(
     {
--- a/src/sardinetrack/charts/drain.py
+++ b/src/sardinetrack/charts/drain.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Final
 
-from sardinetrack.charts.typed import TypedChart
+from sardinetrack.charts.typed import TypedStateChart
 
 
 class DrainState(StrEnum):
@@ -27,4 +27,4 @@
     STOP = 'stop'
 
 
-DRAIN: Final = TypedChart('drain', DrainState, DrainEvent)
+DRAIN_CHART: Final = TypedStateChart('drain', DrainState, DrainEvent)
--- a/src/sardinetrack/charts/typed.py
+++ b/src/sardinetrack/charts/typed.py
@@ -13,7 +13,7 @@
 EventT = TypeVar('EventT', bound=StrEnum)
 
 
-class TypedChart(Generic[StateT, EventT]):
+class TypedStateChart(Generic[StateT, EventT]):
     """A state chart of this package, with enumerations that match its file."""
 
     def __init__(
@@ -64,7 +64,7 @@
 
     __slots__ = ('_chart', 'state')
 
-    def __init__(self, chart: TypedChart[StateT, EventT]) -> None:
+    def __init__(self, chart: TypedStateChart[StateT, EventT]) -> None:
         self._chart = chart
         self.state = chart.initial
 
--- a/src/sardinetrack/entry/drain_gate.py
+++ b/src/sardinetrack/entry/drain_gate.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from sardinetrack.charts.drain import DRAIN, DrainEvent, DrainState
+from sardinetrack.charts.drain import DRAIN_CHART, DrainEvent, DrainState
 from sardinetrack.errors.api import ErrorKind, RequestError
 
 
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self.inside = 0
-        self._chart = DRAIN.start()
+        self._chart = DRAIN_CHART.start()
         self._idle = anyio.Event()
         self._changed_at = anyio.current_time()
 
--- a/src/sardinetrack/links/client.py
+++ b/src/sardinetrack/links/client.py
@@ -11,7 +11,7 @@
 from websockets.asyncio.client import ClientConnection, connect
 from websockets.exceptions import ConnectionClosed, WebSocketException
 
-from sardinetrack.charts.typed import TypedChart
+from sardinetrack.charts.typed import TypedStateChart
 from sardinetrack.links.api import LINK_PATH, Hello, LinkBounds, LinkEvents
 from sardinetrack.links.frames import FrameSocket, LinkLostError
 from sardinetrack.links.link import FrameLink
@@ -52,7 +52,7 @@
     RETRY = 'retry'
 
 
-_CHART: Final = TypedChart('link', DialState, DialEvent)
+_CHART: Final = TypedStateChart('link', DialState, DialEvent)
 
 
 class _ClientSocket(FrameSocket):
--- a/src/sardinetrack/process/signals.py
+++ b/src/sardinetrack/process/signals.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from sardinetrack.charts.drain import DRAIN, DrainEvent, DrainState
+from sardinetrack.charts.drain import DRAIN_CHART, DrainEvent, DrainState
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.process.api import Drainable
 
@@ -31,7 +31,7 @@
 ) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
         async with anyio.create_task_group() as tasks:
-            drain = DRAIN.start()
+            drain = DRAIN_CHART.start()
             async for signal_number in received:
                 name = signal.Signals(signal_number).name
                 if drain.state is not DrainState.SERVING:
--- a/src/sardinetrack/routing/breaker.py
+++ b/src/sardinetrack/routing/breaker.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Final
 
-from sardinetrack.charts.typed import TypedChart
+from sardinetrack.charts.typed import TypedStateChart
 
 FAILURE_THRESHOLD: Final = 3
 INITIAL_COOLDOWN_SECONDS: Final = 1.0
@@ -31,7 +31,7 @@
     PROBE_UNDECIDED = 'probe_undecided'
 
 
-_CHART: Final = TypedChart('breaker', BreakerState, BreakerEvent)
+_CHART: Final = TypedStateChart('breaker', BreakerState, BreakerEvent)
 
 
 class Breaker:
--- a/src/sardinetrack/side/owner.py
+++ b/src/sardinetrack/side/owner.py
@@ -23,7 +23,7 @@
     SendGrant,
     StartRequest,
 )
-from sardinetrack.charts.drain import DRAIN, DrainEvent, DrainState
+from sardinetrack.charts.drain import DRAIN_CHART, DrainEvent, DrainState
 from sardinetrack.links.api import LinkDown, LinkMessageReceived, LinkUp
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.messages.api import SidePhase
@@ -64,7 +64,7 @@
         self._state = state
         self._events = events
         self._requests = RequestEventHandler(state)
-        self._drain = DRAIN.start()
+        self._drain = DRAIN_CHART.start()
         self._idle = anyio.Event()
         self._tick_at: float = 0
         links = LinkEventHandler(state)
--- a/src/sardinetrack/views/source.py
+++ b/src/sardinetrack/views/source.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import Final
 
-from sardinetrack.charts.typed import TypedChart
+from sardinetrack.charts.typed import TypedStateChart
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.topology.feed import Feed
 from sardinetrack.topology.outage import StoreWay
@@ -65,7 +65,7 @@
     FAILED = 'failed'
 
 
-_CHART: Final = TypedChart('view', ViewState, ViewEvent)
+_CHART: Final = TypedStateChart('view', ViewState, ViewEvent)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/charts/steps/interpreter_steps.py
+++ b/tests/charts/steps/interpreter_steps.py
@@ -16,7 +16,7 @@
     IllegalEventError,
     InvalidChartError,
     StateChart,
-    TypedChart,
+    TypedStateChart,
 )
 
 _CHARTS = ('attempt', 'breaker', 'drain', 'lease', 'link', 'view')
@@ -174,7 +174,7 @@
 def step_typed(context: Context, name: str, states: str, events: str) -> None:
     context.rejection = None
     try:
-        TypedChart(name, _enumerate(states), _enumerate(events))
+        TypedStateChart(name, _enumerate(states), _enumerate(events))
     except InvalidChartError as error:
         context.rejection = error
 
