--- a/src/sardinetrack/lease/keeper.py
+++ b/src/sardinetrack/lease/manager.py
@@ -25,7 +25,7 @@
 _CONFLICT_DELAY_SECONDS: Final = 0.2
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Acquires the lease only when there is a command to send.
 
     The lease is not renewed in the background: an unused lease costs no call.
--- a/src/sardinetrack/lease/orders.py
+++ b/src/sardinetrack/lease/model_loader.py
@@ -12,7 +12,7 @@
 import anyio
 
 from sardinetrack.catalogue.api import Pool, PoolClass
-from sardinetrack.lease.keeper import LeaseKeeper
+from sardinetrack.lease.manager import LeaseManager
 from sardinetrack.store.api import PlatformError
 from sardinetrack.store.backoff import Backoff
 
@@ -20,7 +20,7 @@
 _POLL_INTERVAL_SECONDS: Final = 1.0
 
 
-class OrderResult(Enum):
+class LoadResult(Enum):
     """Result of a load command."""
 
     ACCEPTED = auto()
@@ -30,7 +30,7 @@
     """No response, or an error; the command may have been executed."""
 
 
-class OrderedServer(ABC):
+class ModelServer(ABC):
     """Interface of a backend server that loads models on command."""
 
     name: str
@@ -44,11 +44,11 @@
         self,
         fencing_token: int,
         models: tuple[str, ...],
-    ) -> OrderResult:
+    ) -> LoadResult:
         """Send a command to load models; loaded ones stay loaded."""
 
 
-class ModelOrders:
+class ModelLoader:
     """A task that loads missing models, with one command for each change.
 
     Requests need no lease: they continue whatever happens here.
@@ -56,8 +56,8 @@
 
     def __init__(
         self,
-        server: OrderedServer,
-        keeper: LeaseKeeper,
+        server: ModelServer,
+        keeper: LeaseManager,
         pool: Callable[[], Pool | None],
         rng: random.Random,
     ) -> None:
@@ -118,12 +118,12 @@
             ','.join(models),
             result.name.lower(),
         )
-        if result is OrderResult.ACCEPTED:
+        if result is LoadResult.ACCEPTED:
             self._accepted_models = models
-        elif result is OrderResult.OLD_NUMBER:
+        elif result is LoadResult.OLD_NUMBER:
             self._keeper.lease.mark_superseded()
 
-    async def _send_command(self, models: tuple[str, ...]) -> OrderResult:
+    async def _send_command(self, models: tuple[str, ...]) -> LoadResult:
         # The process may have been paused since the lease was acquired, and
         # the command may be slow in transit: it is cancelled when the lease
         # expires.
@@ -134,4 +134,4 @@
                 return await self._server.load_models(
                     lease.fencing_token, models
                 )
-        return OrderResult.UNKNOWN
+        return LoadResult.UNKNOWN
--- a/src/sardinetrack/side/model_loader.py
+++ b/src/sardinetrack/side/model_loader.py
@@ -7,8 +7,8 @@
 
 from sardinetrack.http.client import HttpClient
 from sardinetrack.lease.decision import Lease
-from sardinetrack.lease.keeper import LeaseKeeper
-from sardinetrack.lease.orders import ModelOrders
+from sardinetrack.lease.manager import LeaseManager
+from sardinetrack.lease.model_loader import ModelLoader
 from sardinetrack.lease.record import lease_key
 from sardinetrack.side.model_server import HttpModelServer
 from sardinetrack.side.parts import SideParts
@@ -22,7 +22,7 @@
     dependencies: SideParts,
     platform: Platform,
     client: HttpClient,
-) -> ModelOrders:
+) -> ModelLoader:
     """Build the task.
 
     :param dependencies: settings and configuration of the side.
@@ -36,13 +36,13 @@
         margin_seconds=settings.lease_seconds * _MARGIN_FRACTION,
     )
     key = lease_key(settings.pool, settings.backend_server)
-    return ModelOrders(
+    return ModelLoader(
         HttpModelServer(
             settings.backend_server,
             str(settings.backend_url),
             client,
         ),
-        LeaseKeeper(platform, key, lease),
+        LeaseManager(platform, key, lease),
         dependencies.configuration.pool,
         random.Random(),
     )
--- a/src/sardinetrack/side/model_server.py
+++ b/src/sardinetrack/side/model_server.py
@@ -14,7 +14,7 @@
     NotSentError,
     Reply,
 )
-from sardinetrack.lease.orders import OrderedServer, OrderResult
+from sardinetrack.lease.model_loader import LoadResult, ModelServer
 
 _LIST_MODELS_SECONDS: Final = 2.0
 _LOAD_MODELS_SECONDS: Final = 5.0
@@ -41,7 +41,7 @@
     content: LoadContent
 
 
-class HttpModelServer(OrderedServer):
+class HttpModelServer(ModelServer):
     """A model engine that accepts load commands over HTTP."""
 
     def __init__(self, name: str, url: str, client: HttpClient) -> None:
@@ -66,7 +66,7 @@
         self,
         fencing_token: int,
         models: tuple[str, ...],
-    ) -> OrderResult:
+    ) -> LoadResult:
         """Send a load command."""
         command = msgspec.json.encode(
             LoadCommand(fencing_token, LoadContent(models))
@@ -75,11 +75,11 @@
             'POST', '/orders', command, _LOAD_MODELS_SECONDS
         )
         if response is None:
-            return OrderResult.UNKNOWN
+            return LoadResult.UNKNOWN
         if response.status == HTTPStatus.CONFLICT:
-            return OrderResult.OLD_NUMBER
+            return LoadResult.OLD_NUMBER
         accepted = response.status == HTTPStatus.OK
-        return OrderResult.ACCEPTED if accepted else OrderResult.UNKNOWN
+        return LoadResult.ACCEPTED if accepted else LoadResult.UNKNOWN
 
     async def _call(
         self,
--- a/tests/lease/lease_simulation.py
+++ b/tests/lease/lease_simulation.py
@@ -10,7 +10,7 @@
 import anyio
 
 from sardinetrack.lease.decision import Lease
-from sardinetrack.lease.keeper import LeaseKeeper
+from sardinetrack.lease.manager import LeaseManager
 from sardinetrack.standin.fencing import Fence
 from sardinetrack.store.api import PlatformError
 from support.faulty_platform import FaultRates, FaultyPlatform, SharedStore
@@ -55,7 +55,7 @@
             duration_seconds=_LEASE_SECONDS,
             margin_seconds=_MARGIN_SECONDS,
         )
-        keeper = LeaseKeeper(platform, 'leases/p/s', lease)
+        keeper = LeaseManager(platform, 'leases/p/s', lease)
         while True:
             with suppress(PlatformError):
                 await keeper.acquire(checks_fencing=self.checks)
