--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -26,7 +26,7 @@
 from sardinetrack.placement.prefix_index import PrefixCacheIndex
 from sardinetrack.placement.rendezvous import shared_prefix
 from sardinetrack.relay.placing import GUEST_SECONDS, MOST_ASKED
-from sardinetrack.turns.side import WORD_SECONDS
+from sardinetrack.turns.side import REPORT_INTERVAL_SECONDS
 
 MIN_IDLE_SECONDS: Final = 0.2
 """An engine that had no work for longer counts as idle."""
@@ -71,8 +71,10 @@
             self._schedule(
                 request.arrived_seconds, partial(self._arrive, request)
             )
-        for number in range(int(seconds / WORD_SECONDS)):
-            self._schedule(number * WORD_SECONDS, self._send_load_reports)
+        for number in range(int(seconds / REPORT_INTERVAL_SECONDS)):
+            self._schedule(
+                number * REPORT_INTERVAL_SECONDS, self._send_load_reports
+            )
         while self._events:
             now, _, action = heapq.heappop(self._events)
             action(now)
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -20,8 +20,8 @@
 from sardinetrack.topology.freshness import Freshness, boot_clock
 from sardinetrack.topology.servers import BackendServer, ServerList
 from sardinetrack.topology.starts import ServerStart
-from sardinetrack.turns.desk import LocalDesk
-from sardinetrack.turns.entry import RestartListener, SideLink
+from sardinetrack.turns.driver import LocalAdmission
+from sardinetrack.turns.side_link import RestartListener, SideLink
 
 _BUDGET_RATIO_FRACTION: Final = 0.8
 _BUDGET_SLACK_FRACTION: Final = 0.6
@@ -101,7 +101,9 @@
         workspace = configuration.workspaces.get(api_key)
         return '' if workspace is None else workspace.name
 
-    def local_admission(self, server: BackendServer, pool: Pool) -> LocalDesk:
+    def local_admission(
+        self, server: BackendServer, pool: Pool
+    ) -> LocalAdmission:
         """Return the local admission for a server whose side is unreachable."""
         local_admission = self.server_states.local_admission(
             server, pool, 1 / self.entries
--- a/src/sardinetrack/relay/metrics.py
+++ b/src/sardinetrack/relay/metrics.py
@@ -132,7 +132,7 @@
     yield _gauge(
         'starts_in_a_row',
         'Starts of the engine of which each ended before it was warm',
-        side.engine_starts.in_a_row,
+        side.engine_starts.consecutive_cold_starts,
     )
     yield _gauge(
         'followers',
--- a/src/sardinetrack/relay/permit.py
+++ b/src/sardinetrack/relay/permit.py
@@ -11,9 +11,13 @@
 from sardinetrack.relay.fleet import EntryState
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.turns.clock import loop_now
-from sardinetrack.turns.desk import LocalDesk
-from sardinetrack.turns.entry import SideLines
-from sardinetrack.turns.messages import AskTurn, TurnGranted, TurnRefused
+from sardinetrack.turns.driver import LocalAdmission
+from sardinetrack.turns.messages import (
+    PermitGranted,
+    PermitRefused,
+    PermitRequest,
+)
+from sardinetrack.turns.side_link import SideConnection
 
 _RESPONSE_SECONDS: Final = 0.25
 """Longest wait for a side's response beyond what the request may wait."""
@@ -59,7 +63,7 @@
 class SidePermit(Permit):
     """Granted by the server's side."""
 
-    def __init__(self, connection: SideLines, permit_id: str) -> None:
+    def __init__(self, connection: SideConnection, permit_id: str) -> None:
         """Create a permit granted by a side.
 
         :param connection: the connection to the side.
@@ -80,7 +84,7 @@
 class LocalPermit(Permit):
     """Granted by the entry itself."""
 
-    def __init__(self, local_admission: LocalDesk, permit_id: str) -> None:
+    def __init__(self, local_admission: LocalAdmission, permit_id: str) -> None:
         """Create a permit granted by the entry itself.
 
         :param local_admission: the local admission that granted it.
@@ -158,10 +162,10 @@
 
 async def _request_from_side(
     state: EntryState,
-    connection: SideLines,
+    connection: SideConnection,
     admission_request: AdmissionRequest,
 ) -> Permit | None:
-    message = AskTurn(
+    message = PermitRequest(
         admission_request.permit_id,
         admission_request.workspace,
         admission_request.prefill_tokens,
@@ -179,9 +183,9 @@
     )
     timeout_seconds = admission_request.max_wait_seconds + _RESPONSE_SECONDS
     response = await connection.request_permit(message, timeout_seconds)
-    if isinstance(response, TurnGranted):
+    if isinstance(response, PermitGranted):
         return SidePermit(connection, admission_request.permit_id)
-    if isinstance(response, TurnRefused):
+    if isinstance(response, PermitRefused):
         raise PermitRefusedError(
             response.retry_after_seconds,
             f'side: {response.ahead_tokens} tokens ahead',
--- a/src/sardinetrack/relay/server_states.py
+++ b/src/sardinetrack/relay/server_states.py
@@ -11,7 +11,7 @@
 from sardinetrack.routing.breaker import Breaker
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.servers import BackendServer
-from sardinetrack.turns.desk import LocalDesk
+from sardinetrack.turns.driver import LocalAdmission
 
 
 class ServerStates:
@@ -26,7 +26,7 @@
         self.lengths = OutputLengths()
         self.loads: dict[str, EstimatedLoad] = {}
         self._breakers: dict[str, Breaker] = {}
-        self._local_admissions: dict[str, LocalDesk] = {}
+        self._local_admissions: dict[str, LocalAdmission] = {}
 
     def __len__(self) -> int:
         """Count the servers for which any state is kept."""
@@ -53,14 +53,14 @@
         server: BackendServer,
         pool: Pool,
         fraction: float,
-    ) -> LocalDesk:
+    ) -> LocalAdmission:
         """Return the local admission for a server whose side is unreachable.
 
         :param fraction: the fraction of the server that this entry may grant.
         """
         local_admission = self._local_admissions.get(server.instance)
         if local_admission is None:
-            local_admission = LocalDesk()
+            local_admission = LocalAdmission()
             self._local_admissions[server.instance] = local_admission
         local_admission.admission.resize(
             pool.slots, pool.memory_tokens, fraction
--- a/src/sardinetrack/relay/side_links.py
+++ b/src/sardinetrack/relay/side_links.py
@@ -17,8 +17,8 @@
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.servers import BackendServer
 from sardinetrack.turns.clock import loop_now
-from sardinetrack.turns.entry import Beliefs, RestartListener, SideLink
-from sardinetrack.turns.messages import Hello, Struck
+from sardinetrack.turns.messages import Hello, StrikesReported
+from sardinetrack.turns.side_link import RestartListener, SideLink, SideState
 from sardinetrack.views.api import Inbox, NoInbox
 
 INITIAL_ENTRIES: Final = 6
@@ -137,7 +137,7 @@
 
     def report_strikes(self, strikes: Sequence[Strike]) -> None:
         """Send strikes to all entries, through one side per failure domain."""
-        message = Struck(tuple(strikes))
+        message = StrikesReported(tuple(strikes))
         for link in broadcast_sides(self.live):
             link.send_message(message)
 
@@ -155,7 +155,7 @@
             (server.ip, self._settings.turns_port),
             (pool.name, server.failure_domain),
             Hello(self._settings.instance, pool.slots, pool.memory_tokens),
-            Beliefs(
+            SideState(
                 EstimatedLoad(),
                 self._prefix_index,
                 self.views,
--- a/src/sardinetrack/turns/desk.py
+++ b/src/sardinetrack/turns/driver.py
@@ -81,7 +81,7 @@
         self._deliver_all(self.admission.tick(loop_now()))
 
 
-class LocalDesk(AdmissionDriver):
+class LocalAdmission(AdmissionDriver):
     """Admission by an entry itself, while a server's side is unreachable."""
 
     def __init__(self) -> None:
--- a/src/sardinetrack/turns/engine_start.py
+++ b/src/sardinetrack/turns/engine_start.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         """Start without a known start."""
         self.start: ServerStart | None = None
-        self.in_a_row = 0
+        self.consecutive_cold_starts = 0
         """Consecutive starts that each ended before the engine was warm."""
         self._estimate = ColdWord()
         self._permit_times: deque[float] = deque(maxlen=_MAX_RECORDED_PERMITS)
@@ -103,7 +103,9 @@
         """
         last_seconds = self._permit_times[-1] if self._permit_times else now
         ended_cold = last_seconds < self.cold.until_seconds
-        self.in_a_row = self.in_a_row + 1 if ended_cold else 1
+        self.consecutive_cold_starts = (
+            self.consecutive_cold_starts + 1 if ended_cold else 1
+        )
 
     def _update_cold(
         self,
--- a/src/sardinetrack/turns/entry_connection.py
+++ b/src/sardinetrack/turns/entry_connection.py
@@ -7,12 +7,12 @@
 from sardinetrack.turns.line_protocol import LineProtocol
 from sardinetrack.turns.messages import (
     DECODE_FROM_ENTRY,
-    AskTurn,
     Begun,
     Ended,
     Hello,
+    PermitRequest,
     ServerStarted,
-    Struck,
+    StrikesReported,
 )
 from sardinetrack.views.api import ViewSubscriber
 from sardinetrack.views.messages import (
@@ -53,7 +53,7 @@
         """Dispatch a message to the side."""
         message = DECODE_FROM_ENTRY(line)
         match message:
-            case AskTurn():
+            case PermitRequest():
                 self.permit_ids.add(message.permit_id)
                 self._side.handle_request(self, message)
             case Begun():
@@ -66,7 +66,7 @@
             case Hello():
                 self.entry = message.entry
                 self._side.handle_hello(self, message)
-            case Struck():
+            case StrikesReported():
                 self._side.handle_strikes(self, message)
             case ServerStarted():
                 self._side.handle_start(self, message)
--- a/src/sardinetrack/turns/messages.py
+++ b/src/sardinetrack/turns/messages.py
@@ -27,7 +27,7 @@
     memory_tokens: int
 
 
-class AskTurn(msgspec.Struct, tag='ask', array_like=True, frozen=True):
+class PermitRequest(msgspec.Struct, tag='ask', array_like=True, frozen=True):
     """Request for a permit to send one request to the server."""
 
     permit_id: str
@@ -87,13 +87,17 @@
     """Requests a second that it handles while cold; 0 for no limit."""
 
 
-class TurnGranted(msgspec.Struct, tag='granted', array_like=True, frozen=True):
+class PermitGranted(
+    msgspec.Struct, tag='granted', array_like=True, frozen=True
+):
     """Permit to send the request now."""
 
     permit_id: str
 
 
-class TurnRefused(msgspec.Struct, tag='refused', array_like=True, frozen=True):
+class PermitRefused(
+    msgspec.Struct, tag='refused', array_like=True, frozen=True
+):
     """Refusal: the request can't be served in time."""
 
     permit_id: str
@@ -121,20 +125,28 @@
     """How long the engine caches a prefix after its last use."""
 
 
-class Struck(msgspec.Struct, tag='struck', array_like=True, frozen=True):
+class StrikesReported(
+    msgspec.Struct, tag='struck', array_like=True, frozen=True
+):
     """Strikes: requests that were running when their servers crashed."""
 
     strikes: tuple[Strike, ...]
 
 
 FromEntry = (
-    Hello | AskTurn | Begun | Ended | Struck | ServerStarted | FromFollower
+    Hello
+    | PermitRequest
+    | Begun
+    | Ended
+    | StrikesReported
+    | ServerStarted
+    | FromFollower
 )
 FromSide = (
-    TurnGranted
-    | TurnRefused
+    PermitGranted
+    | PermitRefused
     | SideReport
-    | Struck
+    | StrikesReported
     | ServerStarted
     | FromWatcher
 )
--- a/src/sardinetrack/turns/side.py
+++ b/src/sardinetrack/turns/side.py
@@ -17,23 +17,23 @@
 from sardinetrack.placement.prefix_index import MAX_RETENTION_SECONDS
 from sardinetrack.routing.strikes import StrikeRegistry
 from sardinetrack.turns.clock import loop_now
-from sardinetrack.turns.desk import AdmissionDriver
+from sardinetrack.turns.driver import AdmissionDriver
 from sardinetrack.turns.engine_start import EngineStarts, StartUpdate
 from sardinetrack.turns.entry_connection import EntryConnection
 from sardinetrack.turns.messages import (
-    AskTurn,
     Hello,
+    PermitGranted,
+    PermitRefused,
+    PermitRequest,
     ServerStarted,
     SideReport,
-    Struck,
-    TurnGranted,
-    TurnRefused,
+    StrikesReported,
 )
 from sardinetrack.turns.refused import RefusedRequests
 from sardinetrack.turns.usage_log import UsageLog
 from sardinetrack.views.watcher import Watcher
 
-WORD_SECONDS: Final = 0.15
+REPORT_INTERVAL_SECONDS: Final = 0.15
 """Interval of a side's load reports; an entry adds what it sent since."""
 IDLE_REPORT_INTERVAL_SECONDS: Final = 0.45
 """Interval of the reports while nothing changes, as a heartbeat."""
@@ -66,7 +66,7 @@
         self._reported_seconds = float(0)
         self.usage = UsageLog(log)
         self.verdicts: Counter[str] = Counter()
-        self._requests: dict[str, AskTurn] = {}
+        self._requests: dict[str, PermitRequest] = {}
         self._refused = RefusedRequests()
         self._new_prefixes: set[str] = set()
         self._strikes = StrikeRegistry()
@@ -112,7 +112,7 @@
         self.admission.resize(hello.slots, hello.memory_tokens)
         strikes = self._strikes.active(loop_now())
         if strikes:
-            entry.send(Struck(tuple(strikes)))
+            entry.send(StrikesReported(tuple(strikes)))
         self._log.write(
             Event.ENTRY_CONNECTED,
             entry=hello.entry,
@@ -123,7 +123,7 @@
     def handle_strikes(
         self,
         sender: EntryConnection,
-        message: Struck,
+        message: StrikesReported,
     ) -> None:
         """Forward strikes to all other entries.
 
@@ -171,7 +171,7 @@
             told_by=sender.entry,
             running=self.admission.running,
             waiting=self.admission.waiting,
-            starts_in_a_row=self.engine_starts.in_a_row,
+            starts_in_a_row=self.engine_starts.consecutive_cold_starts,
             granted_last_second=self.engine_starts.permits_last_second,
             cold_seconds=round(
                 self.engine_starts.cold.left_seconds(loop_now()),
@@ -199,7 +199,9 @@
         for permit_id in entry.permit_ids:
             self.handle_end(permit_id)
 
-    def handle_request(self, entry: EntryConnection, message: AskTurn) -> None:
+    def handle_request(
+        self, entry: EntryConnection, message: PermitRequest
+    ) -> None:
         """Handle an entry's request for a permit."""
         self._owners[message.permit_id] = entry
         now = loop_now()
@@ -226,7 +228,7 @@
         )
         self.request(request)
 
-    def _returned_seconds(self, now: float, message: AskTurn) -> float:
+    def _returned_seconds(self, now: float, message: PermitRequest) -> float:
         if not message.fingerprint:
             return 0
         return self._refused.waited_seconds(now, message.fingerprint)
@@ -260,7 +262,7 @@
             self.engine_starts.record_permit(loop_now())
             if message.shared_prefix:
                 self._new_prefixes.add(message.shared_prefix)
-            owner.send(TurnGranted(decision.permit_id))
+            owner.send(PermitGranted(decision.permit_id))
             return
         self._owners.pop(decision.permit_id, None)
         owner.permit_ids.discard(decision.permit_id)
@@ -270,7 +272,7 @@
             requested_seconds = now - decision.waited_seconds
             self._refused.record(requested_seconds, message.fingerprint)
         owner.send(
-            TurnRefused(
+            PermitRefused(
                 decision.permit_id,
                 round(decision.retry_after_seconds, _DIGITS),
                 round(decision.waited_seconds, _DIGITS),
@@ -292,7 +294,7 @@
 
     async def _report_load(self) -> None:
         while True:
-            await asyncio.sleep(WORD_SECONDS)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
             self.usage.log_if_due(loop_now(), self.admission)
             wait_seconds = round(self.admission.wait_seconds(loop_now()), 2)
             slots_left = self.admission.slots_left
--- a/src/sardinetrack/turns/entry.py
+++ b/src/sardinetrack/turns/side_link.py
@@ -22,15 +22,15 @@
 from sardinetrack.turns.messages import (
     DECODE_FROM_SIDE,
     MAX_SIDE_LINE_BYTES,
-    AskTurn,
     Begun,
     Ended,
     Hello,
+    PermitGranted,
+    PermitRefused,
+    PermitRequest,
     ServerStarted,
     SideReport,
-    Struck,
-    TurnGranted,
-    TurnRefused,
+    StrikesReported,
     decode_start,
     encode_start,
 )
@@ -49,7 +49,7 @@
 """
 MAX_BACKOFF_SECONDS: Final = 0.4
 
-PermitResponse = TurnGranted | TurnRefused | None
+PermitResponse = PermitGranted | PermitRefused | None
 """``None``: the side disconnected or timed out before it responded."""
 
 
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class Beliefs:
+class SideState:
     """State of one server that the messages of its side update."""
 
     load: EstimatedLoad
@@ -98,12 +98,12 @@
         return self.start.start_hash == start_hash
 
 
-class SideLines(LineProtocol):
+class SideConnection(LineProtocol):
     """The connection to a side, and the permit requests pending on it."""
 
     max_line_bytes = MAX_SIDE_LINE_BYTES
 
-    def __init__(self, hello: Hello, state: Beliefs, ip: str) -> None:
+    def __init__(self, hello: Hello, state: SideState, ip: str) -> None:
         """Start without a transport.
 
         :param hello: sent first.
@@ -161,11 +161,11 @@
         match message:
             case SideReport():
                 self._apply_report(message)
-            case TurnGranted() | TurnRefused():
+            case PermitGranted() | PermitRefused():
                 self._resolve(message)
             case ServerStarted():
                 self._state.restart_listener.started(decode_start(message))
-            case Struck():
+            case StrikesReported():
                 self._state.strike_listener.add_strikes(
                     loop_now(), message.strikes
                 )
@@ -185,14 +185,14 @@
         prefix_index.record(now, self._ip, message.prefixes)
         prefix_index.set_retention(self._ip, message.retention_seconds)
 
-    def _resolve(self, message: TurnGranted | TurnRefused) -> None:
+    def _resolve(self, message: PermitGranted | PermitRefused) -> None:
         waiting = self._pending.pop(message.permit_id, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(message)
 
     async def request_permit(
         self,
-        ask: AskTurn,
+        ask: PermitRequest,
         timeout_seconds: float,
     ) -> PermitResponse:
         """Request a permit and wait for the response.
@@ -237,7 +237,7 @@
         address: tuple[str, int],
         location: tuple[str, str],
         hello: Hello,
-        state: Beliefs,
+        state: SideState,
         log: EventLog,
     ) -> None:
         """Start disconnected.
@@ -247,7 +247,7 @@
         :param hello: sent first on every connection.
         :param state: updated by the side's messages.
         """
-        self.connection: SideLines | None = None
+        self.connection: SideConnection | None = None
         self.pool = location[0]
         self.failure_domain = location[1]
         self.load = state.load
@@ -268,7 +268,7 @@
 
     def send_message(
         self,
-        message: FromFollower | Struck | ServerStarted,
+        message: FromFollower | StrikesReported | ServerStarted,
     ) -> None:
         """Send the side a message if it is connected."""
         if self.connection is not None:
@@ -313,7 +313,7 @@
         try:
             async with asyncio.timeout(_CONNECT_SECONDS):
                 _, new_connection = await loop.create_connection(
-                    lambda: SideLines(self._hello, self._state, self.name),
+                    lambda: SideConnection(self._hello, self._state, self.name),
                     *self._address,
                 )
         except OSError:
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -15,16 +15,20 @@
 from sardinetrack.topology.cold import ColdWord
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.starts import ServerStart
-from sardinetrack.turns.entry import Beliefs, RestartListener, SideLines
 from sardinetrack.turns.messages import (
-    AskTurn,
     Hello,
-    Struck,
-    TurnGranted,
-    TurnRefused,
+    PermitGranted,
+    PermitRefused,
+    PermitRequest,
+    StrikesReported,
 )
 from sardinetrack.turns.refused import RefusedRequests
 from sardinetrack.turns.side import SideServer
+from sardinetrack.turns.side_link import (
+    RestartListener,
+    SideConnection,
+    SideState,
+)
 from sardinetrack.views.api import NoInbox
 from sardinetrack.views.watcher import FeedFactory, Watcher
 
@@ -56,14 +60,14 @@
         self.load = EstimatedLoad()
         self.crashes = CrashWatch()
         self.received = _ReceivedStarts()
-        self.state = Beliefs(
+        self.state = SideState(
             self.load,
             self.prefix_index,
             NoInbox(),
             self.crashes,
             self.received,
         )
-        self.connection = SideLines(
+        self.connection = SideConnection(
             Hello(name, slots, 100_000),
             self.state,
             _IP,
@@ -72,7 +76,7 @@
         self.requests = []
 
     def request(self, tokens, part='', others=()):
-        request = AskTurn(
+        request = PermitRequest(
             f'{self.name}.{len(self.requests)}',
             self.name,
             tokens,
@@ -180,7 +184,7 @@
 def granted_before(context, first, second):
     async def act():
         permit_id, task = _entry(context, 1).requests[0]
-        assert isinstance(await task, TurnGranted)
+        assert isinstance(await task, PermitGranted)
         _entry(context, 1).connection.ended(permit_id)
         await _settle()
         tasks = [_entry(context, one).requests[0][1] for one in (first, second)]
@@ -233,7 +237,7 @@
         strikes = tuple(
             Strike('f1', f'i-{one}', STRIKE_TTL_SECONDS) for one in range(count)
         )
-        _entry(context, number).connection.send(Struck(strikes))
+        _entry(context, number).connection.send(StrikesReported(strikes))
         await _settle()
 
     _run(context, act())
@@ -284,7 +288,7 @@
 def is_granted(context, number):
     task = _entry(context, number).requests[-1][1]
     response = _run(context, asyncio.wait_for(task, 1))
-    assert isinstance(response, TurnGranted), response
+    assert isinstance(response, PermitGranted), response
 
 
 @then('entry {second:d} waits until entry {first:d} releases its permit')
@@ -462,7 +466,7 @@
     'and {permits:d} permits in the last second',
 )
 def counts_starts(context, starts, permits):
-    assert context.side.engine_starts.in_a_row == starts
+    assert context.side.engine_starts.consecutive_cold_starts == starts
     assert context.side.engine_starts.permits_last_second == permits
 
 
@@ -477,7 +481,7 @@
 def request_for_caller(context, number, caller):
     async def act():
         entry = _entry(context, number)
-        request = AskTurn(
+        request = PermitRequest(
             f'{entry.name}.as-{caller}-{len(entry.requests)}',
             'w',
             100,
@@ -491,7 +495,7 @@
             fingerprint=f'c{caller}',
         )
         context.refusal = await entry.connection.request_permit(request, 3)
-        assert isinstance(context.refusal, TurnRefused), context.refusal
+        assert isinstance(context.refusal, PermitRefused), context.refusal
 
     _run(context, act())
 
@@ -535,7 +539,7 @@
     side = context.side
 
     async def act():
-        message = AskTurn(
+        message = PermitRequest(
             'probe',
             'w',
             100,
