--- a/src/sardinetrack/compose/store_view.py
+++ b/src/sardinetrack/compose/store_view.py
@@ -28,11 +28,11 @@
 from sardinetrack.topology.configuration import Configuration
 from sardinetrack.topology.feed import (
     CHANGE_WATCH_SECONDS,
-    CONFIRM_SECONDS,
+    CONFIRMING_WATCH_SECONDS,
     Feed,
 )
 from sardinetrack.topology.freshness import boot_clock
-from sardinetrack.topology.outage import StoreWay
+from sardinetrack.topology.outage import StoreAccess
 from sardinetrack.topology.servers import BackendServer
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.source import OwnFeeds, ViewSource
@@ -87,7 +87,7 @@
 
     def create_feeds(self, mirrors: Mapping[str, Mirror]) -> list[Feed]:
         """Create a feed for each mirror."""
-        access = StoreWay(self._store)
+        access = StoreAccess(self._store)
         return [
             Feed(access, prefix, mirror, self._log, _SIDE_WATCH_SECONDS[prefix])
             for prefix, mirror in mirrors.items()
@@ -106,7 +106,7 @@
         prefix: BorrowedView(listeners[prefix], boot_clock)
         for prefix in watched_prefixes(state.settings)
     }
-    access = StoreWay(store)
+    access = StoreAccess(store)
     feeds = [
         Feed(access, prefix, view, state.log, _direct_watch_seconds(prefix))
         for prefix, view in views.items()
@@ -132,5 +132,5 @@
 
 def _direct_watch_seconds(prefix: str) -> float:
     if prefix == CONFIGURATION_PREFIX:
-        return CONFIRM_SECONDS
+        return CONFIRMING_WATCH_SECONDS
     return CHANGE_WATCH_SECONDS
--- a/src/sardinetrack/relay/cold_start.py
+++ b/src/sardinetrack/relay/cold_start.py
@@ -6,7 +6,7 @@
 
 from sardinetrack.admission.cold_start import ColdStartLimiter
 from sardinetrack.relay.side_links import INITIAL_ENTRIES, SideLinks
-from sardinetrack.topology.cold import ColdPeriod, ColdServers, ColdWord
+from sardinetrack.topology.cold import ColdEstimate, ColdPeriod, ColdServers
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.servers import BackendServer
@@ -46,7 +46,7 @@
             pool.cold_seconds,
         )
 
-    def estimate(self, server: BackendServer, pool: Pool) -> ColdWord:
+    def estimate(self, server: BackendServer, pool: Pool) -> ColdEstimate:
         """Return what is known of a server's cold period, by the boot clock."""
         return self._servers.estimate_for(server.instance, pool.cold_per_second)
 
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/fleet.py
@@ -171,7 +171,7 @@
         fault then lies not with single servers, and the few whose breakers
         happen to be closed would get the requests of all.
         """
-        servers = self.servers.of_pool(pool)
+        servers = self.servers.in_pool(pool)
         allowed = [
             server
             for server in servers
@@ -187,7 +187,7 @@
 
     def mark_misaddressed(self, server: BackendServer) -> None:
         """Mark a server at whose address another server has responded."""
-        self.servers.disown(boot_clock(), server.instance)
+        self.servers.record_misaddressed(boot_clock(), server.instance)
 
     def is_superseded(self, server: BackendServer) -> bool:
         """Whether a later start of the server is known."""
--- a/src/sardinetrack/relay/side_links.py
+++ b/src/sardinetrack/relay/side_links.py
@@ -13,7 +13,7 @@
 from sardinetrack.placement.rendezvous import rendezvous_order
 from sardinetrack.relay.crashes import CrashWatch
 from sardinetrack.relay.settings import NodeSettings
-from sardinetrack.topology.cold import ColdWord
+from sardinetrack.topology.cold import ColdEstimate
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.servers import BackendServer
 from sardinetrack.turns.clock import loop_now
@@ -92,7 +92,7 @@
         self,
         server: BackendServer,
         pool: Pool,
-        cold: ColdWord,
+        cold: ColdEstimate,
     ) -> EstimatedLoad:
         """Return the load that a side reports; open a link to a new side."""
         link = self._links.get(server.ip)
--- a/src/sardinetrack/topology/cold.py
+++ b/src/sardinetrack/topology/cold.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdWord:
+class ColdEstimate:
     """What one process knows of a server's cold start."""
 
     reported_until_seconds: float = -math.inf
@@ -84,14 +84,14 @@
         known = self._assumed.get(instance, -math.inf)
         self._assumed[instance] = max(known, now + seconds)
 
-    def estimate_for(self, instance: str, per_second: float) -> ColdWord:
+    def estimate_for(self, instance: str, per_second: float) -> ColdEstimate:
         """Return what is known of a server's cold start.
 
         :param per_second: requests a second that a cold server of its pool
             handles.
         """
         reported = self._reported.get(instance)
-        return ColdWord(
+        return ColdEstimate(
             -math.inf if reported is None else reported.until_seconds,
             self._assumed.get(instance, -math.inf),
             per_second,
--- a/src/sardinetrack/topology/feed.py
+++ b/src/sardinetrack/topology/feed.py
@@ -13,9 +13,9 @@
     StoredObject,
     WatchLostError,
 )
-from sardinetrack.topology.outage import StoreWay
+from sardinetrack.topology.outage import StoreAccess
 
-CONFIRM_SECONDS: Final = 1.6
+CONFIRMING_WATCH_SECONDS: Final = 1.6
 """How long a watch call waits whose responses confirm the view.
 
 The view is two waits old at most: 3.2 s, and requests with an API key are
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        access: StoreWay,
+        access: StoreAccess,
         prefix: str,
         follower: FeedListener,
         log: EventLog,
--- a/src/sardinetrack/topology/outage.py
+++ b/src/sardinetrack/topology/outage.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreWay:
+class StoreAccess:
     """Access of the feeds of one process to the store."""
 
     store: ObjectApi
--- a/src/sardinetrack/topology/servers.py
+++ b/src/sardinetrack/topology/servers.py
@@ -86,7 +86,7 @@
 
     def only_evacuated(self, pool: str) -> bool:
         """Whether a pool has no available server only due to evacuation."""
-        return not self.of_pool(pool) and any(
+        return not self.in_pool(pool) and any(
             server.pool == pool
             and not server.leaving
             and server.failure_domain in self._evacuated
@@ -158,7 +158,7 @@
         """
         self._grace_until_seconds = now + RELIST_GRACE_SECONDS
 
-    def disown(self, now: float, instance: str) -> None:
+    def record_misaddressed(self, now: float, instance: str) -> None:
         """Send a server no work: another one responded at its address.
 
         When all servers lose power and start again with other ids, the
@@ -190,7 +190,7 @@
             self._rebuild_pools()
         return expired
 
-    def of_pool(self, pool: str) -> tuple[BackendServer, ...]:
+    def in_pool(self, pool: str) -> tuple[BackendServer, ...]:
         """Return the servers of a pool that get new work."""
         return self._by_pool.get(pool, ())
 
--- a/src/sardinetrack/turns/engine_start.py
+++ b/src/sardinetrack/turns/engine_start.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 from typing import Final
 
-from sardinetrack.topology.cold import ColdPeriod, ColdWord
+from sardinetrack.topology.cold import ColdEstimate, ColdPeriod
 from sardinetrack.topology.starts import UNKNOWN_START_HASH, ServerStart
 from sardinetrack.turns.messages import (
     ServerStarted,
@@ -38,7 +38,7 @@
         self.start: ServerStart | None = None
         self.consecutive_cold_starts = 0
         """Consecutive starts that each ended before the engine was warm."""
-        self._estimate = ColdWord()
+        self._estimate = ColdEstimate()
         self._permit_times: deque[float] = deque(maxlen=_MAX_RECORDED_PERMITS)
 
     @property
@@ -129,7 +129,7 @@
         assumed_until = now + message.assumed_cold_seconds
         if not message.assumed_cold_seconds:
             assumed_until = -math.inf
-        self._estimate = ColdWord(
+        self._estimate = ColdEstimate(
             reported_until,
             max(assumed_until, self._estimate.assumed_until_seconds),
             message.cold_per_second,
--- a/src/sardinetrack/turns/messages.py
+++ b/src/sardinetrack/turns/messages.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from sardinetrack.messages.api import Strike
-from sardinetrack.topology.cold import ColdWord
+from sardinetrack.topology.cold import ColdEstimate
 from sardinetrack.topology.starts import ServerStart
 from sardinetrack.views.messages import FromFollower, FromWatcher
 
@@ -164,7 +164,7 @@
 def encode_start(
     start: ServerStart,
     now: float,
-    cold: ColdWord,
+    cold: ColdEstimate,
 ) -> ServerStarted:
     """Encode a start as a message.
 
--- a/src/sardinetrack/turns/side_link.py
+++ b/src/sardinetrack/turns/side_link.py
@@ -14,7 +14,7 @@
 from sardinetrack.messages.api import Strike
 from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.placement.prefix_index import PrefixCacheIndex
-from sardinetrack.topology.cold import ColdWord
+from sardinetrack.topology.cold import ColdEstimate
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.starts import UNKNOWN_START_HASH, ServerStart
 from sardinetrack.turns.clock import loop_now
@@ -80,7 +80,7 @@
     restart_listener: RestartListener
     start: ServerStart | None = None
     """The server's start by the instance list; ``None`` until it is listed."""
-    cold: ColdWord = ColdWord()
+    cold: ColdEstimate = ColdEstimate()
     """How long that cold start lasts."""
 
     def start_message(self, start: ServerStart) -> ServerStarted:
@@ -274,7 +274,7 @@
         if self.connection is not None:
             self.connection.send(message)
 
-    def update_start(self, start: ServerStart, cold: ColdWord) -> None:
+    def update_start(self, start: ServerStart, cold: ColdEstimate) -> None:
         """Apply the start that the instance list shows for the server."""
         state = self._state
         known = state.start
--- a/src/sardinetrack/views/source.py
+++ b/src/sardinetrack/views/source.py
@@ -11,7 +11,7 @@
 from sardinetrack.charts.typed import TypedStateChart
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.topology.feed import Feed
-from sardinetrack.topology.outage import StoreWay
+from sardinetrack.topology.outage import StoreAccess
 from sardinetrack.views.api import Inbox, Neighbour, Neighbours
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.messages import (
@@ -73,7 +73,7 @@
     """The feeds that read the store directly."""
 
     feeds: Sequence[Feed]
-    access: StoreWay
+    access: StoreAccess
 
     @property
     def unreachable(self) -> bool:
--- a/tests/platform/steps/server_object_steps.py
+++ b/tests/platform/steps/server_object_steps.py
@@ -121,7 +121,7 @@
 
 
 def _available(context):
-    servers = context.state.servers.of_pool('models')
+    servers = context.state.servers.in_pool('models')
     return {server.instance for server in servers}
 
 
--- a/tests/relay/steps/relay_steps.py
+++ b/tests/relay/steps/relay_steps.py
@@ -326,7 +326,7 @@
 
 @then('{count:d} server may get requests')
 def may_get_requests(context, count):
-    assert len(context.world.entry_state.servers.of_pool('plain')) == count
+    assert len(context.world.entry_state.servers.in_pool('plain')) == count
 
 
 @then('no server got more than {maximum:d} requests')
@@ -387,7 +387,7 @@
 @when('the breakers of {count:d} servers are open')
 def open_breakers(context, count):
     state = context.world.entry_state
-    for server in state.servers.of_pool('plain')[:count]:
+    for server in state.servers.in_pool('plain')[:count]:
         breaker = state.server_states.breaker(server)
         for _ in range(FAILURE_THRESHOLD):
             breaker.request_failed(
@@ -398,7 +398,7 @@
 @when('the breaker of {count:d} of them has closed again')
 def close_breaker(context, count):
     state = context.world.entry_state
-    for server in state.servers.of_pool('plain')[:count]:
+    for server in state.servers.in_pool('plain')[:count]:
         state.server_states.forget(server.instance)
 
 
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -13,11 +13,11 @@
 from sardinetrack.store.api import Listing, NoAnswerError, StoredObject
 from sardinetrack.topology.feed import (
     CHANGE_WATCH_SECONDS,
-    CONFIRM_SECONDS,
+    CONFIRMING_WATCH_SECONDS,
     Feed,
     FeedListener,
 )
-from sardinetrack.topology.outage import StoreWay
+from sardinetrack.topology.outage import StoreAccess
 from sardinetrack.views.api import Neighbour, Neighbours, ViewSubscriber
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.choice import ranked_neighbours
@@ -39,7 +39,7 @@
     (SERVERS, OBJECT_WATCH_SECONDS),
 )
 _DIRECT_WATCH_SECONDS = (
-    (CONFIG, CONFIRM_SECONDS),
+    (CONFIG, CONFIRMING_WATCH_SECONDS),
     (SERVERS, CHANGE_WATCH_SECONDS),
 )
 
@@ -152,7 +152,7 @@
 
     def create_feeds(self, mirrors):
         end, log, clock = self._arguments
-        way = StoreWay(end, clock=clock)
+        way = StoreAccess(end, clock=clock)
         return [
             Feed(way, prefix, mirrors[prefix], log, wait)
             for prefix, wait in _SIDE_WATCH_SECONDS
@@ -239,7 +239,7 @@
             prefix: BorrowedView(taker, clock)
             for prefix, taker in self.takers.items()
         }
-        way = StoreWay(self.way, clock=clock)
+        way = StoreAccess(self.way, clock=clock)
         feeds = [
             Feed(way, prefix, views[prefix], world.log, wait)
             for prefix, wait in _DIRECT_WATCH_SECONDS
--- a/tests/topology/steps/feed_steps.py
+++ b/tests/topology/steps/feed_steps.py
@@ -16,7 +16,7 @@
     WatchLostError,
 )
 from sardinetrack.topology.feed import Feed, FeedListener
-from sardinetrack.topology.outage import StoreWay
+from sardinetrack.topology.outage import StoreAccess
 
 _PREFIX = 'things/'
 
@@ -96,7 +96,7 @@
 def _play(context, act, seconds):
     async def play():
         feed = Feed(
-            StoreWay(context.store),
+            StoreAccess(context.store),
             _PREFIX,
             context.listener,
             context.log,
--- a/tests/topology/steps/topology_steps.py
+++ b/tests/topology/steps/topology_steps.py
@@ -88,7 +88,7 @@
 def _tick(context, seconds):
     context.now += seconds
     context.servers.expire(context.now)
-    available = len(context.servers.of_pool('models'))
+    available = len(context.servers.in_pool('models'))
     context.fewest_available = min(available, context.fewest_available)
 
 
@@ -150,7 +150,7 @@
 @then('{count:d} servers get work')
 @then('{count:d} server gets work')
 def servers_get_work(context, count):
-    assert len(context.servers.of_pool('models')) == count
+    assert len(context.servers.in_pool('models')) == count
 
 
 @then('the old one at that address gets no work')
@@ -186,17 +186,17 @@
 
 @when('another server responds at the first address')
 def respond_other(context):
-    context.servers.disown(context.now, 'i-0')
+    context.servers.record_misaddressed(context.now, 'i-0')
 
 
 @when('another server responds in place of the later one')
 def respond_for_later(context):
-    context.servers.disown(context.now, 'i-9')
+    context.servers.record_misaddressed(context.now, 'i-9')
 
 
 @then('{count:d} servers get work, and the first {does}')
 def first_gets_work(context, count, does):
-    available = {one.instance for one in context.servers.of_pool('models')}
+    available = {one.instance for one in context.servers.in_pool('models')}
     assert len(available) == count, available
     assert ('i-0' in available) is (does == 'does'), available
     assert (context.servers.get('i-0') is not None) is (does == 'does')
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -12,7 +12,7 @@
 from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.placement.prefix_index import PrefixCacheIndex
 from sardinetrack.relay.crashes import STRIKE_TTL_SECONDS, CrashWatch
-from sardinetrack.topology.cold import ColdWord
+from sardinetrack.topology.cold import ColdEstimate
 from sardinetrack.topology.freshness import boot_clock
 from sardinetrack.topology.starts import ServerStart
 from sardinetrack.turns.messages import (
@@ -427,7 +427,7 @@
     async def act():
         state = _entry(context, number).state
         until_seconds = boot_clock() + seconds
-        state.cold = ColdWord(until_seconds, per_second=rate)
+        state.cold = ColdEstimate(until_seconds, per_second=rate)
 
     _run(context, act())
     list_start(context, number, started, revision)
