--- a/src/sardinetrack/compose/store_view.py
+++ b/src/sardinetrack/compose/store_view.py
@@ -35,7 +35,7 @@
 from sardinetrack.topology.outage import StoreAccess
 from sardinetrack.topology.servers import BackendServer
 from sardinetrack.views.borrowed import BorrowedView
-from sardinetrack.views.source import OwnFeeds, ViewSource
+from sardinetrack.views.source import DirectFeeds, ViewSource
 from sardinetrack.views.watcher import (
     CONFIGURATION_WATCH_SECONDS,
     OBJECT_WATCH_SECONDS,
@@ -111,7 +111,7 @@
         Feed(access, prefix, view, state.log, _direct_watch_seconds(prefix))
         for prefix, view in views.items()
     ]
-    direct = OwnFeeds(feeds, access)
+    direct = DirectFeeds(feeds, access)
     source = ViewSource(direct, views, SideNeighbours(state), state.log)
     state.sides.views = source
     return source
--- a/src/sardinetrack/relay/neighbours.py
+++ b/src/sardinetrack/relay/neighbours.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from sardinetrack.relay.fleet import EntryState
-from sardinetrack.views.api import Neighbour, Neighbours
+from sardinetrack.views.api import Neighbour, NeighbourList
 from sardinetrack.views.choice import ranked_neighbours
 
 
-class SideNeighbours(Neighbours):
+class SideNeighbours(NeighbourList):
     """Lists the live sides; every entry is connected to each side anyway."""
 
     def __init__(self, state: EntryState) -> None:
--- a/src/sardinetrack/relay/side_links.py
+++ b/src/sardinetrack/relay/side_links.py
@@ -19,7 +19,7 @@
 from sardinetrack.turns.clock import loop_now
 from sardinetrack.turns.messages import Hello, StrikesReported
 from sardinetrack.turns.side_link import RestartListener, SideLink, SideState
-from sardinetrack.views.api import Inbox, NoInbox
+from sardinetrack.views.api import NullViewReceiver, ViewReceiver
 
 INITIAL_ENTRIES: Final = 6
 """Assumed number of entries until a side has reported how many it sees."""
@@ -58,7 +58,7 @@
         :param restarts: is called when a side knows a later start of its
             server.
         """
-        self.views: Inbox = NoInbox()
+        self.views: ViewReceiver = NullViewReceiver()
         self._settings = settings
         self._prefix_index = prefix_index
         self._crashes = crashes
--- a/src/sardinetrack/turns/entry_connection.py
+++ b/src/sardinetrack/turns/entry_connection.py
@@ -16,11 +16,11 @@
 )
 from sardinetrack.views.api import ViewSubscriber
 from sardinetrack.views.messages import (
-    FollowView,
+    ClockView,
     FromFollower,
     FromWatcher,
-    LeaveView,
-    StampView,
+    SubscribeView,
+    UnsubscribeView,
 )
 
 if TYPE_CHECKING:
@@ -76,11 +76,11 @@
     def _handle_view_message(self, message: FromFollower) -> None:
         watcher = self._side.watcher
         match message:
-            case FollowView():
+            case SubscribeView():
                 watcher.follow(self, message.stamp_seconds)
-            case StampView():
+            case ClockView():
                 watcher.stamp(self, message.stamp_seconds)
-            case LeaveView():
+            case UnsubscribeView():
                 watcher.leave(self)
 
     def send_message(self, message: FromWatcher) -> None:
--- a/src/sardinetrack/turns/side_link.py
+++ b/src/sardinetrack/turns/side_link.py
@@ -34,7 +34,7 @@
     decode_start,
     encode_start,
 )
-from sardinetrack.views.api import Inbox, Neighbour
+from sardinetrack.views.api import Neighbour, ViewReceiver
 from sardinetrack.views.messages import FromFollower
 
 SIDE_TIMEOUT_SECONDS: Final = 1.4
@@ -75,7 +75,7 @@
 
     load: EstimatedLoad
     prefix_index: PrefixCacheIndex
-    view_receiver: Inbox
+    view_receiver: ViewReceiver
     strike_listener: StrikeListener
     restart_listener: RestartListener
     start: ServerStart | None = None
--- a/src/sardinetrack/views/api.py
+++ b/src/sardinetrack/views/api.py
@@ -26,7 +26,7 @@
         """Send the neighbour a message."""
 
 
-class Neighbours(ABC):
+class NeighbourList(ABC):
     """The neighbours that may watch the store for this instance."""
 
     @abstractmethod
@@ -34,7 +34,7 @@
         """Return the live neighbours, the preferred one first."""
 
 
-class Inbox(ABC):
+class ViewReceiver(ABC):
     """Receives the messages of neighbours."""
 
     @property
@@ -51,7 +51,7 @@
         """Handle the loss of the connection to a neighbour."""
 
 
-class NoInbox(Inbox):
+class NullViewReceiver(ViewReceiver):
     """Placeholder until there is a view that neighbours may update."""
 
     @property
--- a/src/sardinetrack/views/messages.py
+++ b/src/sardinetrack/views/messages.py
@@ -7,20 +7,22 @@
 from sardinetrack.store.api import StoredObject
 
 
-class FollowView(msgspec.Struct, tag='follow', array_like=True, frozen=True):
+class SubscribeView(msgspec.Struct, tag='follow', array_like=True, frozen=True):
     """Subscribes to a view of the store; all objects are sent first."""
 
     stamp_seconds: float
     """The subscriber's boot clock when it sent this."""
 
 
-class StampView(msgspec.Struct, tag='stamp', array_like=True, frozen=True):
+class ClockView(msgspec.Struct, tag='stamp', array_like=True, frozen=True):
     """Updates the subscriber's clock, for the next confirmations."""
 
     stamp_seconds: float
 
 
-class LeaveView(msgspec.Struct, tag='leave', array_like=True, frozen=True):
+class UnsubscribeView(
+    msgspec.Struct, tag='leave', array_like=True, frozen=True
+):
     """Ends the subscription."""
 
 
@@ -56,7 +58,7 @@
     cause: str
 
 
-FromFollower = FollowView | StampView | LeaveView
+FromFollower = SubscribeView | ClockView | UnsubscribeView
 FromWatcher = ViewObjects | ViewConfirmed | ViewLost
 
 
--- a/src/sardinetrack/views/source.py
+++ b/src/sardinetrack/views/source.py
@@ -12,13 +12,13 @@
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.topology.feed import Feed
 from sardinetrack.topology.outage import StoreAccess
-from sardinetrack.views.api import Inbox, Neighbour, Neighbours
+from sardinetrack.views.api import Neighbour, NeighbourList, ViewReceiver
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.messages import (
-    FollowView,
+    ClockView,
     FromWatcher,
-    LeaveView,
-    StampView,
+    SubscribeView,
+    UnsubscribeView,
     ViewConfirmed,
     ViewLost,
     ViewObjects,
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnFeeds:
+class DirectFeeds:
     """The feeds that read the store directly."""
 
     feeds: Sequence[Feed]
@@ -81,7 +81,7 @@
         return any(feed.unreachable for feed in self.feeds)
 
 
-class ViewSource(Inbox):
+class ViewSource(ViewReceiver):
     """Keeps every view of this instance up to date.
 
     An instance that watches the store directly makes 0.75 calls a second to
@@ -91,9 +91,9 @@
 
     def __init__(
         self,
-        own: OwnFeeds,
+        own: DirectFeeds,
         views: Mapping[str, BorrowedView],
-        neighbours: Neighbours,
+        neighbours: NeighbourList,
         log: EventLog,
     ) -> None:
         """Start with the direct feeds as the source.
@@ -182,7 +182,7 @@
             return
         view.receive_confirmation(message)
         self._received_seconds = self._clock()
-        neighbour.send_message(StampView(self._clock()))
+        neighbour.send_message(ClockView(self._clock()))
         joining = self._chart.state is ViewState.JOINING
         if joining and all(one.ready for one in self._views.values()):
             self._borrow()
@@ -236,7 +236,7 @@
     async def _try(self, neighbour: Neighbour) -> None:
         self._neighbour = neighbour
         self._chart.fire(ViewEvent.ASKED)
-        neighbour.send_message(FollowView(self._clock()))
+        neighbour.send_message(SubscribeView(self._clock()))
         await self._wait_change(JOIN_TIMEOUT_SECONDS)
         if self._chart.state is ViewState.JOINING:
             self._fail('not caught up')
@@ -280,7 +280,7 @@
         for view in self._views.values():
             view.reset()
         if neighbour.live:
-            neighbour.send_message(LeaveView())
+            neighbour.send_message(UnsubscribeView())
         self._changed.set()
 
     async def _wait_change(self, seconds: float) -> None:
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -18,11 +18,15 @@
     FeedListener,
 )
 from sardinetrack.topology.outage import StoreAccess
-from sardinetrack.views.api import Neighbour, Neighbours, ViewSubscriber
+from sardinetrack.views.api import Neighbour, NeighbourList, ViewSubscriber
 from sardinetrack.views.borrowed import BorrowedView
 from sardinetrack.views.choice import ranked_neighbours
-from sardinetrack.views.messages import FollowView, LeaveView, StampView
-from sardinetrack.views.source import OwnFeeds, ViewSource
+from sardinetrack.views.messages import (
+    ClockView,
+    SubscribeView,
+    UnsubscribeView,
+)
+from sardinetrack.views.source import DirectFeeds, ViewSource
 from sardinetrack.views.watcher import (
     CONFIGURATION_WATCH_SECONDS,
     OBJECT_WATCH_SECONDS,
@@ -197,7 +201,9 @@
         return not self._side.crashed
 
     def send_message(self, message):
-        to_side = isinstance(message, FollowView | StampView | LeaveView)
+        to_side = isinstance(
+            message, SubscribeView | ClockView | UnsubscribeView
+        )
         deliver = self._at_side if to_side else self._at_entry
         self._loop.call_later(_LINK_DELAY_SECONDS, deliver, message)
 
@@ -212,15 +218,15 @@
     def _at_side(self, message):
         watcher = self._side.watcher
         match message:
-            case FollowView():
+            case SubscribeView():
                 watcher.follow(self, message.stamp_seconds)
-            case StampView():
+            case ClockView():
                 watcher.stamp(self, message.stamp_seconds)
-            case LeaveView():
+            case UnsubscribeView():
                 watcher.leave(self)
 
 
-class SimulatedEntry(Neighbours):
+class SimulatedEntry(NeighbourList):
     """An entry that subscribes to a side's view."""
 
     def __init__(self, world, name, domain):
@@ -244,7 +250,7 @@
             Feed(way, prefix, views[prefix], world.log, wait)
             for prefix, wait in _DIRECT_WATCH_SECONDS
         ]
-        own = OwnFeeds(feeds, way)
+        own = DirectFeeds(feeds, way)
         self.source = ViewSource(own, views, self, world.log)
         self.task = world.loop.create_task(self.source.run())
 
--- a/tests/turns/steps/side_steps.py
+++ b/tests/turns/steps/side_steps.py
@@ -29,7 +29,7 @@
     SideConnection,
     SideState,
 )
-from sardinetrack.views.api import NoInbox
+from sardinetrack.views.api import NullViewReceiver
 from sardinetrack.views.watcher import FeedFactory, Watcher
 
 _IP = '127.0.0.1'
@@ -63,7 +63,7 @@
         self.state = SideState(
             self.load,
             self.prefix_index,
-            NoInbox(),
+            NullViewReceiver(),
             self.crashes,
             self.received,
         )
