--- a/src/sardinetrack/compose/node.py
+++ b/src/sardinetrack/compose/node.py
@@ -16,14 +16,17 @@
 from sardinetrack import __version__
 from sardinetrack.compose.store_view import entry_view, side_watcher
 from sardinetrack.logs.events import Event, EventLog
-from sardinetrack.platform.dialect import READY_PATH, PlatformDialect
 from sardinetrack.platform.errors import SettingsFileError
+from sardinetrack.platform.protocol_adapter import (
+    READY_PATH,
+    PlatformProtocolAdapter,
+)
 from sardinetrack.platform.settings import read_settings, settings_path
 from sardinetrack.platform.store import PlatformStore
 from sardinetrack.relay.entry import Entry
-from sardinetrack.relay.fleet import EntryState
-from sardinetrack.relay.ready import PageConnection, readiness_page
-from sardinetrack.relay.settings import NodeSettings
+from sardinetrack.relay.entry_state import EntryState
+from sardinetrack.relay.settings import InstanceSettings
+from sardinetrack.relay.status_pages import StatusPageConnection, readiness_page
 from sardinetrack.turns.side import SideServer
 
 _FLUSH_INTERVAL_SECONDS: Final = 0.2
@@ -77,7 +80,7 @@
     log.write(Event.FAULT, cause=repr(cause))
 
 
-async def _run_entry(settings: NodeSettings, log: EventLog) -> None:
+async def _run_entry(settings: InstanceSettings, log: EventLog) -> None:
     stop = _stop_event(log)
     state = EntryState(settings, log)
     asyncio.get_running_loop().add_signal_handler(
@@ -88,13 +91,13 @@
     )
     store = PlatformStore(settings.store)
     view = entry_view(state, store)
-    entry = Entry(state, PlatformDialect(), view)
+    entry = Entry(state, PlatformProtocolAdapter(), view)
     assert settings.ready is not None  # noqa: S101
     pages = {READY_PATH: lambda: readiness_page(ready=entry.ready)}
     loop = asyncio.get_running_loop()
     async with entry:
         await loop.create_server(
-            lambda: PageConnection(pages),
+            lambda: StatusPageConnection(pages),
             *settings.ready,
         )
         await _serve_metrics(
@@ -116,7 +119,7 @@
         log.write(Event.RELOADED, changed=changed)
 
 
-async def _run_side(settings: NodeSettings, log: EventLog) -> None:
+async def _run_side(settings: InstanceSettings, log: EventLog) -> None:
     stop = _stop_event(log)
     store = PlatformStore(settings.store)
     watcher = side_watcher(settings, store, log)
@@ -136,11 +139,11 @@
     collect: Callable[[ModuleType], Iterable[object]],
 ) -> tuple[int, bytes]:
     metrics = import_module('sardinetrack.relay.metrics')
-    return HTTPStatus.OK, metrics.page_of(partial(collect, metrics))
+    return HTTPStatus.OK, metrics.render_metrics(partial(collect, metrics))
 
 
 async def _serve_metrics(
-    settings: NodeSettings,
+    settings: InstanceSettings,
     collect: Callable[[ModuleType], Iterable[object]],
 ) -> None:
     """Serve the metrics page.
@@ -151,7 +154,9 @@
     """
     loop = asyncio.get_running_loop()
     await loop.create_server(
-        lambda: PageConnection({METRICS_PATH: partial(_metrics_page, collect)}),
+        lambda: StatusPageConnection(
+            {METRICS_PATH: partial(_metrics_page, collect)}
+        ),
         settings.ip,
         settings.metrics_port,
     )
@@ -171,7 +176,7 @@
 
 
 _Runner = Callable[
-    [NodeSettings, EventLog],
+    [InstanceSettings, EventLog],
     Coroutine[None, None, None],
 ]
 _ROLES: Final[Mapping[str, _Runner]] = MappingProxyType(
--- a/src/sardinetrack/compose/store_view.py
+++ b/src/sardinetrack/compose/store_view.py
@@ -15,15 +15,15 @@
 )
 from sardinetrack.platform.servers import SERVERS_PREFIX, server_of
 from sardinetrack.platform.store import PlatformStore
-from sardinetrack.relay.fleet import EntryState
-from sardinetrack.relay.followers import (
-    ConfigurationFollower,
+from sardinetrack.relay.entry_state import EntryState
+from sardinetrack.relay.feed_listeners import (
+    ConfigurationListener,
     Decoder,
-    EvacuationsFollower,
-    ServersFollower,
+    EvacuationsListener,
+    ServersListener,
 )
 from sardinetrack.relay.neighbours import SideNeighbours
-from sardinetrack.relay.settings import NodeSettings
+from sardinetrack.relay.settings import InstanceSettings
 from sardinetrack.store.api import StoredObject
 from sardinetrack.topology.configuration import Configuration
 from sardinetrack.topology.feed import (
@@ -54,7 +54,7 @@
 """How long each watch call of a side waits, by the prefix of the objects."""
 
 
-def watched_prefixes(settings: NodeSettings) -> tuple[str, ...]:
+def watched_prefixes(settings: InstanceSettings) -> tuple[str, ...]:
     """Return the prefixes of the objects to watch."""
     return tuple(
         prefix
@@ -98,9 +98,9 @@
     """Build an entry's view of the store."""
     decoder = PlatformObjectDecoder()
     listeners = {
-        CONFIGURATION_PREFIX: ConfigurationFollower(state, decoder),
-        SERVERS_PREFIX: ServersFollower(state, decoder),
-        EVACUATIONS_PREFIX: EvacuationsFollower(state),
+        CONFIGURATION_PREFIX: ConfigurationListener(state, decoder),
+        SERVERS_PREFIX: ServersListener(state, decoder),
+        EVACUATIONS_PREFIX: EvacuationsListener(state),
     }
     views = {
         prefix: BorrowedView(listeners[prefix], boot_clock)
@@ -118,7 +118,7 @@
 
 
 def side_watcher(
-    settings: NodeSettings,
+    settings: InstanceSettings,
     store: PlatformStore,
     log: EventLog,
 ) -> Watcher:
--- a/src/sardinetrack/emulator/crowd.py
+++ b/src/sardinetrack/emulator/crowd.py
@@ -25,7 +25,10 @@
 from sardinetrack.placement.load import EstimatedLoad
 from sardinetrack.placement.prefix_index import PrefixCacheIndex
 from sardinetrack.placement.rendezvous import shared_prefix
-from sardinetrack.relay.placing import GUEST_SECONDS, MOST_ASKED
+from sardinetrack.relay.server_choice import (
+    MAX_PERMIT_REQUESTS,
+    RECOMPUTE_WAIT_SECONDS,
+)
 from sardinetrack.turns.side import REPORT_INTERVAL_SECONDS
 
 MIN_IDLE_SECONDS: Final = 0.2
@@ -110,7 +113,7 @@
             candidate.prefill_tokens,
             request.own_tokens,
             self._shape.output_tokens,
-            GUEST_SECONDS if recomputes else remaining_wait,
+            RECOMPUTE_WAIT_SECONDS if recomputes else remaining_wait,
             served_tokens=self._service.tokens(now, request.workspace),
         )
         self._pending[ask.permit_id] = attempt
@@ -120,7 +123,7 @@
         self._schedule(now + ask.max_wait_seconds, partial(self._tick, name))
 
     def _choose_server(self, attempt: _Attempt, now: float) -> Candidate | None:
-        if len(attempt.tried) >= MOST_ASKED:
+        if len(attempt.tried) >= MAX_PERMIT_REQUESTS:
             return None
         prompt = attempt.request.prompt
         cached_at = self._prefix_index.servers_with(now, shared_prefix(prompt))
--- a/src/sardinetrack/platform/dialect.py
+++ b/src/sardinetrack/platform/protocol_adapter.py
@@ -8,11 +8,11 @@
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.placement.prompt import Prompt, PromptBlock
 from sardinetrack.relay.api import (
+    AttemptContext,
     CallerRequest,
-    Dialect,
     Headers,
-    ReplyHead,
-    Sending,
+    ProtocolAdapter,
+    ResponseHead,
 )
 
 READY_PATH: Final = b'/v1/readyz'
@@ -59,7 +59,7 @@
 _DROPPED_FROM_RESPONSES: Final = _HOP_BY_HOP | {_SERVER_LOAD}
 
 
-class PlatformDialect(Dialect):
+class PlatformProtocolAdapter(ProtocolAdapter):
     """Parses and encodes the platform's headers."""
 
     def parse_request(
@@ -94,7 +94,9 @@
             last_event_id=_parse_integer(fields.get(b'last-event-id')),
         )
 
-    def encode_request(self, call: CallerRequest, sending: Sending) -> bytes:
+    def encode_request(
+        self, call: CallerRequest, sending: AttemptContext
+    ) -> bytes:
         """Encode the request as the backend server receives it."""
         max_wait_milliseconds = max(
             1, int(sending.max_wait_seconds * _MILLISECONDS)
@@ -117,12 +119,14 @@
         lines.extend((b'\r\n', call.body))
         return b''.join(lines)
 
-    def parse_response_head(self, status: int, headers: Headers) -> ReplyHead:
+    def parse_response_head(
+        self, status: int, headers: Headers
+    ) -> ResponseHead:
         """Parse the head of a backend server's response."""
         fields = dict(headers)
         misdirected = status == HTTPStatus.MISDIRECTED_REQUEST
         encoded = b'content-encoding' in fields
-        return ReplyHead(
+        return ResponseHead(
             status=status,
             forwarded=_header_lines(headers, _DROPPED_FROM_RESPONSES),
             request_id=fields.get(_REQUEST_ID, b'').decode(_ENCODING),
--- a/src/sardinetrack/platform/settings.py
+++ b/src/sardinetrack/platform/settings.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from sardinetrack.platform.errors import SettingsFileError
-from sardinetrack.relay.settings import NodeSettings, SocketAddress
+from sardinetrack.relay.settings import InstanceSettings, SocketAddress
 
 _VARIABLE: Final = 'SARDINETRACK_BOOT'
 _MILLISECONDS: Final = 1000.0
@@ -72,7 +72,7 @@
     return Path(name)
 
 
-def read_settings(path: Path) -> NodeSettings:
+def read_settings(path: Path) -> InstanceSettings:
     """Read and validate the settings.
 
     :raises SettingsFileError: the file can't be read or is invalid.
@@ -85,10 +85,10 @@
         raise SettingsFileError(f'{path}: {error}') from error
 
 
-def _translate(decoded: _SettingsFile) -> NodeSettings:
+def _translate(decoded: _SettingsFile) -> InstanceSettings:
     bounds = decoded.bounds
     revoke_seconds = bounds.revoke_ms / _MILLISECONDS
-    return NodeSettings(
+    return InstanceSettings(
         instance=decoded.node_name,
         ip=decoded.ip,
         failure_domain=decoded.zone,
--- a/src/sardinetrack/platform/store.py
+++ b/src/sardinetrack/platform/store.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
+from sardinetrack.relay.connection_pool import ConnectionPool, NotConnectedError
 from sardinetrack.relay.server_connection import (
     BreakReason,
-    ReplySink,
+    ResponseSink,
 )
-from sardinetrack.relay.server_pool import NotConnectedError, ServerPool
 from sardinetrack.store.api import (
     ConflictError,
     Listing,
@@ -77,7 +77,7 @@
     events: list[_Change] = []
 
 
-class _ResponseCollector(ReplySink):
+class _ResponseCollector(ResponseSink):
     """Collects one response."""
 
     def __init__(self) -> None:
@@ -112,7 +112,7 @@
         :param address: IP and port of the store.
         """
         self._address = address
-        self._pool = ServerPool()
+        self._pool = ConnectionPool()
         self.counters = StoreUse()
 
     async def get(self, key: str) -> StoredObject | None:
--- a/src/sardinetrack/relay/api.py
+++ b/src/sardinetrack/relay/api.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplyHead:
+class ResponseHead:
     """The status and headers of a server's response."""
 
     status: int
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Sending:
+class AttemptContext:
     """What one attempt adds to the request."""
 
     server: BackendServer
@@ -67,7 +67,7 @@
     last_event_id: int | None = field(default=None)
 
 
-class Dialect(ABC):
+class ProtocolAdapter(ABC):
     """Translates between the relay and the headers of callers and servers."""
 
     @abstractmethod
@@ -84,11 +84,15 @@
         """
 
     @abstractmethod
-    def encode_request(self, call: CallerRequest, sending: Sending) -> bytes:
+    def encode_request(
+        self, call: CallerRequest, sending: AttemptContext
+    ) -> bytes:
         """Serialise the request for a server."""
 
     @abstractmethod
-    def parse_response_head(self, status: int, headers: Headers) -> ReplyHead:
+    def parse_response_head(
+        self, status: int, headers: Headers
+    ) -> ResponseHead:
         """Parse the head of a server's response."""
 
     @abstractmethod
--- a/src/sardinetrack/relay/attempt.py
+++ b/src/sardinetrack/relay/attempt.py
@@ -9,10 +9,10 @@
 from http import HTTPStatus
 from typing import Final
 
-from sardinetrack.relay.api import CallerRequest, Dialect, ReplyHead
+from sardinetrack.relay.api import CallerRequest, ProtocolAdapter, ResponseHead
 from sardinetrack.relay.caller_connection import CallerConnection
 from sardinetrack.relay.events import EventSplitter
-from sardinetrack.relay.server_connection import BreakReason, ReplySink
+from sardinetrack.relay.server_connection import BreakReason, ResponseSink
 
 _MAX_BUFFERED_BYTES: Final = 16_777_216
 
@@ -40,14 +40,14 @@
     """When the first event arrived, on the clock of the event loop."""
 
 
-class Attempt(ReplySink):
+class Attempt(ResponseSink):
     """Forwards events as they arrive; buffers any other response."""
 
     def __init__(
         self,
         call: CallerRequest,
         caller: CallerConnection,
-        dialect: Dialect,
+        dialect: ProtocolAdapter,
         progress: Progress,
         *,
         streams: bool,
@@ -55,7 +55,7 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self.done: asyncio.Future[SendOutcome] = loop.create_future()
-        self.response: ReplyHead | None = None
+        self.response: ResponseHead | None = None
         self.reason = ''
         self.first_event_received = False
         self.last_data_seconds = loop.time()
--- a/src/sardinetrack/relay/caller_connection.py
+++ b/src/sardinetrack/relay/caller_connection.py
@@ -13,7 +13,7 @@
 
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.sockets import descriptor, has_unread
-from sardinetrack.relay.api import CallerRequest, Dialect
+from sardinetrack.relay.api import CallerRequest, ProtocolAdapter
 from sardinetrack.relay.connection_owner import ConnectionOwner
 from sardinetrack.relay.error_response import error_response, status_line
 
@@ -29,7 +29,9 @@
 class CallerConnection(asyncio.Protocol):
     """Parses requests, writes responses and detects a disconnected caller."""
 
-    def __init__(self, dialect: Dialect, owner: ConnectionOwner) -> None:
+    def __init__(
+        self, dialect: ProtocolAdapter, owner: ConnectionOwner
+    ) -> None:
         """Create the connection; asyncio supplies the transport later.
 
         :param dialect: parses the heads of requests.
--- a/src/sardinetrack/relay/capacity.py
+++ b/src/sardinetrack/relay/capacity.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from sardinetrack.relay.memory import resident_bytes
-from sardinetrack.relay.settings import NodeSettings
+from sardinetrack.relay.settings import InstanceSettings
 
 BASE_BYTES: Final = 45_000_000
 """Memory of a started entry with its metrics page loaded; 27 MB without."""
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        settings: NodeSettings,
+        settings: InstanceSettings,
         used_bytes: Callable[[], int] = resident_bytes,
     ) -> None:
         """Calculate the limits.
--- a/src/sardinetrack/relay/server_pool.py
+++ b/src/sardinetrack/relay/connection_pool.py
@@ -24,7 +24,7 @@
     """No connection was established: nothing was sent, nothing has run."""
 
 
-class ServerPool:
+class ConnectionPool:
     """Owns all connections to backend servers; reuses the newest idle one."""
 
     def __init__(self) -> None:
--- a/src/sardinetrack/relay/entry.py
+++ b/src/sardinetrack/relay/entry.py
@@ -13,12 +13,12 @@
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.http.sockets import LAST_REQUEST_SECONDS
 from sardinetrack.logs.events import Event
-from sardinetrack.relay.api import CallerRequest, Dialect
+from sardinetrack.relay.api import CallerRequest, ProtocolAdapter
 from sardinetrack.relay.caller_connection import CallerConnection
 from sardinetrack.relay.capacity import Capacity, RequestCounts
 from sardinetrack.relay.connection_owner import ConnectionOwner
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.relay.exchange import Exchange
-from sardinetrack.relay.fleet import EntryState
 from sardinetrack.relay.listener import Listener
 from sardinetrack.topology.configuration import CallerLimits, Route, RouteKind
 from sardinetrack.views.source import ViewSource
@@ -46,7 +46,7 @@
     def __init__(
         self,
         state: EntryState,
-        dialect: Dialect,
+        dialect: ProtocolAdapter,
         view: ViewSource | None,
     ) -> None:
         """Create an entry; it listens once entered as a context.
--- a/src/sardinetrack/relay/fleet.py
+++ b/src/sardinetrack/relay/entry_state.py
@@ -9,11 +9,11 @@
 from sardinetrack.fairness.decaying_service import DecayingService
 from sardinetrack.logs.events import Event, EventLog
 from sardinetrack.placement.prefix_index import PrefixCacheIndex
+from sardinetrack.relay.connection_pool import ConnectionPool
 from sardinetrack.relay.crashes import CrashWatch
 from sardinetrack.relay.meters import Meters
-from sardinetrack.relay.server_pool import ServerPool
 from sardinetrack.relay.server_states import ServerStates
-from sardinetrack.relay.settings import NodeSettings
+from sardinetrack.relay.settings import InstanceSettings
 from sardinetrack.relay.side_links import INITIAL_ENTRIES, SideLinks
 from sardinetrack.routing.retries import RetryBudget
 from sardinetrack.topology.configuration import Configuration, Pool
@@ -41,7 +41,7 @@
 class EntryState(RestartListener):
     """Configuration, servers, loads, breakers and budgets of one entry."""
 
-    def __init__(self, settings: NodeSettings, log: EventLog) -> None:
+    def __init__(self, settings: InstanceSettings, log: EventLog) -> None:
         """Start without a configuration or servers.
 
         :param settings: of this instance.
@@ -52,7 +52,7 @@
         self.configuration: Configuration | None = None
         self.freshness = Freshness(settings.revoke_seconds)
         self.servers = ServerList()
-        self.connections = ServerPool()
+        self.connections = ConnectionPool()
         self.service = DecayingService[str]()
         self.prefix_index = PrefixCacheIndex()
         self.meters = Meters()
@@ -68,7 +68,7 @@
         self._budgets: dict[str, RetryBudget] = {}
         self._known: dict[str, BackendServer] = {}
 
-    def apply_settings(self, settings: NodeSettings) -> list[str]:
+    def apply_settings(self, settings: InstanceSettings) -> list[str]:
         """Apply changed settings; changed addresses need a new process.
 
         :return: the names of the fields that have changed.
--- a/src/sardinetrack/relay/exchange.py
+++ b/src/sardinetrack/relay/exchange.py
@@ -6,16 +6,19 @@
 
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.logs.events import Event
-from sardinetrack.relay.api import CallerRequest, Dialect
+from sardinetrack.relay.api import CallerRequest, ProtocolAdapter
 from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
 from sardinetrack.relay.caller_connection import CallerConnection
+from sardinetrack.relay.connection_pool import NotConnectedError
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.relay.error_response import error_response
 from sardinetrack.relay.events import EventSplitter
-from sardinetrack.relay.fleet import EntryState
-from sardinetrack.relay.placing import SERVER_UNREACHABLE_RETRY_SECONDS, Placer
 from sardinetrack.relay.request_plan import Plan, make_plan
 from sardinetrack.relay.sender import Sender
-from sardinetrack.relay.server_pool import NotConnectedError
+from sardinetrack.relay.server_choice import (
+    SERVER_UNREACHABLE_RETRY_SECONDS,
+    Placer,
+)
 from sardinetrack.relay.trace import Trace
 from sardinetrack.turns.clock import loop_now
 
@@ -26,7 +29,7 @@
     def __init__(
         self,
         state: EntryState,
-        dialect: Dialect,
+        dialect: ProtocolAdapter,
         call: CallerRequest,
         caller: CallerConnection,
     ) -> None:
--- a/src/sardinetrack/relay/followers.py
+++ b/src/sardinetrack/relay/feed_listeners.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from sardinetrack.logs.events import Event
-from sardinetrack.relay.fleet import EntryState
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.store.api import Listing, StoredObject
 from sardinetrack.topology.configuration import Configuration
 from sardinetrack.topology.feed import FeedListener
@@ -38,7 +38,7 @@
         """
 
 
-class ConfigurationFollower(FeedListener):
+class ConfigurationListener(FeedListener):
     """Activates each newer configuration, and never an older one."""
 
     def __init__(self, state: EntryState, decoder: Decoder) -> None:
@@ -93,7 +93,7 @@
         """Let the age of the view grow."""
 
 
-class EvacuationsFollower(FeedListener):
+class EvacuationsListener(FeedListener):
     """Tracks the failure domains that get no new requests.
 
     Only the names of the objects count: an object with unreadable content
@@ -124,7 +124,7 @@
         """Do nothing: evacuations stay until the store reports a change."""
 
 
-class ServersFollower(FeedListener):
+class ServersListener(FeedListener):
     """Maintains the list of servers."""
 
     def __init__(self, state: EntryState, decoder: Decoder) -> None:
--- a/src/sardinetrack/relay/metrics.py
+++ b/src/sardinetrack/relay/metrics.py
@@ -15,7 +15,7 @@
 from prometheus_client.metrics_core import Metric
 from prometheus_client.registry import Collector
 
-from sardinetrack.relay.fleet import EntryState
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.relay.meters import BOUNDS_SECONDS, Histogram
 from sardinetrack.store.api import StoreUse
 from sardinetrack.turns.clock import loop_now
@@ -30,7 +30,7 @@
         return self._metrics()
 
 
-def page_of(metrics: Callable[[], Iterable[Metric]]) -> bytes:
+def render_metrics(metrics: Callable[[], Iterable[Metric]]) -> bytes:
     """Render a page in the text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Page(metrics))
--- a/src/sardinetrack/relay/neighbours.py
+++ b/src/sardinetrack/relay/neighbours.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sardinetrack.relay.fleet import EntryState
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.views.api import Neighbour, NeighbourList
 from sardinetrack.views.choice import ranked_neighbours
 
--- a/src/sardinetrack/relay/permit.py
+++ b/src/sardinetrack/relay/permit.py
@@ -8,7 +8,7 @@
 from sardinetrack.admission.request import AdmissionRequest, Granted
 from sardinetrack.placement.choice import Candidate
 from sardinetrack.placement.load import EstimatedLoad
-from sardinetrack.relay.fleet import EntryState
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.turns.clock import loop_now
 from sardinetrack.turns.driver import LocalAdmission
--- a/src/sardinetrack/relay/request_plan.py
+++ b/src/sardinetrack/relay/request_plan.py
@@ -9,7 +9,7 @@
 
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.relay.api import CallerRequest
-from sardinetrack.relay.fleet import EntryState
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.topology.configuration import (
     Configuration,
     Pool,
--- a/src/sardinetrack/relay/sender.py
+++ b/src/sardinetrack/relay/sender.py
@@ -10,17 +10,21 @@
 from sardinetrack.logs.events import Event
 from sardinetrack.placement.choice import Candidate
 from sardinetrack.placement.load import EstimatedLoad
-from sardinetrack.relay.api import CallerRequest, Dialect, Sending
+from sardinetrack.relay.api import (
+    AttemptContext,
+    CallerRequest,
+    ProtocolAdapter,
+)
 from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
 from sardinetrack.relay.caller_connection import CallerConnection
-from sardinetrack.relay.fleet import EntryState
+from sardinetrack.relay.connection_pool import IDLE_SECONDS, NotConnectedError
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.relay.permit import Permit
 from sardinetrack.relay.request_plan import Plan, check_still_allowed
 from sardinetrack.relay.server_connection import (
     BreakReason,
     ServerConnection,
 )
-from sardinetrack.relay.server_pool import IDLE_SECONDS, NotConnectedError
 from sardinetrack.relay.trace import Placement, Trace
 from sardinetrack.routing.breaker import Breaker
 from sardinetrack.topology.configuration import RouteKind
@@ -81,7 +85,7 @@
     def __init__(
         self,
         state: EntryState,
-        dialect: Dialect,
+        dialect: ProtocolAdapter,
         call: CallerRequest,
         caller: CallerConnection,
         trace: Trace,
@@ -212,9 +216,9 @@
         plan: Plan,
         server: BackendServer,
         attempt: Attempt,
-    ) -> Sending:
+    ) -> AttemptContext:
         left_seconds = plan.deadline_seconds - self._loop.time()
-        return Sending(
+        return AttemptContext(
             server,
             max(_MIN_TIMEOUT_SECONDS, left_seconds),
             plan.workspace.name if plan.workspace else None,
--- a/src/sardinetrack/relay/placing.py
+++ b/src/sardinetrack/relay/server_choice.py
@@ -28,7 +28,7 @@
 from sardinetrack.relay.api import CallerRequest
 from sardinetrack.relay.candidate_order import CandidateOrder
 from sardinetrack.relay.crashes import fingerprint
-from sardinetrack.relay.fleet import EntryState
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.relay.permit import (
     PermitRefusedError,
     PlainPermit,
@@ -43,13 +43,13 @@
 The side decides how long it really can, since it knows how long the prefill
 takes; the rest of the objective is for the first event and its transfer.
 """
-GUEST_SECONDS: Final = 0.02
+RECOMPUTE_WAIT_SECONDS: Final = 0.02
 """Wait of a request at a server that has to prefill a shared prefix again.
 
 Away from its home server a request uses only free capacity, for which no
 request waits that has its home server there.
 """
-MOST_ASKED: Final = 8
+MAX_PERMIT_REQUESTS: Final = 8
 """Servers from which a permit is requested before a request is refused.
 
 Only servers that were free by their last load report are tried, so a full fleet
@@ -176,7 +176,7 @@
         rank = partial(self._candidates, plan)
         order = CandidateOrder(candidates, rank, self._loop.time)
         candidate: Candidate | None = candidates[0]
-        while candidate is not None and order.tried_count < MOST_ASKED:
+        while candidate is not None and order.tried_count < MAX_PERMIT_REQUESTS:
             order.mark_tried(candidate)
             left_seconds = max(0, deadline_seconds - self._loop.time())
             stay_seconds = worthwhile_wait_seconds(
@@ -244,7 +244,7 @@
             + self._output_tokens(plan),
             output_tokens=self._output_tokens(plan),
             max_wait_seconds=(
-                GUEST_SECONDS
+                RECOMPUTE_WAIT_SECONDS
                 if candidate.recomputes_prefix
                 else wait_limit_seconds
             ),
--- a/src/sardinetrack/relay/server_connection.py
+++ b/src/sardinetrack/relay/server_connection.py
@@ -34,7 +34,7 @@
     UNREADABLE = 'unreadable'
 
 
-class ReplySink(ABC):
+class ResponseSink(ABC):
     """Receives the response to one request, on the event loop's thread."""
 
     @abstractmethod
@@ -63,7 +63,7 @@
         self.transport: asyncio.Transport | None = None
         self.idle_since_seconds = float(0)
         self.idle_limit_seconds: float | None = None
-        self._sink: ReplySink | None = None
+        self._sink: ResponseSink | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._framed = False
@@ -86,7 +86,7 @@
     def send(
         self,
         request: bytes,
-        sink: ReplySink,
+        sink: ResponseSink,
         *,
         bodiless: bool = False,
     ) -> None:
@@ -211,7 +211,7 @@
         if self._sink is not None:
             self._take_sink().interrupted(reason)
 
-    def _take_sink(self) -> ReplySink:
+    def _take_sink(self) -> ResponseSink:
         sink = self._sink
         assert sink is not None  # noqa: S101
         self._sink = None
--- a/src/sardinetrack/relay/settings.py
+++ b/src/sardinetrack/relay/settings.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeSettings:
+class InstanceSettings:
     """Addresses and limits of one instance."""
 
     instance: str
@@ -37,7 +37,7 @@
     """Whether the operator evacuates failure domains by objects in the store;
     if not, they are not watched."""
 
-    def changed_from(self, earlier: NodeSettings) -> list[str]:
+    def changed_from(self, earlier: InstanceSettings) -> list[str]:
         """Return the names of the fields that differ from earlier settings."""
         before = asdict(earlier)
         return [
--- a/src/sardinetrack/relay/side_links.py
+++ b/src/sardinetrack/relay/side_links.py
@@ -12,7 +12,7 @@
 from sardinetrack.placement.prefix_index import PrefixCacheIndex
 from sardinetrack.placement.rendezvous import rendezvous_order
 from sardinetrack.relay.crashes import CrashWatch
-from sardinetrack.relay.settings import NodeSettings
+from sardinetrack.relay.settings import InstanceSettings
 from sardinetrack.topology.cold import ColdEstimate
 from sardinetrack.topology.configuration import Pool
 from sardinetrack.topology.servers import BackendServer
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        settings: NodeSettings,
+        settings: InstanceSettings,
         prefix_index: PrefixCacheIndex,
         crashes: CrashWatch,
         restarts: RestartListener,
--- a/src/sardinetrack/relay/ready.py
+++ b/src/sardinetrack/relay/status_pages.py
@@ -15,7 +15,7 @@
 _MAX_HEAD_BYTES: Final = 8192
 
 
-class PageConnection(asyncio.Protocol):
+class StatusPageConnection(asyncio.Protocol):
     """Responds to GET requests for a few fixed pages."""
 
     def __init__(self, pages: dict[bytes, Page]) -> None:
--- a/tests/platform/steps/server_object_steps.py
+++ b/tests/platform/steps/server_object_steps.py
@@ -15,8 +15,8 @@
 
 from sardinetrack.compose.store_view import PlatformObjectDecoder
 from sardinetrack.logs.events import EventLog
-from sardinetrack.relay.fleet import EntryState
-from sardinetrack.relay.followers import ServersFollower
+from sardinetrack.relay.entry_state import EntryState
+from sardinetrack.relay.feed_listeners import ServersListener
 from sardinetrack.store.api import Listing, StoredObject
 
 _FIRST_KEY = 'servers/i-0'
@@ -53,7 +53,7 @@
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
     context.state = EntryState(node_settings(), context.log)
-    context.follower = ServersFollower(context.state, PlatformObjectDecoder())
+    context.follower = ServersListener(context.state, PlatformObjectDecoder())
     context.revision = 10
     context.objects = {}
     for number in range(2):
--- a/tests/platform/steps/translation_steps.py
+++ b/tests/platform/steps/translation_steps.py
@@ -15,12 +15,12 @@
 from sardinetrack.compose.store_view import PlatformObjectDecoder
 from sardinetrack.logs.events import EventLog
 from sardinetrack.platform.catalogue import configuration_of
-from sardinetrack.platform.dialect import PlatformDialect
 from sardinetrack.platform.errors import TranslationError
+from sardinetrack.platform.protocol_adapter import PlatformProtocolAdapter
 from sardinetrack.platform.settings import read_settings
-from sardinetrack.relay.api import Sending
-from sardinetrack.relay.fleet import EntryState
-from sardinetrack.relay.followers import ConfigurationFollower
+from sardinetrack.relay.api import AttemptContext
+from sardinetrack.relay.entry_state import EntryState
+from sardinetrack.relay.feed_listeners import ConfigurationListener
 from sardinetrack.store.api import StoredObject
 from sardinetrack.topology.configuration import RouteKind
 from sardinetrack.topology.servers import BackendServer
@@ -159,7 +159,7 @@
         path.write_text(SETTINGS)
         settings = read_settings(path)
     context.state = EntryState(settings, context.log)
-    context.follower = ConfigurationFollower(
+    context.follower = ConfigurationListener(
         context.state,
         PlatformObjectDecoder(),
     )
@@ -201,7 +201,7 @@
 
 @given('a request as a client of the platform sends it')
 def client_request(context):
-    context.dialect = PlatformDialect()
+    context.dialect = PlatformProtocolAdapter()
     context.call = context.dialect.parse_request(
         b'POST', b'/lohu/1?q=2', _HEAD, 5
     )
@@ -234,7 +234,7 @@
         8,
         leaving=False,
     )
-    attempt = Sending(server, 9.5, 'hule', 14)
+    attempt = AttemptContext(server, 9.5, 'hule', 14)
     context.sent_bytes = context.dialect.encode_request(context.call, attempt)
     for line in (
         b'POST /lohu/1?q=2 HTTP/1.1',
@@ -258,7 +258,7 @@
     'these responses prove that nothing has run: 421, 503 with the header',
 )
 def proofs(context):
-    dialect = PlatformDialect()
+    dialect = PlatformProtocolAdapter()
     assert dialect.parse_response_head(421, ()).not_run
     header = (b'x-sardinetrack-not-processed', b'1')
     assert dialect.parse_response_head(503, (header,)).not_run
@@ -266,7 +266,7 @@
 
 @then('these do not: 500, 503, 504')
 def no_proofs(context):
-    dialect = PlatformDialect()
+    dialect = PlatformProtocolAdapter()
     assert not any(
         dialect.parse_response_head(one, ()).not_run for one in (500, 503, 504)
     )
--- a/tests/relay/steps/evacuation_steps.py
+++ b/tests/relay/steps/evacuation_steps.py
@@ -9,7 +9,7 @@
 from tests.support.relay_world import RelayWorld, close_world
 
 from sardinetrack.admission.request import AdmissionRequest, Granted
-from sardinetrack.relay.followers import EvacuationsFollower
+from sardinetrack.relay.feed_listeners import EvacuationsListener
 from sardinetrack.store.api import Listing, StoredObject
 from sardinetrack.topology.freshness import boot_clock
 
@@ -29,7 +29,7 @@
         context.world.list_servers()
 
     context.world.run(act())
-    context.follower = EvacuationsFollower(context.world.entry_state)
+    context.follower = EvacuationsListener(context.world.entry_state)
 
 
 def _change(context, domain, *, deleted=False):
--- a/tests/relay/steps/metrics_steps.py
+++ b/tests/relay/steps/metrics_steps.py
@@ -5,7 +5,7 @@
 from behave import then
 from tests.support.relay_world import KEY
 
-from sardinetrack.relay.metrics import entry_metrics, page_of
+from sardinetrack.relay.metrics import entry_metrics, render_metrics
 from sardinetrack.store.api import StoreUse
 
 _STORE = StoreUse(calls=3, unreadable=2)
@@ -14,7 +14,7 @@
 @then('the page counts {count:d} requests served')
 def page_counts(context, count):
     state = context.world.entry_state
-    context.page = page_of(lambda: entry_metrics(state, _STORE)).decode()
+    context.page = render_metrics(lambda: entry_metrics(state, _STORE)).decode()
     expected = f'sardinetrack_requests_total{{by="served"}} {count}.0'
     assert expected in context.page, context.page
 
--- a/tests/support/example_settings.py
+++ b/tests/support/example_settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sardinetrack.relay.settings import NodeSettings
+from sardinetrack.relay.settings import InstanceSettings
 
 SETTINGS = """
 nodeName = "edge-galata-1"
@@ -25,7 +25,7 @@
 
 def node_settings(ip='127.0.0.1', **changed):
     """Return settings of an entry that runs in this process, on loopback."""
-    return NodeSettings(
+    return InstanceSettings(
         **{
             'instance': 'entry-1',
             'ip': ip,
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -8,9 +8,9 @@
 from typing import NamedTuple
 
 from sardinetrack.logs.events import EventLog
-from sardinetrack.platform.dialect import PlatformDialect
+from sardinetrack.platform.protocol_adapter import PlatformProtocolAdapter
 from sardinetrack.relay.entry import Entry
-from sardinetrack.relay.fleet import EntryState
+from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.topology.configuration import (
     CallerLimits,
     Configuration,
@@ -147,7 +147,7 @@
         self.entry_state = EntryState(settings, self.log)
         self.entry_state.configuration = configuration()
         self.entry_state.freshness.confirm(boot_clock())
-        self.entry = Entry(self.entry_state, PlatformDialect(), None)
+        self.entry = Entry(self.entry_state, PlatformProtocolAdapter(), None)
         await self.entry.__aenter__()
         self.port = self.entry.port
         for pool, count in (('models', models), ('plain', plain)):
