--- a/benchmarks/chaos/virtual/entry.py
+++ b/benchmarks/chaos/virtual/entry.py
@@ -11,11 +11,11 @@
 from benchmarks.chaos.virtual.platform import NodePlatform, PlatformFaults
 from benchmarks.chaos.virtual.settings import entry_dependencies
 from sardinetrack.entry.applications import HttpApplication
-from sardinetrack.entry.callers import caller_border
-from sardinetrack.entry.control import Control
-from sardinetrack.entry.core import EntryCore
+from sardinetrack.entry.callers import caller_request_handler
+from sardinetrack.entry.components import EntryComponents
+from sardinetrack.entry.control_tasks import Control
 from sardinetrack.http.asgi import Application, Receive, Scope, Send
-from sardinetrack.once.claims import ShardedClaims
+from sardinetrack.once.claims import ShardedClaimStore
 from sardinetrack.store.in_process import MemoryPlatform
 
 
@@ -52,24 +52,26 @@
         """Build one start of the entry."""
         super().__init__(network, address)
         self.name = name
-        self.core: EntryCore
+        self.core: EntryComponents
         self._platform = NodePlatform(store, self, faults)
 
     async def work(self, tasks: TaskGroup) -> None:
         """Build the entry as its composition root does, and serve."""
         clock = anyio.current_time
-        async with ShardedClaims(self._platform, wall_clock=clock) as claims:
+        async with ShardedClaimStore(
+            self._platform, wall_clock=clock
+        ) as claims:
             dependencies = entry_dependencies(
                 self.name,
                 self.network.random,
                 self._platform,
                 claims,
             )
-            self.core = EntryCore(dependencies, VirtualHttp(self.network))
+            self.core = EntryComponents(dependencies, VirtualHttp(self.network))
             control = Control(self.core, tasks)
             control.start()
             self.application = _Listeners(
                 control.peer_application(),
-                HttpApplication(caller_border(self.core).handle),
+                HttpApplication(caller_request_handler(self.core).handle),
             )
             await self.accept_connections()
--- a/benchmarks/chaos/virtual/settings.py
+++ b/benchmarks/chaos/virtual/settings.py
@@ -6,8 +6,8 @@
 from typing import Any, Final
 
 from sardinetrack.config.model import EntrySettings
-from sardinetrack.entry.claims import Claims
-from sardinetrack.entry.parts import EntryParts
+from sardinetrack.entry.claims import ClaimStore
+from sardinetrack.entry.dependencies import EntryDependencies
 from sardinetrack.links.secret import PeerSecret
 from sardinetrack.routing.router import Router
 from sardinetrack.routing.shared import ProcessIdentity
@@ -40,8 +40,8 @@
     name: str,
     random: Random,
     platform: Platform,
-    claims: Claims,
-) -> EntryParts:
+    claims: ClaimStore,
+) -> EntryDependencies:
     """Build the dependencies that an entry's composition root passes to it."""
     incarnation = draw_incarnation(random)
     bounds = {'wait_seconds': WAIT_SECONDS}
@@ -49,7 +49,7 @@
         {**common_settings(name), 'bounds': bounds},
     )
     rng = Random(random.random())
-    return EntryParts(
+    return EntryDependencies(
         settings=settings,
         peer_secret=PeerSecret(SECRET),
         incarnation=incarnation,
--- a/benchmarks/once/__main__.py
+++ b/benchmarks/once/__main__.py
@@ -21,12 +21,12 @@
 
 from sardinetrack.entry.claims import (
     Claimed,
-    ClaimEnd,
+    ClaimOutcome,
     ClaimRequest,
-    Claims,
-    ClaimsDownError,
+    ClaimStore,
+    ClaimStoreUnavailableError,
 )
-from sardinetrack.once.claims import ClaimSettings, ShardedClaims
+from sardinetrack.once.claims import ClaimSettings, ShardedClaimStore
 
 _RATES = (1, 10, 100)
 _ENTRIES = (1, 2, 4, 8)
@@ -64,7 +64,7 @@
     def _entry_numbers(self) -> range:
         return range(self.entries)
 
-    async def _send_claims(self, claim_stores: list[Claims]) -> None:
+    async def _send_claims(self, claim_stores: list[ClaimStore]) -> None:
         async with anyio.create_task_group() as callers:
             for number in range(self._claim_count()):
                 entry = self.rng.choice(claim_stores)
@@ -78,7 +78,7 @@
     async def _entry(self, *, task_status: anyio.abc.TaskStatus) -> None:
         rates = FaultRates(latency_seconds=_LATENCY_SECONDS)
         platform = FaultyPlatform(self.store, rates, self.rng)
-        async with ShardedClaims(
+        async with ShardedClaimStore(
             platform,
             ClaimSettings(shards=1),
             wall_clock=anyio.current_time,
@@ -87,18 +87,18 @@
             task_status.started(claims)
             await anyio.sleep_forever()
 
-    async def _caller(self, claims: Claims, number: int) -> None:
+    async def _caller(self, claims: ClaimStore, number: int) -> None:
         request = ClaimRequest('w', f'k{number}', 'h', f'a{number}', 700)
         began = anyio.current_time()
         try:
             claimed = await claims.claim(request)
-        except ClaimsDownError:
+        except ClaimStoreUnavailableError:
             self.refused += 1
             return
         assert isinstance(claimed, Claimed), claimed
         self.waited_seconds.append(anyio.current_time() - began)
         await anyio.sleep(self.rng.expovariate(1 / _RUN_SECONDS))
-        await claims.finish(claimed, ClaimEnd.FINISHED)
+        await claims.finish(claimed, ClaimOutcome.FINISHED)
 
 
 def main() -> None:
--- a/src/sardinetrack/compose/entry.py
+++ b/src/sardinetrack/compose/entry.py
@@ -10,10 +10,10 @@
 from sardinetrack.config.model import EntrySettings
 from sardinetrack.config.secret import resolve_secret
 from sardinetrack.entry.daemon import EntryDaemon
-from sardinetrack.entry.parts import EntryParts
+from sardinetrack.entry.dependencies import EntryDependencies
 from sardinetrack.http.client import HttpClient
 from sardinetrack.links.secret import PeerSecret
-from sardinetrack.once.claims import ClaimSettings, ShardedClaims
+from sardinetrack.once.claims import ClaimSettings, ShardedClaimStore
 from sardinetrack.process.incarnation import new_incarnation
 from sardinetrack.process.ready import EntryReady, print_ready
 from sardinetrack.process.signals import run_until_drained
@@ -35,8 +35,8 @@
             shards=settings.once.shards,
             key_retention_seconds=settings.once.keep_seconds,
         )
-        async with ShardedClaims(platform, claim_settings) as claims:
-            dependencies = EntryParts(
+        async with ShardedClaimStore(platform, claim_settings) as claims:
+            dependencies = EntryDependencies(
                 settings=settings,
                 peer_secret=PeerSecret(resolve_secret(settings.peer_secret)),
                 incarnation=incarnation,
--- a/src/sardinetrack/entry/callers.py
+++ b/src/sardinetrack/entry/callers.py
@@ -6,9 +6,9 @@
 from typing import Final
 
 from sardinetrack.entry.applications import HttpApplication
-from sardinetrack.entry.core import EntryCore
+from sardinetrack.entry.components import EntryComponents
 from sardinetrack.entry.cost import CostEstimates
-from sardinetrack.entry.keyed import KeyedRuns
+from sardinetrack.entry.idempotent_runs import IdempotentRuns
 from sardinetrack.entry.protocol import caller_protocol
 from sardinetrack.entry.reader import CallReader
 from sardinetrack.entry.request_handler import CallerRequestHandler
@@ -20,7 +20,9 @@
 """The protocol limits connections itself, with a specific error response."""
 
 
-def serve_callers(core: EntryCore) -> AbstractAsyncContextManager[BoundServer]:
+def serve_callers(
+    core: EntryComponents,
+) -> AbstractAsyncContextManager[BoundServer]:
     """Serve callers while the context is open.
 
     :param core: the entry's components.
@@ -29,7 +31,7 @@
     settings = core.parts.settings
     bounds = settings.bounds
     return serving(
-        HttpApplication(caller_border(core).handle),
+        HttpApplication(caller_request_handler(core).handle),
         settings.callers.ip,
         settings.callers.port,
         bounds=ServerBounds(
@@ -43,7 +45,7 @@
     )
 
 
-def caller_border(core: EntryCore) -> CallerRequestHandler:
+def caller_request_handler(core: EntryComponents) -> CallerRequestHandler:
     """Build the handler of callers' requests, without a listener.
 
     :param core: the entry's components.
@@ -54,7 +56,7 @@
     runner = CallRunner(
         core.dispatcher,
         core.peers,
-        KeyedRuns(core.parts.claims, bounds.wait_seconds),
+        IdempotentRuns(core.parts.claims, bounds.wait_seconds),
         costs,
         core.metrics,
         bounds.send_seconds,
--- a/src/sardinetrack/entry/claims.py
+++ b/src/sardinetrack/entry/claims.py
@@ -41,28 +41,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutcomeLost:
+class OutcomeUnknown:
     """A request with this key may have run; its outcome is not known."""
 
 
 @dataclass(frozen=True, slots=True)
-class Mismatch:
+class RequestMismatch:
     """The key was used with a different request."""
 
 
-ClaimAnswer = (
-    Claimed | AlreadyRunning | AlreadyFinished | OutcomeLost | Mismatch
+ClaimResult = (
+    Claimed
+    | AlreadyRunning
+    | AlreadyFinished
+    | OutcomeUnknown
+    | RequestMismatch
 )
 
 
-class ClaimEnd(StrEnum):
+class ClaimOutcome(StrEnum):
     """The outcome of a claimed request that may have run."""
 
     FINISHED = 'finished'
     UNKNOWN = 'unknown'
 
 
-class ClaimsDownError(Exception):
+class ClaimStoreUnavailableError(Exception):
     """Claims can't be written at present; the request was not claimed."""
 
     def __init__(self, retry_after_seconds: float | None = None) -> None:
@@ -75,18 +79,19 @@
         self.retry_after_seconds = retry_after_seconds
 
 
-class Claims(ABC):
+class ClaimStore(ABC):
     """Stores the claims of idempotency keys."""
 
     @abstractmethod
-    async def claim(self, request: ClaimRequest) -> ClaimAnswer:
+    async def claim(self, request: ClaimRequest) -> ClaimResult:
         """Claim a key before its request is dispatched.
 
-        :raises ClaimsDownError: the store is unavailable; nothing is claimed.
+        :raises ClaimStoreUnavailableError: the store is unavailable; nothing is
+            claimed.
         """
 
     @abstractmethod
-    async def finish(self, claimed: Claimed, end: ClaimEnd) -> None:
+    async def finish(self, claimed: Claimed, end: ClaimOutcome) -> None:
         """Record the outcome of a request that ran or may have run."""
 
     @abstractmethod
--- a/src/sardinetrack/entry/core.py
+++ b/src/sardinetrack/entry/components.py
@@ -4,22 +4,22 @@
 
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.entry.config_sync import ConfigSync
+from sardinetrack.entry.dependencies import EntryDependencies
 from sardinetrack.entry.dispatcher import Dispatcher
 from sardinetrack.entry.drain_gate import DrainGate
 from sardinetrack.entry.linked_peers import LinkedPeers
 from sardinetrack.entry.metrics import EntryMetrics
-from sardinetrack.entry.parts import EntryParts
 from sardinetrack.entry.status import StatusReader
 from sardinetrack.http.client import HttpClient
 
 
-class EntryCore:
+class EntryComponents:
     """Builds and connects the components of an entry.
 
     All of them are used on the event loop only, between two awaits.
     """
 
-    def __init__(self, parts: EntryParts, http: HttpClient) -> None:
+    def __init__(self, parts: EntryDependencies, http: HttpClient) -> None:
         """Build the components.
 
         :param parts: settings and collaborators of the entry.
--- a/src/sardinetrack/entry/control.py
+++ b/src/sardinetrack/entry/control_tasks.py
@@ -11,7 +11,7 @@
     send_digests_periodically,
     tick_periodically,
 )
-from sardinetrack.entry.core import EntryCore
+from sardinetrack.entry.components import EntryComponents
 from sardinetrack.entry.peer_dialers import PeerDialers
 from sardinetrack.entry.peer_events import PeerEvents
 from sardinetrack.links.server import LinkAcceptor
@@ -20,7 +20,7 @@
 class Control:
     """Connects the links and the platform feeds with the entry components."""
 
-    def __init__(self, core: EntryCore, tasks: TaskGroup) -> None:
+    def __init__(self, core: EntryComponents, tasks: TaskGroup) -> None:
         """Build the link handlers and the feeds.
 
         :param core: the entry's components.
--- a/src/sardinetrack/entry/daemon.py
+++ b/src/sardinetrack/entry/daemon.py
@@ -9,10 +9,10 @@
 
 from sardinetrack.entry.applications import HttpApplication
 from sardinetrack.entry.callers import serve_callers
-from sardinetrack.entry.control import Control
-from sardinetrack.entry.core import EntryCore
+from sardinetrack.entry.components import EntryComponents
+from sardinetrack.entry.control_tasks import Control
+from sardinetrack.entry.dependencies import EntryDependencies
 from sardinetrack.entry.operator import OperatorPages
-from sardinetrack.entry.parts import EntryParts
 from sardinetrack.http.asgi import Application
 from sardinetrack.http.client import HttpClient
 from sardinetrack.http.server import BoundServer
@@ -26,14 +26,14 @@
 class EntryDaemon(ServingDaemon):
     """Serves while the context is open; ``run`` returns after a drain."""
 
-    def __init__(self, parts: EntryParts) -> None:
+    def __init__(self, parts: EntryDependencies) -> None:
         """Store the dependencies; entering the context starts the entry.
 
         :param parts: settings and collaborators of the entry.
         """
         super().__init__()
         self._parts = parts
-        self.core: EntryCore
+        self.core: EntryComponents
         self.callers: BoundServer
         self.peer: BoundServer
         self.operator: BoundServer
@@ -62,7 +62,7 @@
 
     async def _open(self, stack: AsyncExitStack) -> None:
         http = await stack.enter_async_context(HttpClient())
-        self.core = EntryCore(self._parts, http)
+        self.core = EntryComponents(self._parts, http)
         tasks = await stack.enter_async_context(anyio.create_task_group())
         stack.callback(tasks.cancel_scope.cancel)
         control = Control(self.core, tasks)
--- a/src/sardinetrack/entry/parts.py
+++ b/src/sardinetrack/entry/dependencies.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from sardinetrack.config.model import EntrySettings
-from sardinetrack.entry.claims import Claims
-from sardinetrack.entry.heads import HeadBounds
+from sardinetrack.entry.claims import ClaimStore
+from sardinetrack.entry.header_checks import HeaderLimits
 from sardinetrack.links.api import Hello, PeerRole
 from sardinetrack.links.secret import PeerSecret
 from sardinetrack.routing.api import RoutingPolicy
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EntryParts:
+class EntryDependencies:
     """Settings, secret, platform, routing policy and claims of an entry."""
 
     settings: EntrySettings
@@ -23,8 +23,8 @@
     """Unique to each start of the process."""
     routing: RoutingPolicy
     platform: Platform
-    claims: Claims
-    head_bounds: HeadBounds = field(default_factory=HeadBounds)
+    claims: ClaimStore
+    head_bounds: HeaderLimits = field(default_factory=HeaderLimits)
     balancer_seconds: float = 2.0
     """How long the platform's load balancer may still send callers to an
     instance that is no longer ready."""
--- a/src/sardinetrack/entry/heads.py
+++ b/src/sardinetrack/entry/header_checks.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeadBounds:
+class HeaderLimits:
     """Limits on the size of a request head and on the time to read it."""
 
     max_bytes: int = _MAX_HEAD_BYTES
--- a/src/sardinetrack/entry/keyed.py
+++ b/src/sardinetrack/entry/idempotent_runs.py
@@ -13,14 +13,14 @@
 from sardinetrack.entry.claims import (
     AlreadyFinished,
     AlreadyRunning,
-    ClaimAnswer,
     Claimed,
-    ClaimEnd,
+    ClaimOutcome,
     ClaimRequest,
-    Claims,
-    ClaimsDownError,
-    Mismatch,
-    OutcomeLost,
+    ClaimResult,
+    ClaimStore,
+    ClaimStoreUnavailableError,
+    OutcomeUnknown,
+    RequestMismatch,
 )
 from sardinetrack.errors.api import ErrorKind, RequestError
 
@@ -33,8 +33,8 @@
     {
         AlreadyRunning: ErrorKind.IN_PROGRESS,
         AlreadyFinished: ErrorKind.ALREADY_FINISHED,
-        OutcomeLost: ErrorKind.OUTCOME_UNKNOWN,
-        Mismatch: ErrorKind.IDEMPOTENCY_MISMATCH,
+        OutcomeUnknown: ErrorKind.OUTCOME_UNKNOWN,
+        RequestMismatch: ErrorKind.IDEMPOTENCY_MISMATCH,
     },
 )
 
@@ -69,10 +69,10 @@
         self.possibly_started = may_have_run
 
 
-class KeyedRuns:
+class IdempotentRuns:
     """Runs at most one request for each key, across the whole fleet."""
 
-    def __init__(self, claims: Claims, wait_seconds: float) -> None:
+    def __init__(self, claims: ClaimStore, wait_seconds: float) -> None:
         """Set the claim store.
 
         :param claims: stores the claims.
@@ -94,10 +94,10 @@
             anyio.current_time() + self._wait_seconds + _LATEST_START_SECONDS,
         )
         claimed = await self._claim(call, key)
-        end: ClaimEnd | None = ClaimEnd.UNKNOWN
+        end: ClaimOutcome | None = ClaimOutcome.UNKNOWN
         try:
             await run(state.update)
-            end = ClaimEnd.FINISHED
+            end = ClaimOutcome.FINISHED
         except RequestError as failure:
             end = _outcome_of(failure)
             raise
@@ -118,14 +118,14 @@
         )
         try:
             answer = await self._claims.claim(request)
-        except ClaimsDownError as error:
+        except ClaimStoreUnavailableError as error:
             raise RequestError(
                 ErrorKind.NOT_RUN_PLATFORM_DOWN,
                 retry_after_seconds=error.retry_after_seconds,
             ) from error
         return _require_claimed(answer)
 
-    async def _settle(self, claimed: Claimed, end: ClaimEnd | None) -> None:
+    async def _settle(self, claimed: Claimed, end: ClaimOutcome | None) -> None:
         # Shielded, because a caller that disconnected may resend the request
         # and needs the correct outcome; bounded, because the response must not
         # wait for the platform. An unfinished write continues in the
@@ -137,13 +137,13 @@
                 await self._claims.finish(claimed, end)
 
 
-def _outcome_of(failure: RequestError) -> ClaimEnd:
+def _outcome_of(failure: RequestError) -> ClaimOutcome:
     if failure.kind is ErrorKind.OUTCOME_UNKNOWN:
-        return ClaimEnd.UNKNOWN
-    return ClaimEnd.FINISHED
+        return ClaimOutcome.UNKNOWN
+    return ClaimOutcome.FINISHED
 
 
-def _require_claimed(answer: ClaimAnswer) -> Claimed:
+def _require_claimed(answer: ClaimResult) -> Claimed:
     if isinstance(answer, Claimed):
         return answer
     raise RequestError(_REFUSALS[type(answer)])
--- a/src/sardinetrack/entry/protocol.py
+++ b/src/sardinetrack/entry/protocol.py
@@ -12,7 +12,7 @@
 
 from sardinetrack.entry.caller import TRANSPORT_STATE
 from sardinetrack.entry.error_responses import error_document, error_headers
-from sardinetrack.entry.heads import HeadBounds, check_head
+from sardinetrack.entry.header_checks import HeaderLimits, check_head
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.errors.table import error_response_for
 from sardinetrack.http.ending import EndingProtocol
@@ -26,7 +26,7 @@
 class CallerProtocol(EndingProtocol):
     """Rejects request heads that are too large, too slow or ambiguous."""
 
-    bounds: ClassVar[HeadBounds]
+    bounds: ClassVar[HeaderLimits]
     idle: ClassVar[IdleConnections]
 
     def __init__(self, *positional: Any, **named: Any) -> None:
@@ -207,7 +207,7 @@
 
 
 def caller_protocol(
-    bounds: HeadBounds,
+    bounds: HeaderLimits,
     max_connections: int,
 ) -> type[CallerProtocol]:
     """Create the protocol class of one listener.
--- a/src/sardinetrack/entry/runner.py
+++ b/src/sardinetrack/entry/runner.py
@@ -11,7 +11,7 @@
 from sardinetrack.entry.cost import CostEstimates, CostKey
 from sardinetrack.entry.dispatcher import Dispatcher
 from sardinetrack.entry.history import RunHistory
-from sardinetrack.entry.keyed import KeyedRuns
+from sardinetrack.entry.idempotent_runs import IdempotentRuns
 from sardinetrack.entry.metrics import EntryMetrics
 from sardinetrack.entry.pending_request import PendingRequest
 from sardinetrack.entry.side_directory import SideDirectory
@@ -28,7 +28,7 @@
         self,
         dispatcher: Dispatcher,
         sides: SideDirectory,
-        keyed: KeyedRuns,
+        keyed: IdempotentRuns,
         costs: CostEstimates,
         metrics: EntryMetrics,
         send_seconds: float,
--- a/src/sardinetrack/once/claims.py
+++ b/src/sardinetrack/once/claims.py
@@ -16,12 +16,12 @@
 from anyio.abc import TaskGroup
 
 from sardinetrack.entry.claims import (
-    ClaimAnswer,
     Claimed,
-    ClaimEnd,
+    ClaimOutcome,
     ClaimRequest,
-    Claims,
-    ClaimsDownError,
+    ClaimResult,
+    ClaimStore,
+    ClaimStoreUnavailableError,
 )
 from sardinetrack.once.log import MAX_HEAD_BYTES, ShardLog
 from sardinetrack.once.operations import (
@@ -64,7 +64,7 @@
     batch_delays: BatchDelays = field(default_factory=BatchDelays)
 
 
-class ShardedClaims(Claims):
+class ShardedClaimStore(ClaimStore):
     """Makes claims by conditional writes to the store.
 
     All claims of a shard pass through one stored object. If two entries write
@@ -117,23 +117,23 @@
         )
         await self._stack.aclose()
 
-    async def claim(self, request: ClaimRequest) -> ClaimAnswer:
+    async def claim(self, request: ClaimRequest) -> ClaimResult:
         """Claim a key before its request is dispatched."""
         operation = ClaimOperation(request)
         try:
             with anyio.move_on_after(_CLAIM_TIMEOUT_SECONDS):
                 await self._post_claim(operation)
         except PlatformError as error:
-            raise ClaimsDownError from error
+            raise ClaimStoreUnavailableError from error
         except BaseException:
             await self._withdraw(operation)
             raise
         if operation.result is None:
             operation.abandoned = True
-            raise ClaimsDownError(operation.retry_after_seconds)
+            raise ClaimStoreUnavailableError(operation.retry_after_seconds)
         return operation.result
 
-    async def finish(self, claimed: Claimed, end: ClaimEnd) -> None:
+    async def finish(self, claimed: Claimed, end: ClaimOutcome) -> None:
         """Post the outcome of a request that ran or may have run."""
         await self._post_end(claimed, ClaimState(end.value))
 
--- a/src/sardinetrack/once/draft.py
+++ b/src/sardinetrack/once/draft.py
@@ -11,11 +11,11 @@
 from sardinetrack.entry.claims import (
     AlreadyFinished,
     AlreadyRunning,
-    ClaimAnswer,
     Claimed,
     ClaimRequest,
-    Mismatch,
-    OutcomeLost,
+    ClaimResult,
+    OutcomeUnknown,
+    RequestMismatch,
 )
 from sardinetrack.once.operations import (
     ClaimOperation,
@@ -67,7 +67,7 @@
         :param retention_seconds: how long a record is kept after the longest
             run of its request.
         """
-        self.results: dict[ClaimOperation, ClaimAnswer] = {}
+        self.results: dict[ClaimOperation, ClaimResult] = {}
         self.changed_records: dict[str, ClaimRecord] = {}
         self._cached = cached
         self._sealed = sealed
@@ -111,7 +111,7 @@
                 return record
         return None
 
-    def _apply_claim(self, operation: ClaimOperation) -> ClaimAnswer:
+    def _apply_claim(self, operation: ClaimOperation) -> ClaimResult:
         request = operation.request
         key = operation.key
         record = self._find(key)
@@ -121,7 +121,7 @@
         if record.attempt_id == request.attempt_id:
             return _own_result(request, record)
         if record.request_hash != shorten_hash(request.request_hash):
-            return Mismatch()
+            return RequestMismatch()
         return _existing_result(record, self._now)
 
     def _apply_end(self, operation: EndOperation) -> None:
@@ -167,17 +167,17 @@
     return msgspec.json.encode(head)
 
 
-def _own_result(request: ClaimRequest, record: ClaimRecord) -> ClaimAnswer:
+def _own_result(request: ClaimRequest, record: ClaimRecord) -> ClaimResult:
     # The attempt's own claim is stored already if the response to its write
     # was lost.
     if record.state is ClaimState.RUNNING:
         return Claimed(request, record.expires_at_seconds)
-    return OutcomeLost()
+    return OutcomeUnknown()
 
 
-def _existing_result(record: ClaimRecord, now: float) -> ClaimAnswer:
+def _existing_result(record: ClaimRecord, now: float) -> ClaimResult:
     if record.state is ClaimState.FINISHED:
         return AlreadyFinished()
     if record.state is ClaimState.UNKNOWN or now > record.settled_at_seconds:
-        return OutcomeLost()
+        return OutcomeUnknown()
     return AlreadyRunning()
--- a/src/sardinetrack/once/operations.py
+++ b/src/sardinetrack/once/operations.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from sardinetrack.entry.claims import ClaimAnswer, ClaimRequest
+from sardinetrack.entry.claims import ClaimRequest, ClaimResult
 from sardinetrack.once.record import ClaimState, digest_key
 
 
@@ -16,7 +16,7 @@
 
     request: ClaimRequest
     done: anyio.Event = field(default_factory=anyio.Event)
-    result: ClaimAnswer | None = None
+    result: ClaimResult | None = None
     """Set before ``done``; ``None`` then means that the claim has failed."""
     retry_after_seconds: float | None = None
     abandoned: bool = False
@@ -29,7 +29,7 @@
         """Digest of the key."""
         return digest_key(self.request.workspace, self.request.key)
 
-    def resolve(self, result: ClaimAnswer) -> None:
+    def resolve(self, result: ClaimResult) -> None:
         """Return a result to the waiting request."""
         self.result = result
         self.done.set()
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -18,11 +18,11 @@
 
 from sardinetrack.config.model import EntrySettings, RequestLimits
 from sardinetrack.entry.daemon import EntryDaemon
-from sardinetrack.entry.heads import HeadBounds
-from sardinetrack.entry.parts import EntryParts
+from sardinetrack.entry.dependencies import EntryDependencies
+from sardinetrack.entry.header_checks import HeaderLimits
 from sardinetrack.logs.formatters import JsonFormatter
 from sardinetrack.messages.run import RunRequest
-from sardinetrack.once.claims import ShardedClaims
+from sardinetrack.once.claims import ShardedClaimStore
 from sardinetrack.once.record import (
     LAYOUT_KEY,
     ClaimState,
@@ -50,7 +50,7 @@
     send_seconds=1,
     wait_seconds=2,
 )
-HEADS = HeadBounds(head_seconds=0.5, linger_seconds=0.5)
+HEADS = HeaderLimits(head_seconds=0.5, linger_seconds=0.5)
 CATALOGUE = (
     {
         'kind': 'workspace',
@@ -143,7 +143,7 @@
         self.wall_seconds = 1e9
         self.sides: dict[str, FakeSide] = {}
         self.entries: dict[str, EntryDaemon] = {}
-        self.claims: list[ShardedClaims] = []
+        self.claims: list[ShardedClaimStore] = []
         # One shard, so that the writes to be lost can be counted.
         self.platform.store.put(0, LAYOUT_KEY, b'{"shards":1}', 0)
         self.connections: list[Connection] = []
@@ -212,7 +212,7 @@
         claims = self.enter(self.portal.call(self._claims))
         self.claims.append(claims)
         identity = ProcessIdentity(name, f'{name}-1')
-        parts = EntryParts(
+        parts = EntryDependencies(
             settings=settings,
             peer_secret=SECRET,
             incarnation=identity.incarnation,
@@ -225,8 +225,8 @@
         entry: EntryDaemon = self.enter(self.portal.call(EntryDaemon, parts))
         return entry
 
-    def _claims(self) -> ShardedClaims:
-        return ShardedClaims(
+    def _claims(self) -> ShardedClaimStore:
+        return ShardedClaimStore(
             self.platform,
             wall_clock=lambda: self.wall_seconds,
         )
--- a/tests/http/steps/server_steps.py
+++ b/tests/http/steps/server_steps.py
@@ -11,7 +11,7 @@
 import anyio
 from behave import given, then, when
 
-from sardinetrack.entry.heads import HeadBounds
+from sardinetrack.entry.header_checks import HeaderLimits
 from sardinetrack.entry.protocol import caller_protocol
 from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
 from sardinetrack.http.client import BrokenError, HttpClient, NotSentError
@@ -28,7 +28,7 @@
 
 def _protocol(listener):
     if listener == 'callers':
-        return caller_protocol(HeadBounds(), _CLIENTS)
+        return caller_protocol(HeaderLimits(), _CLIENTS)
     return guarded_protocol(ServerBounds(max_connections=_CLIENTS))
 
 
--- a/tests/once/claims.feature
+++ b/tests/once/claims.feature
@@ -10,7 +10,7 @@
     Examples:
       | end      | result          |
       | finished | AlreadyFinished |
-      | unknown  | OutcomeLost     |
+      | unknown  | OutcomeUnknown  |
       | released | Claimed         |
 
   Scenario: the same key at the same moment through two entries
@@ -22,7 +22,7 @@
     Given entries "a" and "b"
     When "a" claims "k"
     And "b" claims "k" for another request
-    Then the results are "Claimed, Mismatch"
+    Then the results are "Claimed, RequestMismatch"
 
   Scenario: the claiming entry crashes and its claim is never ended
     The entry is killed with its claim. As long as the request may run, a
@@ -36,7 +36,7 @@
     And "b" claims "k"
     And 600 s pass
     And "b" claims "k"
-    Then the results are "Claimed, AlreadyRunning, OutcomeLost, Claimed"
+    Then the results are "Claimed, AlreadyRunning, OutcomeUnknown, Claimed"
 
   Scenario: the response to the claiming write is lost
     The write takes effect, but its response is lost. The entry reads the head
--- a/tests/once/claims_world.py
+++ b/tests/once/claims_world.py
@@ -11,13 +11,13 @@
 import anyio
 
 from sardinetrack.entry.claims import (
-    ClaimAnswer,
     Claimed,
-    ClaimEnd,
+    ClaimOutcome,
     ClaimRequest,
-    ClaimsDownError,
+    ClaimResult,
+    ClaimStoreUnavailableError,
 )
-from sardinetrack.once.claims import ClaimSettings, ShardedClaims
+from sardinetrack.once.claims import ClaimSettings, ShardedClaimStore
 from sardinetrack.once.shard import BatchDelays
 from support.faulty_platform import FaultRates, FaultyPlatform, SharedStore
 from support.virtual_time import VirtualTimeLoop
@@ -36,12 +36,12 @@
         self.shards = 1
         self.max_head_bytes = 65_536
         self.end_delay_seconds = 0.5
-        self.entries: dict[str, ShardedClaims] = {}
+        self.entries: dict[str, ShardedClaimStore] = {}
         self.platforms: dict[str, FaultyPlatform] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.claimed: dict[str, Claimed] = {}
         self.results: list[str] = []
-        self.errors: list[ClaimsDownError] = []
+        self.errors: list[ClaimStoreUnavailableError] = []
         self._attempts = 0
 
     def close(self) -> None:
@@ -89,7 +89,7 @@
                 if outcome == 'released':
                     await claims.release(claimed)
                 else:
-                    await claims.finish(claimed, ClaimEnd(outcome))
+                    await claims.finish(claimed, ClaimOutcome(outcome))
 
         self.run(main())
 
@@ -98,7 +98,7 @@
         name: str,
         key: str,
         body: str = 'body',
-    ) -> ClaimAnswer | None:
+    ) -> ClaimResult | None:
         """Claim a key and store the result's name."""
         self._attempts += 1
         request = ClaimRequest(
@@ -110,7 +110,7 @@
         )
         try:
             result = await self.entries[name].claim(request)
-        except ClaimsDownError as error:
+        except ClaimStoreUnavailableError as error:
             self.errors.append(error)
             self.results.append('not claimed')
             return None
@@ -139,7 +139,7 @@
                 self.rng,
                 background,
             )
-            async with ShardedClaims(
+            async with ShardedClaimStore(
                 platform,
                 settings,
                 wall_clock=anyio.current_time,
--- a/tests/once/random_run.py
+++ b/tests/once/random_run.py
@@ -13,15 +13,15 @@
 from sardinetrack.entry.claims import (
     AlreadyFinished,
     AlreadyRunning,
-    ClaimAnswer,
     Claimed,
-    ClaimEnd,
+    ClaimOutcome,
     ClaimRequest,
-    ClaimsDownError,
-    Mismatch,
-    OutcomeLost,
+    ClaimResult,
+    ClaimStoreUnavailableError,
+    OutcomeUnknown,
+    RequestMismatch,
 )
-from sardinetrack.once.claims import ClaimSettings, ShardedClaims
+from sardinetrack.once.claims import ClaimSettings, ShardedClaimStore
 from support.faulty_platform import FaultRates, FaultyPlatform, SharedStore
 from support.virtual_time import run_virtually
 
@@ -57,7 +57,7 @@
     finished: set[str] = field(default_factory=set)
     counts: Counter[str] = field(default_factory=Counter)
 
-    def check(self, request: ClaimRequest, result: ClaimAnswer) -> None:
+    def check(self, request: ClaimRequest, result: ClaimResult) -> None:
         """Check that a result can be correct."""
         self.counts[type(result).__name__] += 1
         now = anyio.current_time()
@@ -70,7 +70,7 @@
                 self.newest_claims[request.key] = KnownClaim(request, now)
             case AlreadyFinished():
                 assert request.key in self.finished, request
-            case AlreadyRunning() | OutcomeLost() | Mismatch():
+            case AlreadyRunning() | OutcomeUnknown() | RequestMismatch():
                 assert request.key in self.requested, (request, result)
 
 
@@ -78,7 +78,7 @@
     """An entry that crashes and restarts without state."""
 
     def __init__(self, run: RandomRun, number: int) -> None:
-        self.claims: ShardedClaims | None = None
+        self.claims: ShardedClaimStore | None = None
         self.platform = run.platform()
         self._run = run
         self._skew_seconds = run.rng.uniform(-SKEW_SECONDS, SKEW_SECONDS)
@@ -100,7 +100,7 @@
             max_head_bytes=1_500,
         )
         rng = random.Random(self._run.rng.random())
-        async with ShardedClaims(
+        async with ShardedClaimStore(
             self.platform,
             settings,
             wall_clock=self._wall_clock,
@@ -187,14 +187,14 @@
 
     async def _claim(
         self,
-        claims: ShardedClaims,
+        claims: ShardedClaimStore,
         request: ClaimRequest,
-    ) -> ClaimAnswer | None:
-        result: ClaimAnswer | None = None
+    ) -> ClaimResult | None:
+        result: ClaimResult | None = None
         max_wait_seconds = self.rng.choice((0.05, 0.2, 30, 30, 30))
         with (
             anyio.move_on_after(max_wait_seconds),
-            suppress(ClaimsDownError),
+            suppress(ClaimStoreUnavailableError),
         ):
             result = await claims.claim(request)
             self.reference.check(request, result)
@@ -204,7 +204,7 @@
 
     async def _end(
         self,
-        claims: ShardedClaims,
+        claims: ShardedClaimStore,
         request: ClaimRequest,
         claimed: Claimed,
     ) -> None:
@@ -216,9 +216,9 @@
                 await claims.release(claimed)
             elif draw < 8:
                 self.reference.finished.add(request.key)
-                await claims.finish(claimed, ClaimEnd.FINISHED)
+                await claims.finish(claimed, ClaimOutcome.FINISHED)
             elif draw < 9:
-                await claims.finish(claimed, ClaimEnd.UNKNOWN)
+                await claims.finish(claimed, ClaimOutcome.UNKNOWN)
 
 
 def run_seed(seed: int, callers: int = 400, entries: int = 4) -> RandomRun:
--- a/tests/once/steps/claims_steps.py
+++ b/tests/once/steps/claims_steps.py
@@ -13,7 +13,7 @@
 from claims_world import ClaimsWorld
 from random_run import run_seed
 
-from sardinetrack.entry.keyed import KeyedRuns
+from sardinetrack.entry.idempotent_runs import IdempotentRuns
 from sardinetrack.errors.api import RequestError
 from sardinetrack.once.record import ShardHead, head_key, segment_key
 from sardinetrack.store.api import UncertainError
@@ -137,7 +137,7 @@
     context: Any, name: str, key: str, late: float
 ) -> None:
     context.sent = False
-    runs = KeyedRuns(context.world.entries[name], wait_seconds=60)
+    runs = IdempotentRuns(context.world.entries[name], wait_seconds=60)
     call = SimpleNamespace(
         workspace=SimpleNamespace(name='pilot'),
         work=SimpleNamespace(fingerprint='body'),
@@ -255,8 +255,8 @@
         'Claimed',
         'AlreadyRunning',
         'AlreadyFinished',
-        'OutcomeLost',
-        'Mismatch',
+        'OutcomeUnknown',
+        'RequestMismatch',
         'not claimed',
         'crash',
     )
