--- a/benchmarks/chaos/virtual/client.py
+++ b/benchmarks/chaos/virtual/client.py
@@ -21,10 +21,10 @@
 from benchmarks.chaos.virtual.pipe import Pipe, PipeBrokenError
 from benchmarks.chaos.virtual.serve import RawHeaders, VirtualRequest
 from sardinetrack.http.client import (
-    BrokenError,
+    ConnectionBrokenError,
     HttpClient,
-    NotSentError,
-    StreamedReply,
+    RequestNotSentError,
+    StreamedResponse,
 )
 from sardinetrack.messages.run import RUN_PATH
 
@@ -51,8 +51,8 @@
         *,
         headers: Iterable[tuple[str, str]] = (),
         body: bytes = b'',
-        read_seconds: float | None = None,
-    ) -> AsyncIterator[StreamedReply]:
+        read_timeout_seconds: float | None = None,
+    ) -> AsyncIterator[StreamedResponse]:
         """Send a request and yield its response while it arrives."""
         address, target = _split(url)
         pairs = [*headers, ('host', address)]
@@ -62,11 +62,11 @@
         try:
             connection = await self._network.connect(address)
         except RefusedError as error:
-            raise NotSentError(str(error)) from error
+            raise RequestNotSentError(str(error)) from error
         with self._network.connected(connection):
             if target != RUN_PATH or not self._diverts(connection, request):
                 connection.forward.send(request)
-            yield StreamedReply(await _response(connection.backward))
+            yield StreamedResponse(await _response(connection.backward))
 
     def _diverts(self, connection: Connection, request: VirtualRequest) -> bool:
         """Let some run requests arrive late, their responses being discarded.
@@ -198,7 +198,7 @@
     try:
         start = await backward.receive()
     except PipeBrokenError as error:
-        raise BrokenError('cut') from error
+        raise ConnectionBrokenError('cut') from error
     return httpcore.Response(
         start['status'],
         headers=start['headers'],
--- a/benchmarks/chaos/virtual/run.py
+++ b/benchmarks/chaos/virtual/run.py
@@ -17,7 +17,11 @@
 from benchmarks.chaos.virtual.faults import FAULTS
 from benchmarks.chaos.virtual.network import CURRENT
 from benchmarks.chaos.virtual.world import World
-from sardinetrack.http.client import BrokenError, NotSentError, StreamedReply
+from sardinetrack.http.client import (
+    ConnectionBrokenError,
+    RequestNotSentError,
+    StreamedResponse,
+)
 
 _WARM_UP_SECONDS: Final = 5.0
 _SETTLE_SECONDS: Final = 60.0
@@ -53,9 +57,9 @@
         try:
             async with call() as response:
                 return await _read(response, entry)
-        except NotSentError as unsent:
+        except RequestNotSentError as unsent:
             raise NotAcceptedError from unsent
-        except BrokenError:
+        except ConnectionBrokenError:
             return Received(excused=not entry.is_running)
 
     def faults(self) -> Mapping[str, Fault]:
@@ -78,13 +82,13 @@
         return self._world.leaks()
 
 
-async def _read(response: StreamedReply, entry: EntryNode) -> Received:
+async def _read(response: StreamedResponse, entry: EntryNode) -> Received:
     body_chunks: list[bytes] = []
     complete = True
     try:
         async for chunk in response.chunks():
             body_chunks.append(chunk)
-    except BrokenError:
+    except ConnectionBrokenError:
         complete = False
     return Received(
         response.status,
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -21,9 +21,9 @@
     MemoryObjectSendStream,
 )
 
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
 from sardinetrack.http.client import HttpClient
-from sardinetrack.http.server import serving
+from sardinetrack.http.server import serve
 from sardinetrack.links.api import (
     Hello,
     Link,
@@ -137,7 +137,7 @@
         send: Send,
     ) -> None:
         """Decode a message and acknowledge it."""
-        exchange = Exchange(scope, receive, send)
+        exchange = HttpExchange(scope, receive, send)
         SECRET.matches(exchange.header('authorization'))
         body = await exchange.body(1_000_000, 5)
         await self._received.send(decode(body))
@@ -166,7 +166,7 @@
     side_sink, side_events = _events()
     acceptor = LinkAcceptor(SIDE, SECRET, side_sink)
     async with (
-        serving(acceptor, '127.0.0.1', 0) as server,
+        serve(acceptor, '127.0.0.1', 0) as server,
         anyio.create_task_group() as tasks,
     ):
         for number in range(count):
@@ -191,7 +191,7 @@
 async def _post_transport() -> AsyncIterator[Transport]:
     sink, received = anyio.create_memory_object_stream[LinkMessage](1000)
     async with (
-        serving(MessageEndpoint(sink), '127.0.0.1', 0) as server,
+        serve(MessageEndpoint(sink), '127.0.0.1', 0) as server,
         HttpClient() as client,
         anyio.create_task_group() as tasks,
     ):
--- a/benchmarks/slopes/links.py
+++ b/benchmarks/slopes/links.py
@@ -20,7 +20,7 @@
 from benchmarks.probe.table import Spread
 from benchmarks.slopes import samples
 from benchmarks.slopes.figure import Figure
-from sardinetrack.http.server import serving
+from sardinetrack.http.server import serve
 from sardinetrack.links.api import (
     Hello,
     Link,
@@ -88,7 +88,7 @@
             _MAX_EVENTS
         )
         acceptor = LinkAcceptor(_hello(0), _SECRET, send)
-        async with serving(acceptor, _IP, 0) as server:
+        async with serve(acceptor, _IP, 0) as server:
             self.address = server.address
             self._listening.set()
             async with anyio.create_task_group() as tasks:
--- a/src/sardinetrack/catalogue/ask.py
+++ b/src/sardinetrack/catalogue/ask.py
@@ -10,7 +10,11 @@
 import msgspec
 
 from sardinetrack.catalogue.rollout import ConfigStatus
-from sardinetrack.http.client import BrokenError, HttpClient, NotSentError
+from sardinetrack.http.client import (
+    ConnectionBrokenError,
+    HttpClient,
+    RequestNotSentError,
+)
 from sardinetrack.links.api import STATUS_PATH
 from sardinetrack.messages.api import ConfigDigest
 from sardinetrack.store.api import InstanceState, Platform
@@ -81,9 +85,9 @@
                     'GET',
                     f'http://{address}{STATUS_PATH}',
                     headers=self._headers,
-                    read_seconds=_QUERY_TIMEOUT_SECONDS,
+                    read_timeout_seconds=_QUERY_TIMEOUT_SECONDS,
                 )
-        except (NotSentError, BrokenError, TimeoutError):
+        except (RequestNotSentError, ConnectionBrokenError, TimeoutError):
             return None
         return _decode_status(response.status, response.body)
 
--- a/src/sardinetrack/cli/status_pages.py
+++ b/src/sardinetrack/cli/status_pages.py
@@ -14,7 +14,11 @@
 from sardinetrack.cli.operator_access import OperatorAccess, open_access
 from sardinetrack.config.model import OperatorSettings
 from sardinetrack.entry.status import EntryStatus
-from sardinetrack.http.client import BrokenError, HttpClient, NotSentError
+from sardinetrack.http.client import (
+    ConnectionBrokenError,
+    HttpClient,
+    RequestNotSentError,
+)
 from sardinetrack.links.api import STATUS_PATH
 from sardinetrack.side.events import SideStatusPage
 from sardinetrack.store.api import ListedInstance
@@ -106,7 +110,7 @@
     try:
         with anyio.fail_after(_READ_TIMEOUT_SECONDS):
             http_response = await client.call('GET', url, headers=headers)
-    except (NotSentError, BrokenError) as error:
+    except (RequestNotSentError, ConnectionBrokenError) as error:
         raise StatusUnavailableError(f'no answer: {error}') from error
     except TimeoutError as error:
         reason = f'no answer within {_READ_TIMEOUT_SECONDS} seconds'
--- a/src/sardinetrack/compose/local.py
+++ b/src/sardinetrack/compose/local.py
@@ -18,7 +18,7 @@
 from sardinetrack.compose.side import open_side
 from sardinetrack.config.model import EntrySettings, SideSettings
 from sardinetrack.entry.daemon import EntryDaemon
-from sardinetrack.http.server import serving
+from sardinetrack.http.server import serve
 from sardinetrack.process.api import Drainable
 from sardinetrack.process.ready import LocalReady, print_ready
 from sardinetrack.process.signals import run_until_drained
@@ -63,7 +63,7 @@
         """
         async with AsyncExitStack() as stack:
             server = await stack.enter_async_context(
-                serving(
+                serve(
                     PlatformStandin(self._platform_token, self._platform),
                     _IP,
                     0,
--- a/src/sardinetrack/entry/applications.py
+++ b/src/sardinetrack/entry/applications.py
@@ -9,7 +9,7 @@
 from sardinetrack.entry.operator import respond_failure
 from sardinetrack.entry.status import EntryStatus
 from sardinetrack.errors.api import ErrorKind
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
 from sardinetrack.links.api import LINK_PATH, STATUS_PATH
 from sardinetrack.links.secret import AUTHORIZATION_HEADER, PeerSecret
 from sardinetrack.links.server import LinkAcceptor
@@ -21,7 +21,9 @@
 class HttpApplication:
     """Handles HTTP requests and rejects WebSockets."""
 
-    def __init__(self, handle: Callable[[Exchange], Awaitable[None]]) -> None:
+    def __init__(
+        self, handle: Callable[[HttpExchange], Awaitable[None]]
+    ) -> None:
         """Set the handler.
 
         :param handle: responds to a request.
@@ -36,7 +38,7 @@
     ) -> None:
         """Handle one request."""
         if scope[_TYPE] == _HTTP:
-            await self._handle(Exchange(scope, receive, send))
+            await self._handle(HttpExchange(scope, receive, send))
         else:
             await send({_TYPE: 'websocket.close'})
 
@@ -62,13 +64,13 @@
     ) -> None:
         """Handle one request or accept one link."""
         if scope[_TYPE] == _HTTP:
-            await self._answer(Exchange(scope, receive, send))
+            await self._answer(HttpExchange(scope, receive, send))
         elif scope['path'] == LINK_PATH:
             await self._acceptor(scope, receive, send)
         else:
             await send({_TYPE: 'websocket.close'})
 
-    async def _answer(self, exchange: Exchange) -> None:
+    async def _answer(self, exchange: HttpExchange) -> None:
         if not self._secret.matches(exchange.header(AUTHORIZATION_HEADER)):
             await respond_failure(exchange, ErrorKind.PEER_REFUSED)
         elif exchange.path != STATUS_PATH:
@@ -76,4 +78,4 @@
         elif exchange.method != 'GET':
             await respond_failure(exchange, ErrorKind.METHOD_NOT_ALLOWED)
         else:
-            await exchange.answer_json(HTTPStatus.OK, self._status())
+            await exchange.respond_json(HTTPStatus.OK, self._status())
--- a/src/sardinetrack/entry/attempt.py
+++ b/src/sardinetrack/entry/attempt.py
@@ -17,9 +17,13 @@
 from sardinetrack.entry.stall_detection import StallDetector
 from sardinetrack.entry.status_query import StatusQuery
 from sardinetrack.entry.truncation import truncate_response
-from sardinetrack.http.asgi import CallerGoneError
-from sardinetrack.http.client import BrokenError, NotSentError, StreamedReply
-from sardinetrack.links.run_reply import RunReply
+from sardinetrack.http.asgi import ClientDisconnectedError
+from sardinetrack.http.client import (
+    ConnectionBrokenError,
+    RequestNotSentError,
+    StreamedResponse,
+)
+from sardinetrack.links.run_response import RunResponse
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.messages.run import RUN_PATH, AttemptStatus
 from sardinetrack.routing.api import AttemptOutcome, Dispatch
@@ -125,11 +129,11 @@
                 body=self._call.body,
             ) as reply:
                 return await self._handle_reply(reply)
-        except NotSentError:
+        except RequestNotSentError:
             return _NOT_STARTED
-        except CallerGoneError:
+        except ClientDisconnectedError:
             return AttemptResult(AttemptOutcome.ABANDONED, self._cost())
-        except BrokenError as error:
+        except ConnectionBrokenError as error:
             _LOG.info(
                 'connection to the side broke',
                 attempt_id=self._dispatch.attempt_id,
@@ -139,9 +143,9 @@
             return None
 
     async def _handle_reply(
-        self, streamed: StreamedReply
+        self, streamed: StreamedResponse
     ) -> AttemptResult | None:
-        reply = RunReply(streamed)
+        reply = RunResponse(streamed)
         match reply.run_result.fate:
             case AttemptStatus.NOT_STARTED:
                 return _NOT_STARTED
@@ -154,7 +158,7 @@
         await self._relay_response(reply)
         return AttemptResult(AttemptOutcome.COMPLETED, self._cost())
 
-    async def _relay_response(self, reply: RunReply) -> None:
+    async def _relay_response(self, reply: RunResponse) -> None:
         self._meter = meter_for(
             self._call,
             reply.header('content-type') or '',
--- a/src/sardinetrack/entry/authentication.py
+++ b/src/sardinetrack/entry/authentication.py
@@ -7,10 +7,10 @@
 from sardinetrack.catalogue.api import Workspace
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.errors.api import ErrorKind, RequestError
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 
 
-def authenticate(exchange: Exchange, catalogue: CatalogueView) -> Workspace:
+def authenticate(exchange: HttpExchange, catalogue: CatalogueView) -> Workspace:
     """Return the workspace of a caller's bearer token.
 
     Only the token's digest is looked up; the token itself is not stored.
--- a/src/sardinetrack/entry/caller.py
+++ b/src/sardinetrack/entry/caller.py
@@ -10,7 +10,7 @@
 
 from sardinetrack.entry.headers import HeaderList
 from sardinetrack.errors.api import RequestError
-from sardinetrack.http.asgi import CallerGoneError, Exchange
+from sardinetrack.http.asgi import ClientDisconnectedError, HttpExchange
 
 TRANSPORT_STATE: Final = 'sardinetrack.transport'
 """Key of the connection's transport in the ASGI scope's state."""
@@ -25,7 +25,7 @@
     that reads one byte at a time could occupy a server's slot for hours.
     """
 
-    def __init__(self, exchange: Exchange, send_seconds: float) -> None:
+    def __init__(self, exchange: HttpExchange, send_seconds: float) -> None:
         """Wrap an HTTP exchange whose request body has been read.
 
         :param exchange: the request, and where its response is written.
@@ -106,7 +106,7 @@
                 await sending
         except TimeoutError as error:
             self.abort_connection()
-            raise CallerGoneError from error
+            raise ClientDisconnectedError from error
         remaining_seconds = allowed_seconds - (anyio.current_time() - began)
         self._allowance_seconds = min(
             remaining_seconds, self._max_allowance_seconds
@@ -122,20 +122,20 @@
     :param caller: the caller that the job responds to.
     :param job: the coroutine function to run.
     :raises RequestError: raised by the job.
-    :raises CallerGoneError: the caller disconnected first.
+    :raises ClientDisconnectedError: the caller disconnected first.
     """
-    failure: RequestError | CallerGoneError | None = None
+    failure: RequestError | ClientDisconnectedError | None = None
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_cancel_on_disconnect, caller, tasks.cancel_scope)
         try:
             await job()
-        except (RequestError, CallerGoneError) as error:
+        except (RequestError, ClientDisconnectedError) as error:
             failure = error
         tasks.cancel_scope.cancel()
     if failure is not None:
         raise failure
     if caller.disconnected:
-        raise CallerGoneError
+        raise ClientDisconnectedError
 
 
 async def _cancel_on_disconnect(
--- a/src/sardinetrack/entry/callers.py
+++ b/src/sardinetrack/entry/callers.py
@@ -13,8 +13,8 @@
 from sardinetrack.entry.reader import CallReader
 from sardinetrack.entry.request_handler import CallerRequestHandler
 from sardinetrack.entry.runner import CallRunner
-from sardinetrack.http.guard import ServerBounds
-from sardinetrack.http.server import BoundServer, serving
+from sardinetrack.http.guard import ServerLimits
+from sardinetrack.http.server import BoundServer, serve
 
 _UNBOUNDED: Final = 1_000_000
 """The protocol limits connections itself, with a specific error response."""
@@ -30,11 +30,11 @@
     """
     settings = core.parts.settings
     bounds = settings.bounds
-    return serving(
+    return serve(
         HttpApplication(caller_request_handler(core).handle),
         settings.callers.ip,
         settings.callers.port,
-        bounds=ServerBounds(
+        bounds=ServerLimits(
             max_connections=_UNBOUNDED,
             keep_alive_seconds=max(1, round(bounds.keep_alive_seconds)),
         ),
--- a/src/sardinetrack/entry/header_checks.py
+++ b/src/sardinetrack/entry/header_checks.py
@@ -29,7 +29,7 @@
 
     max_bytes: int = _MAX_HEAD_BYTES
     max_headers: int = _MAX_HEADERS
-    head_seconds: float = 10.0
+    header_timeout_seconds: float = 10.0
     """Time from the connection's start, or the head's first byte, to the head's
     end."""
     linger_seconds: float = 2.0
--- a/src/sardinetrack/entry/operator.py
+++ b/src/sardinetrack/entry/operator.py
@@ -14,9 +14,9 @@
 from sardinetrack.entry.status import EntryStatus
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.errors.table import error_response_for
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 
-Page = Callable[[Exchange], Awaitable[None]]
+Page = Callable[[HttpExchange], Awaitable[None]]
 
 _TEXT: Final = (('content-type', 'text/plain; charset=utf-8'),)
 
@@ -49,7 +49,7 @@
             },
         )
 
-    async def handle(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: HttpExchange) -> None:
         """Respond to one request."""
         page = self._pages.get(exchange.path)
         if page is None:
@@ -59,10 +59,10 @@
         else:
             await respond_failure(exchange, ErrorKind.METHOD_NOT_ALLOWED)
 
-    async def _health(self, exchange: Exchange) -> None:
+    async def _health(self, exchange: HttpExchange) -> None:
         await exchange.respond(HTTPStatus.OK, b'ok\n', _TEXT)
 
-    async def _readiness(self, exchange: Exchange) -> None:
+    async def _readiness(self, exchange: HttpExchange) -> None:
         reasons = self._status().not_ready
         if reasons:
             text = '; '.join(reasons).encode()
@@ -74,28 +74,28 @@
         else:
             await exchange.respond(HTTPStatus.OK, b'ready\n', _TEXT)
 
-    async def _exposition(self, exchange: Exchange) -> None:
+    async def _exposition(self, exchange: HttpExchange) -> None:
         await exchange.respond(
             HTTPStatus.OK,
             self._metrics.exposition(),
             [('content-type', CONTENT_TYPE_LATEST)],
         )
 
-    async def _show_status(self, exchange: Exchange) -> None:
-        await exchange.answer_json(HTTPStatus.OK, self._status())
+    async def _show_status(self, exchange: HttpExchange) -> None:
+        await exchange.respond_json(HTTPStatus.OK, self._status())
 
-    async def _show_settings(self, exchange: Exchange) -> None:
-        await exchange.answer_json(HTTPStatus.OK, self._settings)
+    async def _show_settings(self, exchange: HttpExchange) -> None:
+        await exchange.respond_json(HTTPStatus.OK, self._settings)
 
 
-async def respond_failure(exchange: Exchange, kind: ErrorKind) -> None:
+async def respond_failure(exchange: HttpExchange, kind: ErrorKind) -> None:
     """Send the error response of a kind of failure.
 
     :param exchange: the request to respond to.
     :param kind: selects the response.
     """
     failure = RequestError(kind)
-    await exchange.answer_json(
+    await exchange.respond_json(
         error_response_for(kind).status,
         error_document(failure),
         error_headers(failure),
--- a/src/sardinetrack/entry/protocol.py
+++ b/src/sardinetrack/entry/protocol.py
@@ -15,15 +15,15 @@
 from sardinetrack.entry.header_checks import HeaderLimits, check_head
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.errors.table import error_response_for
-from sardinetrack.http.ending import EndingProtocol
-from sardinetrack.http.idle import IdleConnections
+from sardinetrack.http.graceful_close import GracefulCloseProtocol
+from sardinetrack.http.idle_connections import IdleConnections
 
 _LATIN: Final = 'latin-1'
 _VERSIONS: Final = frozenset(('1.0', '1.1'))
 _CRLF: Final = '\r\n'
 
 
-class CallerProtocol(EndingProtocol):
+class CallerProtocol(GracefulCloseProtocol):
     """Rejects request heads that are too large, too slow or ambiguous."""
 
     bounds: ClassVar[HeaderLimits]
@@ -48,8 +48,10 @@
     ) -> None:
         """Accept a connection, closing an idle one if the listener is full."""
         super().connection_made(transport)
-        self._start_timer(self.bounds.head_seconds, self._on_head_timeout)
-        if self.idle.make_room(len(self.connections)):
+        self._start_timer(
+            self.bounds.header_timeout_seconds, self._on_head_timeout
+        )
+        if self.idle.evict_idle(len(self.connections)):
             self.idle.add(self, self.close_idle)
         else:
             self._reject(RequestError(ErrorKind.TOO_MANY_CONNECTIONS))
@@ -65,7 +67,9 @@
         if self._rejected:
             return
         if self._in_head and self._timer is None:
-            self._start_timer(self.bounds.head_seconds, self._on_head_timeout)
+            self._start_timer(
+                self.bounds.header_timeout_seconds, self._on_head_timeout
+            )
         heads_done = self._heads_done
         self._unset_keepalive_if_required()
         try:
@@ -153,7 +157,9 @@
     def _on_head_timeout(self) -> None:
         self._timer = None
         if self._response_pending:
-            self._start_timer(self.bounds.head_seconds, self._on_head_timeout)
+            self._start_timer(
+                self.bounds.header_timeout_seconds, self._on_head_timeout
+            )
         elif self._head_bytes:
             self._reject(
                 RequestError(
--- a/src/sardinetrack/entry/reader.py
+++ b/src/sardinetrack/entry/reader.py
@@ -21,7 +21,7 @@
 from sardinetrack.entry.headers import request_headers_to_forward
 from sardinetrack.entry.services import ServiceTarget, is_repeatable
 from sardinetrack.errors.api import ErrorKind, RequestError
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.routing.api import RoutedRequest
 
 COMPLETIONS_PATH: Final = '/v1/chat/completions'
@@ -69,7 +69,7 @@
         self._clock = clock
 
     async def completion(
-        self, exchange: Exchange, origin: RequestOrigin
+        self, exchange: HttpExchange, origin: RequestOrigin
     ) -> Call:
         """Read a chat completion request.
 
@@ -97,7 +97,9 @@
         )
         return self._call(exchange, origin, target)
 
-    async def service(self, exchange: Exchange, origin: RequestOrigin) -> Call:
+    async def service(
+        self, exchange: HttpExchange, origin: RequestOrigin
+    ) -> Call:
         """Read a request to a plain service.
 
         :raises RequestError: the request is invalid or exceeds a limit.
@@ -122,7 +124,7 @@
 
     async def _body(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         account: BodyAccount,
         max_bytes: int,
     ) -> bytes:
@@ -136,7 +138,7 @@
 
     def _call(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         origin: RequestOrigin,
         target: _Target,
     ) -> Call:
@@ -187,7 +189,7 @@
         )
 
 
-def _declared_bytes(exchange: Exchange) -> int | None:
+def _declared_bytes(exchange: HttpExchange) -> int | None:
     """Return the body's declared size, ``None`` for a chunked body."""
     if exchange.header('transfer-encoding') is not None:
         return None
@@ -200,7 +202,7 @@
     return target.completion.prompt_tokens * target.pool.prompt_token_cost
 
 
-def _idempotency_key(exchange: Exchange) -> str | None:
+def _idempotency_key(exchange: HttpExchange) -> str | None:
     key = exchange.header(KEY_HEADER)
     if key is None:
         return None
--- a/src/sardinetrack/entry/request_handler.py
+++ b/src/sardinetrack/entry/request_handler.py
@@ -28,14 +28,14 @@
 from sardinetrack.entry.services import SERVICES_PATH
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.errors.table import error_response_for
-from sardinetrack.http.asgi import CallerGoneError, Exchange
+from sardinetrack.http.asgi import ClientDisconnectedError, HttpExchange
 from sardinetrack.logs.lines import Part, PartLogger
 
 _LOG: Final = PartLogger(Part.ENTRY)
 _MODELS_PATH: Final = '/v1/models'
 _DIGITS: Final = 3
 
-Handler = Callable[[Exchange, RequestOrigin], Awaitable[None]]
+Handler = Callable[[HttpExchange, RequestOrigin], Awaitable[None]]
 
 
 class CallerRequestHandler:
@@ -57,17 +57,17 @@
         self._bodies = BodyBudget()
         self._request_numbers = count(1)
 
-    async def handle(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: HttpExchange) -> None:
         """Respond to one request."""
         external_request_id = caller_request_id(
             exchange.header(REQUEST_ID_HEADER)
         )
-        exchange.is_last = self._is_draining
+        exchange.closes_connection = self._is_draining
         try:
             await self._serve(exchange, external_request_id)
         except RequestError as failure:
             await self._respond_error(exchange, external_request_id, failure)
-        except CallerGoneError:
+        except ClientDisconnectedError:
             self._metrics.count_disconnect()
             _LOG.info('caller disconnected', request_id=external_request_id)
         except Exception:
@@ -81,7 +81,7 @@
             )
 
     async def _serve(
-        self, exchange: Exchange, external_request_id: str
+        self, exchange: HttpExchange, external_request_id: str
     ) -> None:
         handler = self._handler(exchange)
         with self._gate.admitted():
@@ -103,7 +103,7 @@
         """
         return self._gate.draining
 
-    def _handler(self, exchange: Exchange) -> Handler:
+    def _handler(self, exchange: HttpExchange) -> Handler:
         path = exchange.path
         if exchange.target.startswith(SERVICES_PATH):
             return self._service
@@ -115,20 +115,24 @@
             return self._models
         raise RequestError(ErrorKind.UNKNOWN_PATH)
 
-    async def _service(self, exchange: Exchange, origin: RequestOrigin) -> None:
+    async def _service(
+        self, exchange: HttpExchange, origin: RequestOrigin
+    ) -> None:
         call = await self._reader.service(exchange, origin)
         await self._runner.run(call, exchange)
 
     async def _completion(
-        self, exchange: Exchange, origin: RequestOrigin
+        self, exchange: HttpExchange, origin: RequestOrigin
     ) -> None:
         call = await self._reader.completion(exchange, origin)
         await self._runner.run(call, exchange)
 
-    async def _models(self, exchange: Exchange, origin: RequestOrigin) -> None:
+    async def _models(
+        self, exchange: HttpExchange, origin: RequestOrigin
+    ) -> None:
         name = exchange.path[len(_MODELS_PATH) :].lstrip('/')
         content = models_response(self._catalogue.pools(), name)
-        await exchange.answer_json(
+        await exchange.respond_json(
             HTTPStatus.OK,
             content,
             [(REQUEST_ID_HEADER, origin.external_request_id)],
@@ -136,7 +140,7 @@
 
     async def _respond_error(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         external_request_id: str,
         failure: RequestError,
     ) -> None:
@@ -158,14 +162,14 @@
             (REQUEST_ID_HEADER, external_request_id),
             *error_headers(failure),
         ]
-        await exchange.answer_json(
+        await exchange.respond_json(
             error_response_for(failure.kind).status,
             error_document(failure),
             headers,
         )
 
 
-def _require_method(exchange: Exchange, method: str) -> None:
+def _require_method(exchange: HttpExchange, method: str) -> None:
     if exchange.method != method:
         raise RequestError(
             ErrorKind.METHOD_NOT_ALLOWED,
--- a/src/sardinetrack/entry/response_relay.py
+++ b/src/sardinetrack/entry/response_relay.py
@@ -14,8 +14,8 @@
 from sardinetrack.entry.error_responses import REQUEST_ID_HEADER
 from sardinetrack.entry.headers import HeaderList, response_headers_to_forward
 from sardinetrack.entry.meters import Meter
-from sardinetrack.http.client import BrokenError
-from sardinetrack.links.run_reply import RunReply
+from sardinetrack.http.client import ConnectionBrokenError
+from sardinetrack.links.run_response import RunResponse
 
 _MAX_BUFFERED_BYTES: Final = 262_144
 _PROGRESS_SECONDS: Final = 0.5
@@ -54,10 +54,10 @@
         """When data last arrived from the side, for detecting a stalled
         connection."""
 
-    async def run(self, reply: RunReply) -> None:
+    async def run(self, reply: RunResponse) -> None:
         """Relay the response.
 
-        :raises BrokenError: it ended before it was complete.
+        :raises ConnectionBrokenError: it ended before it was complete.
         """
         headers = response_headers_to_forward(reply.headers)
         headers.append((REQUEST_ID_HEADER, self._call.external_request_id))
@@ -68,29 +68,33 @@
         else:
             await self._relay_chunks(reply, headers)
 
-    async def _relay_events(self, reply: RunReply, headers: HeaderList) -> None:
+    async def _relay_events(
+        self, reply: RunResponse, headers: HeaderList
+    ) -> None:
         headers = _without_length(headers)
         async for chunk in self._chunks_until_terminal(reply):
             await self._forward(reply.status, headers, self._meter.feed(chunk))
             self._report_progress()
         remainder = self._meter.remainder()
         if not self._meter.has_terminal:
-            raise BrokenError('the stream ended without [DONE]')
+            raise ConnectionBrokenError('the stream ended without [DONE]')
         await self._forward(reply.status, headers, remainder)
         await self._caller.finish()
 
     async def _chunks_until_terminal(
         self,
-        reply: RunReply,
+        reply: RunResponse,
     ) -> AsyncIterator[bytes]:
         try:
             async for chunk in self._received_chunks(reply):
                 yield chunk
-        except BrokenError:
+        except ConnectionBrokenError:
             if not self._meter.has_terminal:
                 raise
 
-    async def _received_chunks(self, reply: RunReply) -> AsyncIterator[bytes]:
+    async def _received_chunks(
+        self, reply: RunResponse
+    ) -> AsyncIterator[bytes]:
         async for chunk in reply.chunks():
             self.received_at = anyio.current_time()
             yield chunk
@@ -105,7 +109,7 @@
         await self._caller.write(ready)
 
     async def _relay_buffered(
-        self, reply: RunReply, headers: HeaderList
+        self, reply: RunResponse, headers: HeaderList
     ) -> None:
         buffered = bytearray()
         async for chunk in self._received_chunks(reply):
@@ -120,14 +124,16 @@
             await self._caller.begin(reply.status, headers)
         await self._caller.finish(bytes(buffered))
 
-    async def _relay_chunks(self, reply: RunReply, headers: HeaderList) -> None:
+    async def _relay_chunks(
+        self, reply: RunResponse, headers: HeaderList
+    ) -> None:
         await self._caller.begin(reply.status, headers)
         async for chunk in self._received_chunks(reply):
             await self._caller.write(self._meter.feed(chunk))
             self._report_progress()
         await self._caller.finish()
 
-    def _can_buffer(self, reply: RunReply) -> bool:
+    def _can_buffer(self, reply: RunResponse) -> bool:
         if self._call.pool.pool_class is PoolClass.MODEL:
             return True
         if reply.status in _BODILESS or self._call.method == 'HEAD':
--- a/src/sardinetrack/entry/runner.py
+++ b/src/sardinetrack/entry/runner.py
@@ -17,7 +17,7 @@
 from sardinetrack.entry.side_directory import SideDirectory
 from sardinetrack.entry.truncation import truncate_response
 from sardinetrack.errors.api import ErrorKind, RequestError
-from sardinetrack.http.asgi import CallerGoneError, Exchange
+from sardinetrack.http.asgi import ClientDisconnectedError, HttpExchange
 from sardinetrack.routing.api import AttemptOutcome, Dispatch, Reject
 
 
@@ -40,12 +40,12 @@
         self._metrics = metrics
         self._send_seconds = send_seconds
 
-    async def run(self, call: Call, exchange: Exchange) -> None:
+    async def run(self, call: Call, exchange: HttpExchange) -> None:
         """Run a call and send its response.
 
         :raises RequestError: the call failed, possibly after its response had
             started.
-        :raises CallerGoneError: the caller disconnected.
+        :raises ClientDisconnectedError: the caller disconnected.
         """
         caller = Caller(exchange, self._send_seconds)
         await run_until_disconnected(
@@ -106,7 +106,7 @@
         end: AttemptOutcome,
     ) -> Dispatch | Reject:
         if caller.disconnected or end is AttemptOutcome.ABANDONED:
-            raise CallerGoneError
+            raise ClientDisconnectedError
         decision = await pending.next_decision()
         if caller.started:
             # A part of one run's response was sent: another run's response
--- a/src/sardinetrack/entry/status_query.py
+++ b/src/sardinetrack/entry/status_query.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from sardinetrack.entry.side_directory import SideDirectory, SideEndpoint
-from sardinetrack.http.client import BrokenError, NotSentError
+from sardinetrack.http.client import ConnectionBrokenError, RequestNotSentError
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.messages.run import (
     ATTEMPT_PATH,
@@ -80,7 +80,11 @@
         with anyio.move_on_after(_QUERY_TIMEOUT_SECONDS):
             try:
                 return await self._call(attempt_id, query)
-            except (NotSentError, BrokenError, msgspec.DecodeError) as error:
+            except (
+                RequestNotSentError,
+                ConnectionBrokenError,
+                msgspec.DecodeError,
+            ) as error:
                 _LOG.info(
                     'attempt status query failed',
                     attempt_id=attempt_id,
--- a/src/sardinetrack/entry/truncation.py
+++ b/src/sardinetrack/entry/truncation.py
@@ -5,7 +5,7 @@
 from sardinetrack.entry.call import Call
 from sardinetrack.entry.caller import Caller
 from sardinetrack.entry.error_responses import truncation_event
-from sardinetrack.http.asgi import CallerGoneError
+from sardinetrack.http.asgi import ClientDisconnectedError
 
 
 async def truncate_response(call: Call, caller: Caller) -> None:
@@ -19,5 +19,5 @@
         return
     try:
         await caller.truncate(truncation_event() if call.streams else b'')
-    except CallerGoneError:
+    except ClientDisconnectedError:
         caller.abort_connection()
--- a/src/sardinetrack/http/asgi.py
+++ b/src/sardinetrack/http/asgi.py
@@ -32,11 +32,11 @@
     return False
 
 
-class CallerGoneError(Exception):
+class ClientDisconnectedError(Exception):
     """The client closed its connection before the exchange was complete."""
 
 
-class Exchange:
+class HttpExchange:
     """One HTTP request and its response."""
 
     def __init__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -45,7 +45,7 @@
         self._receive = receive
         self._send = send
         self.started = False
-        self.is_last: Callable[[], bool] = _does_not_close
+        self.closes_connection: Callable[[], bool] = _does_not_close
         """Whether the response announces that its connection closes."""
 
     @property
@@ -87,14 +87,14 @@
     async def body_chunks(self) -> AsyncIterator[bytes]:
         """Read the body chunk by chunk.
 
-        :raises CallerGoneError: the client closed the connection before the
-            end of the body.
+        :raises ClientDisconnectedError: the client closed the connection before
+            the end of the body.
         """
         more = True
         while more:
             message = await self._receive()
             if message['type'] != 'http.request':
-                raise CallerGoneError
+                raise ClientDisconnectedError
             yield message.get('body', b'')
             more = message.get('more_body', False)
 
@@ -118,7 +118,7 @@
     async def start(self, status: int, headers: HeaderPairs) -> None:
         """Send the status and the headers."""
         self.started = True
-        if self.is_last():
+        if self.closes_connection():
             headers = [*headers, _CLOSE_HEADER]
         await self._send(
             {
@@ -160,7 +160,7 @@
         await self.start(status, pairs)
         await self.finish(body)
 
-    async def answer_json(
+    async def respond_json(
         self,
         status: int,
         content: object,
--- a/src/sardinetrack/http/client.py
+++ b/src/sardinetrack/http/client.py
@@ -15,16 +15,16 @@
 _LATIN: Final = 'latin-1'
 
 
-class NotSentError(Exception):
+class RequestNotSentError(Exception):
     """No connection could be opened; not one byte of the request was sent."""
 
 
-class BrokenError(Exception):
+class ConnectionBrokenError(Exception):
     """The exchange failed after the request may have arrived."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class HttpResponse:
     """A complete response."""
 
     status: int
@@ -36,7 +36,7 @@
         return next((text for key, text in self.headers if key == name), None)
 
 
-class StreamedReply:
+class StreamedResponse:
     """A response whose body is still arriving."""
 
     def __init__(self, response: httpcore.Response) -> None:
@@ -55,13 +55,13 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Read the body chunk by chunk.
 
-        :raises BrokenError: the body was interrupted before its end.
+        :raises ConnectionBrokenError: the body was interrupted before its end.
         """
         try:
             async for chunk in self._response.aiter_stream():
                 yield chunk
         except _EXCHANGE_ERRORS as error:
-            raise BrokenError(str(error)) from error
+            raise ConnectionBrokenError(str(error)) from error
 
     async def read(self) -> bytes:
         """Read the rest of the body."""
@@ -116,26 +116,28 @@
         *,
         headers: Iterable[tuple[str, str]] = (),
         body: bytes = b'',
-        read_seconds: float | None = None,
-    ) -> AsyncIterator[StreamedReply]:
+        read_timeout_seconds: float | None = None,
+    ) -> AsyncIterator[StreamedResponse]:
         """Send a request and yield its response while it arrives.
 
-        :param read_seconds: timeout of each read and write, ``None`` for no
-            limit.
-        :raises NotSentError: not one byte of the request was sent.
-        :raises BrokenError: the exchange failed after that.
+        :param read_timeout_seconds: timeout of each read and write, ``None``
+            for no limit.
+        :raises RequestNotSentError: not one byte of the request was sent.
+        :raises ConnectionBrokenError: the exchange failed after that.
         """
-        request = self._request(method, url, headers, body, read_seconds)
+        request = self._request(
+            method, url, headers, body, read_timeout_seconds
+        )
         async with AsyncExitStack() as stack:
             try:
                 response = await stack.enter_async_context(
                     self._connections.exchange(request),
                 )
             except _CONNECT_ERRORS as error:
-                raise NotSentError(str(error)) from error
+                raise RequestNotSentError(str(error)) from error
             except _EXCHANGE_ERRORS as error:
-                raise BrokenError(str(error)) from error
-            yield StreamedReply(response)
+                raise ConnectionBrokenError(str(error)) from error
+            yield StreamedResponse(response)
 
     async def call(
         self,
@@ -144,17 +146,17 @@
         *,
         headers: Iterable[tuple[str, str]] = (),
         body: bytes = b'',
-        read_seconds: float | None = None,
-    ) -> Reply:
+        read_timeout_seconds: float | None = None,
+    ) -> HttpResponse:
         """Send a request and read its complete response; see ``stream``."""
         async with self.stream(
             method,
             url,
             headers=headers,
             body=body,
-            read_seconds=read_seconds,
+            read_timeout_seconds=read_timeout_seconds,
         ) as response:
-            return Reply(
+            return HttpResponse(
                 response.status,
                 response.headers,
                 await response.read(),
@@ -166,7 +168,7 @@
         url: str,
         headers: Iterable[tuple[str, str]],
         body: bytes,
-        read_seconds: float | None,
+        read_timeout_seconds: float | None,
     ) -> httpcore.Request:
         address = httpcore.URL(url)
         pairs = [
@@ -177,8 +179,8 @@
             pairs.append((b'content-length', str(len(body)).encode()))
         timeouts: dict[str, Any] = {
             'connect': self._connect_timeout_seconds,
-            'read': read_seconds,
-            'write': read_seconds,
+            'read': read_timeout_seconds,
+            'write': read_timeout_seconds,
         }
         return httpcore.Request(
             method,
--- a/src/sardinetrack/http/ending.py
+++ b/src/sardinetrack/http/graceful_close.py
@@ -7,12 +7,15 @@
 
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-from sardinetrack.http.sockets import LAST_REQUEST_SECONDS, has_unread
+from sardinetrack.http.sockets import (
+    FINAL_REQUEST_WAIT_SECONDS,
+    has_unread_data,
+)
 
 _RECHECK_SECONDS: Final = 0.05
 
 
-class EndingProtocol(HttpToolsProtocol):
+class GracefulCloseProtocol(HttpToolsProtocol):
     """Closes gracefully at shutdown and after the keep-alive timeout.
 
     uvicorn's protocol closes a connection immediately if no request is in
@@ -73,7 +76,7 @@
 
         :return: whether it is closed.
         """
-        if has_unread(self.transport):
+        if has_unread_data(self.transport):
             return False
         if self.transport.get_write_buffer_size():
             # A client that does not read its last response would keep the
@@ -94,9 +97,11 @@
     @property
     def _request_arriving(self) -> bool:
         """Whether a request has begun to arrive."""
-        return self._receiving_header or has_unread(self.transport)
+        return self._receiving_header or has_unread_data(self.transport)
 
-    def _schedule_close(self, seconds: float = LAST_REQUEST_SECONDS) -> None:
+    def _schedule_close(
+        self, seconds: float = FINAL_REQUEST_WAIT_SECONDS
+    ) -> None:
         self._cancel_close()
         self._close_timer = self.loop.call_later(seconds, self._close_if_idle)
 
--- a/src/sardinetrack/http/guard.py
+++ b/src/sardinetrack/http/guard.py
@@ -7,27 +7,27 @@
 from dataclasses import dataclass
 from typing import Any, ClassVar, Final, cast
 
-from sardinetrack.http.ending import EndingProtocol
-from sardinetrack.http.idle import IdleConnections
+from sardinetrack.http.graceful_close import GracefulCloseProtocol
+from sardinetrack.http.idle_connections import IdleConnections
 
 _MAX_HEADER_BYTES: Final = 262_144
 """A run request's header holds the caller's headers and the entry's bids."""
 
 
 @dataclass(frozen=True, slots=True)
-class ServerBounds:
+class ServerLimits:
     """Limits on the connections of a server."""
 
     max_connections: int = 4096
     keep_alive_seconds: int = 60
     max_header_bytes: int = _MAX_HEADER_BYTES
-    head_seconds: float = 10.0
+    header_timeout_seconds: float = 10.0
     """Timeout of a header, from the connection's start or its first byte on."""
     linger_seconds: float = 2.0
     """How long the rest of a body is discarded after an early response."""
 
 
-class GuardedProtocol(EndingProtocol):
+class GuardedProtocol(GracefulCloseProtocol):
     """Closes connections whose HTTP header is too large or too slow.
 
     uvicorn's protocol has no such limit: any client that reaches the port
@@ -35,7 +35,7 @@
     some thousands of connections that send nothing.
     """
 
-    bounds: ClassVar[ServerBounds]
+    bounds: ClassVar[ServerLimits]
     idle: ClassVar[IdleConnections]
 
     def __init__(self, *positional: Any, **named: Any) -> None:
@@ -51,7 +51,7 @@
     ) -> None:
         """Accept a connection; evict idle ones above the limit."""
         super().connection_made(transport)
-        self.idle.make_room(len(self.connections))
+        self.idle.evict_idle(len(self.connections))
         self._start_header_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -64,7 +64,7 @@
         if self._expects_header:
             self._header_bytes += len(data)
             if self._timer is None:
-                self._start_timer(self.bounds.head_seconds)
+                self._start_timer(self.bounds.header_timeout_seconds)
         super().data_received(data)
         if (
             self._expects_header
@@ -97,7 +97,7 @@
 
     def _start_header_timer(self) -> None:
         self.idle.add(self, self.close_idle)
-        self._start_timer(self.bounds.head_seconds)
+        self._start_timer(self.bounds.header_timeout_seconds)
 
     def _leave_idle(self) -> None:
         self.idle.remove(self)
@@ -114,7 +114,7 @@
             self._timer = None
 
 
-def guarded_protocol(bounds: ServerBounds) -> type[GuardedProtocol]:
+def guarded_protocol(bounds: ServerLimits) -> type[GuardedProtocol]:
     """Build the protocol class of one listener.
 
     :param bounds: limits of the listener.
--- a/src/sardinetrack/http/idle.py
+++ b/src/sardinetrack/http/idle_connections.py
@@ -39,7 +39,7 @@
         self._idle.pop(connection, None)
         self._closing.discard(connection)
 
-    def make_room(self, open_count: int) -> bool:
+    def evict_idle(self, open_count: int) -> bool:
         """Close the longest idle connections above the limit.
 
         :param open_count: open connections of the listener now, with those
--- a/src/sardinetrack/http/server.py
+++ b/src/sardinetrack/http/server.py
@@ -12,8 +12,8 @@
 import uvicorn
 
 from sardinetrack.http.asgi import Application
-from sardinetrack.http.guard import ServerBounds, guarded_protocol
-from sardinetrack.http.sockets import accept_all
+from sardinetrack.http.guard import ServerLimits, guarded_protocol
+from sardinetrack.http.sockets import accept_queued
 
 _BACKLOG: Final = 2048
 
@@ -50,7 +50,7 @@
         accepted = [
             pending
             for listener in sockets or ()
-            for pending in accept_all(listener)
+            for pending in accept_queued(listener)
         ]
         for server in self.servers:
             server.close()
@@ -126,12 +126,12 @@
 
 
 @asynccontextmanager
-async def serving(
+async def serve(
     application: Application,
     ip: str,
     port: int,
     *,
-    bounds: ServerBounds | None = None,
+    bounds: ServerLimits | None = None,
     protocol: type[asyncio.Protocol] | None = None,
 ) -> AsyncIterator[BoundServer]:
     """Serve while the context lasts.
@@ -144,7 +144,7 @@
         ``guarded_protocol`` builds.
     :return: the running server.
     """
-    limits = bounds or ServerBounds()
+    limits = bounds or ServerLimits()
     listener = bind(ip, port)
     host, bound_port = listener.getsockname()[:2]
     server = _Server(
--- a/src/sardinetrack/http/sockets.py
+++ b/src/sardinetrack/http/sockets.py
@@ -8,11 +8,11 @@
 from collections.abc import Iterator
 from typing import Final
 
-LAST_REQUEST_SECONDS: Final = 0.3
+FINAL_REQUEST_WAIT_SECONDS: Final = 0.3
 """How long an idle connection stays open for a last request at shutdown."""
 
 
-def descriptor(transport: asyncio.BaseTransport | None) -> int:
+def file_descriptor(transport: asyncio.BaseTransport | None) -> int:
     """Return the file descriptor of a transport; negative if there is none."""
     if transport is None or transport.is_closing():
         return -1
@@ -20,13 +20,13 @@
     return -1 if sock is None else int(sock.fileno())
 
 
-def has_unread(transport: asyncio.BaseTransport | None) -> bool:
+def has_unread_data(transport: asyncio.BaseTransport | None) -> bool:
     """Whether data or the end of the stream has arrived but is not read yet.
 
     Closing such a connection, as an event loop that is late could do, resets
     it. Its client could not tell whether the request has run.
     """
-    fileno = descriptor(transport)
+    fileno = file_descriptor(transport)
     if fileno < 0:
         return False
     poll = select.poll()
@@ -34,7 +34,7 @@
     return bool(poll.poll(0))
 
 
-def accept_all(listener: socket.socket) -> Iterator[socket.socket]:
+def accept_queued(listener: socket.socket) -> Iterator[socket.socket]:
     """Accept the connections that are pending at a listener.
 
     Closing a listener resets its pending connections. When the event loop is
--- a/src/sardinetrack/links/run_reply.py
+++ b/src/sardinetrack/links/run_response.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from sardinetrack.http.client import BrokenError, StreamedReply
+from sardinetrack.http.client import ConnectionBrokenError, StreamedResponse
 from sardinetrack.messages.run import RESULT_HEADER, RunResult
 from sardinetrack.messages.run_codec import (
     SERVER_HEADERS_HEADER,
@@ -15,18 +15,18 @@
 )
 
 
-class RunReply:
+class RunResponse:
     """The backend server's response while it arrives through a side.
 
     The status and headers are the backend server's, and are meaningful only
     if the attempt status in the result is ``RUNNING``.
     """
 
-    def __init__(self, response: StreamedReply) -> None:
+    def __init__(self, response: StreamedResponse) -> None:
         """Read the side's result from the headers.
 
-        :raises BrokenError: there is no valid result, so the status of the
-            attempt is unknown.
+        :raises ConnectionBrokenError: there is no valid result, so the status
+            of the attempt is unknown.
         """
         self._response = response
         try:
@@ -37,7 +37,7 @@
                 response.header(SERVER_HEADERS_HEADER) or '[]',
             )
         except msgspec.DecodeError as error:
-            raise BrokenError(
+            raise ConnectionBrokenError(
                 f'the side sent no valid result: {error}'
             ) from error
         self.status = self.run_result.status
@@ -49,6 +49,6 @@
     def chunks(self) -> AsyncIterator[bytes]:
         """Read the body chunk by chunk.
 
-        :raises BrokenError: the body was interrupted before its end.
+        :raises ConnectionBrokenError: the body was interrupted before its end.
         """
         return self._response.chunks()
--- a/src/sardinetrack/process/daemon.py
+++ b/src/sardinetrack/process/daemon.py
@@ -11,7 +11,7 @@
 
 from sardinetrack.config.model import ListenAddress
 from sardinetrack.http.asgi import Application
-from sardinetrack.http.server import BoundServer, serving
+from sardinetrack.http.server import BoundServer, serve
 from sardinetrack.process.api import Drainable
 
 _CLOSE_SECONDS: Final = 2.0
@@ -61,7 +61,7 @@
         application: Application,
         listen: ListenAddress,
     ) -> BoundServer:
-        server = serving(application, listen.ip, listen.port)
+        server = serve(application, listen.ip, listen.port)
         return await self._start(stack, server)
 
     async def _start(
--- a/src/sardinetrack/relay/caller_connection.py
+++ b/src/sardinetrack/relay/caller_connection.py
@@ -12,7 +12,7 @@
 import httptools
 
 from sardinetrack.errors.api import ErrorKind, RequestError
-from sardinetrack.http.sockets import descriptor, has_unread
+from sardinetrack.http.sockets import file_descriptor, has_unread_data
 from sardinetrack.relay.api import CallerRequest, ProtocolAdapter
 from sardinetrack.relay.connection_owner import ConnectionOwner
 from sardinetrack.relay.error_response import error_response, status_line
@@ -115,7 +115,7 @@
     @property
     def unread_input(self) -> bool:
         """Whether the socket holds data that the loop has not read yet."""
-        return has_unread(self._transport)
+        return has_unread_data(self._transport)
 
     @property
     def disconnected(self) -> bool:
@@ -132,7 +132,7 @@
 
     def _peek_end(self) -> bool:
         """Peek, without reading, whether the caller has ended its stream."""
-        fileno = descriptor(self._transport)
+        fileno = file_descriptor(self._transport)
         with socket.socket(fileno=os.dup(fileno)) as duplicate:
             try:
                 return not duplicate.recv(
--- a/src/sardinetrack/relay/entry.py
+++ b/src/sardinetrack/relay/entry.py
@@ -11,7 +11,7 @@
 from typing import Final, Self
 
 from sardinetrack.errors.api import ErrorKind, RequestError
-from sardinetrack.http.sockets import LAST_REQUEST_SECONDS
+from sardinetrack.http.sockets import FINAL_REQUEST_WAIT_SECONDS
 from sardinetrack.logs.events import Event
 from sardinetrack.relay.api import CallerRequest, ProtocolAdapter
 from sardinetrack.relay.caller_connection import CallerConnection
@@ -171,7 +171,7 @@
         requests; their callers could not tell whether those have run.
         """
         await self._listener.accept_pending()
-        await asyncio.sleep(LAST_REQUEST_SECONDS)
+        await asyncio.sleep(FINAL_REQUEST_WAIT_SECONDS)
         # One more iteration, in which the loop reads what arrived while it was
         # late.
         await asyncio.sleep(0)
--- a/src/sardinetrack/relay/listener.py
+++ b/src/sardinetrack/relay/listener.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Final, Self
 
-from sardinetrack.http.sockets import accept_all
+from sardinetrack.http.sockets import accept_queued
 
 _BACKLOG: Final = 1024
 _ACCEPTS_PER_ITERATION: Final = 32
@@ -59,7 +59,7 @@
 
     async def accept_pending(self) -> None:
         """Accept the pending connections and stop listening."""
-        accepted = list(accept_all(self._listening))
+        accepted = list(accept_queued(self._listening))
         self.close()
         loop = asyncio.get_running_loop()
         for connection in accepted:
--- a/src/sardinetrack/side/attempt_endpoint.py
+++ b/src/sardinetrack/side/attempt_endpoint.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from sardinetrack.errors.api import ErrorKind, RequestError
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.messages.run import ATTEMPT_PATH, AttemptStatusRequest
 from sardinetrack.side.events import AttemptQueried, SideEvents
 from sardinetrack.side.owner_queries import query_owner
@@ -24,16 +24,16 @@
     def __init__(self, owner: SideEvents) -> None:
         self._owner = owner
 
-    async def __call__(self, exchange: Exchange) -> None:
+    async def __call__(self, exchange: HttpExchange) -> None:
         """Respond to one status query."""
         query = await _read_query(exchange)
         response = await query_owner(
             self._owner, partial(AttemptQueried, query)
         )
-        await exchange.answer_json(HTTPStatus.OK, response)
+        await exchange.respond_json(HTTPStatus.OK, response)
 
 
-async def _read_query(exchange: Exchange) -> AttemptStatusRequest:
+async def _read_query(exchange: HttpExchange) -> AttemptStatusRequest:
     body = await exchange.body(_MAX_QUERY_BYTES, _QUERY_SECONDS)
     try:
         query = msgspec.json.decode(body, type=AttemptStatusRequest)
--- a/src/sardinetrack/side/backend.py
+++ b/src/sardinetrack/side/backend.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from sardinetrack.http.client import (
-    BrokenError,
+    ConnectionBrokenError,
     HttpClient,
-    NotSentError,
-    Reply,
-    StreamedReply,
+    HttpResponse,
+    RequestNotSentError,
+    StreamedResponse,
 )
 from sardinetrack.messages.run import RunRequest
 from sardinetrack.side.load_report import LoadReport
@@ -48,11 +48,11 @@
         self,
         run_request: RunRequest,
         body: bytes,
-    ) -> AbstractAsyncContextManager[StreamedReply]:
+    ) -> AbstractAsyncContextManager[StreamedResponse]:
         """Send a request; leaving the context early cancels it at the server.
 
-        :raises NotSentError: not a single byte was sent.
-        :raises BrokenError: the connection broke later.
+        :raises RequestNotSentError: not a single byte was sent.
+        :raises ConnectionBrokenError: the connection broke later.
         """
         return self._client.stream(
             run_request.method,
@@ -71,9 +71,9 @@
         try:
             with anyio.fail_after(_PROBE_SECONDS):
                 response = await self._client.call('GET', f'{self._url}/load')
-        except NotSentError as unsent:
+        except RequestNotSentError as unsent:
             raise UnreachableError from unsent
-        except (BrokenError, TimeoutError) as error:
+        except (ConnectionBrokenError, TimeoutError) as error:
             raise UnresponsiveError from error
         return _report(response) if response.status == HTTPStatus.OK else None
 
@@ -91,7 +91,7 @@
         await stream.aclose()
 
 
-def _report(response: Reply) -> LoadReport | None:
+def _report(response: HttpResponse) -> LoadReport | None:
     try:
         return msgspec.json.decode(response.body, type=LoadReport)
     except msgspec.DecodeError:
--- a/src/sardinetrack/side/backend_run.py
+++ b/src/sardinetrack/side/backend_run.py
@@ -8,8 +8,12 @@
 import anyio
 
 from sardinetrack.catalogue.api import Pool
-from sardinetrack.http.asgi import Exchange
-from sardinetrack.http.client import BrokenError, NotSentError, StreamedReply
+from sardinetrack.http.asgi import HttpExchange
+from sardinetrack.http.client import (
+    ConnectionBrokenError,
+    RequestNotSentError,
+    StreamedResponse,
+)
 from sardinetrack.logs.lines import Part, PartLogger
 from sardinetrack.messages.run import AttemptStatus, RunResult
 from sardinetrack.side.attempt import Attempt
@@ -29,7 +33,7 @@
     def __init__(
         self,
         attempt: Attempt,
-        exchange: Exchange,
+        exchange: HttpExchange,
         pool: Pool,
         dependencies: RunDependencies,
     ) -> None:
@@ -54,10 +58,10 @@
         """
         try:
             await self._relay(body, started)
-        except NotSentError as error:
+        except RequestNotSentError as error:
             await self._report_failure(error)
             await self._respond_not_started()
-        except BrokenError as error:
+        except ConnectionBrokenError as error:
             await self._report_failure(error)
             return await self._respond_failed()
         except TimeoutError:
@@ -87,7 +91,7 @@
         await self._report_end(complete=True)
         await self._exchange.finish()
 
-    async def _stream_body(self, response: StreamedReply) -> None:
+    async def _stream_body(self, response: StreamedResponse) -> None:
         # A frozen entry keeps its connection open and reads nothing: the
         # request would occupy its slot until its run time ends. One scope
         # serves all chunks, because creating a scope for each token costs more
@@ -105,7 +109,7 @@
             raise TimeoutError
 
     async def _start_response(
-        self, response: StreamedReply, started: Started
+        self, response: StreamedResponse, started: Started
     ) -> None:
         run_result = RunResult(
             AttemptStatus.RUNNING,
--- a/src/sardinetrack/side/model_server.py
+++ b/src/sardinetrack/side/model_server.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from sardinetrack.http.client import (
-    BrokenError,
+    ConnectionBrokenError,
     HttpClient,
-    NotSentError,
-    Reply,
+    HttpResponse,
+    RequestNotSentError,
 )
 from sardinetrack.lease.model_loader import LoadResult, ModelServer
 
@@ -87,7 +87,7 @@
         path: str,
         body: bytes,
         seconds: float,
-    ) -> Reply | None:
+    ) -> HttpResponse | None:
         with anyio.move_on_after(seconds):
             try:
                 return await self._client.call(
@@ -96,6 +96,6 @@
                     headers=[('content-type', 'application/json')],
                     body=body,
                 )
-            except (NotSentError, BrokenError):
+            except (RequestNotSentError, ConnectionBrokenError):
                 return None
         return None
--- a/src/sardinetrack/side/operator_application.py
+++ b/src/sardinetrack/side/operator_application.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import Any, Final
 
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
 from sardinetrack.side.events import SideEvents
 from sardinetrack.side.metrics import SideMetrics
 from sardinetrack.side.routes import Routes
@@ -51,23 +51,23 @@
     ) -> None:
         """Handle one request."""
         if scope[_TYPE] == 'http':
-            await self._routes.handle(Exchange(scope, receive, send))
+            await self._routes.handle(HttpExchange(scope, receive, send))
         else:
             await send({_TYPE: 'websocket.close'})
 
-    async def _ready(self, exchange: Exchange) -> None:
+    async def _ready(self, exchange: HttpExchange) -> None:
         ready = (await self._status.read()).ready
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         await exchange.respond(status, b'ready\n' if ready else b'not ready\n')
 
-    async def _show_metrics(self, exchange: Exchange) -> None:
+    async def _show_metrics(self, exchange: HttpExchange) -> None:
         content_type = ('content-type', 'text/plain; version=0.0.4')
         text = self._metrics.text()
         await exchange.respond(HTTPStatus.OK, text, [content_type])
 
-    async def _show_settings(self, exchange: Exchange) -> None:
-        await exchange.answer_json(HTTPStatus.OK, self._settings)
+    async def _show_settings(self, exchange: HttpExchange) -> None:
+        await exchange.respond_json(HTTPStatus.OK, self._settings)
 
 
-async def _healthy(exchange: Exchange) -> None:
+async def _healthy(exchange: HttpExchange) -> None:
     await exchange.respond(HTTPStatus.OK, b'ok\n')
--- a/src/sardinetrack/side/peer_application.py
+++ b/src/sardinetrack/side/peer_application.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from sardinetrack.errors.api import ErrorKind, RequestError
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
 from sardinetrack.links.api import LINK_PATH, STATUS_PATH
 from sardinetrack.links.secret import AUTHORIZATION_HEADER, PeerSecret
 from sardinetrack.links.server import LinkAcceptor
@@ -56,13 +56,13 @@
     ) -> None:
         """Handle one request or accept one link."""
         if scope[_TYPE] == 'http':
-            await self._handle(Exchange(scope, receive, send))
+            await self._handle(HttpExchange(scope, receive, send))
         elif scope['path'] == LINK_PATH:
             await self._acceptor(scope, receive, send)
         else:
             await send({_TYPE: 'websocket.close'})
 
-    async def _handle(self, exchange: Exchange) -> None:
+    async def _handle(self, exchange: HttpExchange) -> None:
         if self._secret.matches(exchange.header(AUTHORIZATION_HEADER)):
             await self._routes.handle(exchange)
         else:
--- a/src/sardinetrack/side/responses.py
+++ b/src/sardinetrack/side/responses.py
@@ -10,8 +10,8 @@
 
 from sardinetrack.errors.api import RequestError
 from sardinetrack.errors.table import error_response_for
-from sardinetrack.http.asgi import Exchange
-from sardinetrack.http.client import StreamedReply
+from sardinetrack.http.asgi import HttpExchange
+from sardinetrack.http.client import StreamedResponse
 from sardinetrack.messages.run import RESULT_HEADER, AttemptStatus, RunResult
 from sardinetrack.messages.run_codec import (
     SERVER_HEADERS_HEADER,
@@ -35,15 +35,15 @@
     message: str
 
 
-async def send_error(exchange: Exchange, error: RequestError) -> None:
+async def send_error(exchange: HttpExchange, error: RequestError) -> None:
     """Respond with the status and message of the error's kind."""
     row = error_response_for(error.kind)
     content = PeerErrorBody(error.kind.value, error.detail or row.message)
-    await exchange.answer_json(row.status, content)
+    await exchange.respond_json(row.status, content)
 
 
 async def send_result(
-    exchange: Exchange,
+    exchange: HttpExchange,
     run_result: RunResult,
     status: int | None = None,
 ) -> None:
@@ -58,9 +58,9 @@
 
 
 async def start_response(
-    exchange: Exchange,
+    exchange: HttpExchange,
     run_result: RunResult,
-    response: StreamedReply,
+    response: StreamedResponse,
 ) -> None:
     """Start the response that passes on that of the backend server."""
     await exchange.start(
--- a/src/sardinetrack/side/routes.py
+++ b/src/sardinetrack/side/routes.py
@@ -5,10 +5,10 @@
 from collections.abc import Awaitable, Callable, Mapping
 
 from sardinetrack.errors.api import ErrorKind, RequestError
-from sardinetrack.http.asgi import CallerGoneError, Exchange
+from sardinetrack.http.asgi import ClientDisconnectedError, HttpExchange
 from sardinetrack.side.responses import send_error
 
-Handler = Callable[[Exchange], Awaitable[None]]
+Handler = Callable[[HttpExchange], Awaitable[None]]
 
 
 class Routes:
@@ -23,16 +23,16 @@
         self._handlers = dict(handlers)
         self._paths = {path for _, path in handlers}
 
-    async def handle(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: HttpExchange) -> None:
         """Handle one request; an error gets the response of its kind."""
         try:
             await self._find_handler(exchange)(exchange)
         except RequestError as error:
             await send_error(exchange, error)
-        except CallerGoneError:
+        except ClientDisconnectedError:
             return
 
-    def _find_handler(self, exchange: Exchange) -> Handler:
+    def _find_handler(self, exchange: HttpExchange) -> Handler:
         path = exchange.path
         if path not in self._paths:
             path = path[: path.rfind('/') + 1]
--- a/src/sardinetrack/side/run_endpoint.py
+++ b/src/sardinetrack/side/run_endpoint.py
@@ -10,7 +10,7 @@
 from sardinetrack.catalogue.api import Pool
 from sardinetrack.errors.api import RequestError
 from sardinetrack.errors.table import error_response_for
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.messages.run import (
     RUN_HEADER,
     AttemptStatus,
@@ -38,7 +38,7 @@
     def __init__(self, dependencies: RunDependencies) -> None:
         self._dependencies = dependencies
 
-    async def __call__(self, exchange: Exchange) -> None:
+    async def __call__(self, exchange: HttpExchange) -> None:
         """Handle one run request."""
         try:
             run_request = _read_run_request(exchange)
@@ -59,7 +59,7 @@
 
     async def _admit(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         run_request: RunRequest,
         pool: Pool,
     ) -> None:
@@ -78,7 +78,7 @@
 
     async def _refuse(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         run_request: RunRequest | None,
         reason: str,
         status: HTTPStatus = HTTPStatus.CONFLICT,
@@ -94,7 +94,7 @@
         await send_result(exchange, run_result, status)
 
 
-def _read_run_request(exchange: Exchange) -> RunRequest:
+def _read_run_request(exchange: HttpExchange) -> RunRequest:
     run_request = decode_run_request(exchange.header(RUN_HEADER) or '')
     if not run_request.path.startswith('/'):
         raise msgspec.ValidationError('the path must start with a slash')
--- a/src/sardinetrack/side/run_task.py
+++ b/src/sardinetrack/side/run_task.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.messages.run import AttemptStatus, RunResult
 from sardinetrack.side.attempt import Attempt
 from sardinetrack.side.backend_run import BackendRun
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         attempt: Attempt,
         max_run_seconds: float,
     ) -> None:
--- a/src/sardinetrack/side/status.py
+++ b/src/sardinetrack/side/status.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.side.events import SideEvents, SideStatusPage, StatusRequested
 from sardinetrack.side.owner_queries import query_owner
 
@@ -19,6 +19,6 @@
         """Return the current status."""
         return await query_owner(self._owner, StatusRequested)
 
-    async def __call__(self, exchange: Exchange) -> None:
+    async def __call__(self, exchange: HttpExchange) -> None:
         """Respond with the status as JSON."""
-        await exchange.answer_json(HTTPStatus.OK, await self.read())
+        await exchange.respond_json(HTTPStatus.OK, await self.read())
--- a/src/sardinetrack/standin/base.py
+++ b/src/sardinetrack/standin/base.py
@@ -11,8 +11,8 @@
 from pydantic import ValidationError
 
 from sardinetrack.http.asgi import (
-    CallerGoneError,
-    Exchange,
+    ClientDisconnectedError,
+    HttpExchange,
     Receive,
     Scope,
     Send,
@@ -37,7 +37,7 @@
 class Request:
     """A request with its complete body."""
 
-    exchange: Exchange
+    exchange: HttpExchange
     body: bytes
 
     @property
@@ -71,7 +71,7 @@
         """Handle one request."""
         if scope['type'] != 'http':
             return
-        exchange = Exchange(scope, receive, send)
+        exchange = HttpExchange(scope, receive, send)
         # A crash interrupts requests in any state: this scope also covers
         # those that wait frozen and have no execution yet.
         request_scope = anyio.CancelScope()
@@ -122,12 +122,12 @@
     async def respond_error(self, request: Request, status: int) -> None:
         """Respond with an error body as model engines write it."""
         content = {'error': {'message': 'stand-in', 'code': status}}
-        await request.exchange.answer_json(status, content)
+        await request.exchange.respond_json(status, content)
 
-    async def _receive(self, exchange: Exchange) -> None:
+    async def _receive(self, exchange: HttpExchange) -> None:
         try:
             body = await exchange.body(_MAX_BODY_BYTES, _BODY_SECONDS)
-        except CallerGoneError:
+        except ClientDisconnectedError:
             return
         request = Request(exchange, body)
         if exchange.path.startswith('/standin/'):
@@ -142,7 +142,7 @@
 
     async def _control(self, request: Request) -> None:
         if request.route == 'GET /standin/executions':
-            await request.exchange.answer_json(OK, self.executions.counts)
+            await request.exchange.respond_json(OK, self.executions.counts)
         elif request.route == 'PUT /standin/faults':
             await self._put_faults(request)
         else:
--- a/src/sardinetrack/standin/engine.py
+++ b/src/sardinetrack/standin/engine.py
@@ -8,7 +8,7 @@
 import anyio
 import msgspec
 
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.standin.base import (
     BAD_REQUEST,
     CONFLICT,
@@ -64,12 +64,12 @@
                 await self._list_models(request)
             case 'GET /load':
                 load = self._meter.report(anyio.current_time())
-                await request.exchange.answer_json(OK, load)
+                await request.exchange.respond_json(OK, load)
             case 'POST /orders':
                 await self._load_models(request)
             case 'GET /orders':
                 accepted = self._load_commands.accepted
-                await request.exchange.answer_json(OK, accepted)
+                await request.exchange.respond_json(OK, accepted)
             case _:
                 await self.respond_error(request, NOT_FOUND)
 
@@ -85,7 +85,7 @@
     async def _list_models(self, request: Request) -> None:
         listed = [{'id': name, 'object': 'model'} for name in self._models()]
         content = {'object': 'list', 'data': listed}
-        await request.exchange.answer_json(OK, content)
+        await request.exchange.respond_json(OK, content)
 
     async def _load_models(self, request: Request) -> None:
         try:
@@ -98,7 +98,7 @@
             self._loaded.update(dict.fromkeys(models_to_load(newest)))
         content = {'accepted': accepted, 'newest': self.fence.newest}
         status = OK if accepted else CONFLICT
-        await request.exchange.answer_json(status, content)
+        await request.exchange.respond_json(status, content)
 
     async def _chat(self, request: Request) -> None:
         try:
@@ -168,7 +168,7 @@
         if faults.error_status is not None:
             await self.respond_error(request, faults.error_status)
             return
-        await request.exchange.answer_json(OK, completion.plain_body(text))
+        await request.exchange.respond_json(OK, completion.plain_body(text))
 
     async def _generate(
         self,
@@ -213,7 +213,7 @@
 
 
 async def _cancel_on_disconnect(
-    exchange: Exchange, execution: Execution
+    exchange: HttpExchange, execution: Execution
 ) -> None:
     await exchange.wait_for_disconnect()
     execution.stop(Outcome.CANCELLED)
--- a/src/sardinetrack/standin/hosting.py
+++ b/src/sardinetrack/standin/hosting.py
@@ -10,7 +10,7 @@
 import anyio
 from anyio.abc import TaskStatus
 
-from sardinetrack.http.server import serving
+from sardinetrack.http.server import serve
 from sardinetrack.standin.base import StandIn
 
 
@@ -62,7 +62,7 @@
 ) -> None:
     url = None
     while not stopping.is_set():
-        async with serving(
+        async with serve(
             standin,
             ip,
             port,
--- a/src/sardinetrack/standin/platform.py
+++ b/src/sardinetrack/standin/platform.py
@@ -14,8 +14,8 @@
 
 from sardinetrack.errors.api import RequestError
 from sardinetrack.http.asgi import (
-    CallerGoneError,
-    Exchange,
+    ClientDisconnectedError,
+    HttpExchange,
     Receive,
     Scope,
     Send,
@@ -72,7 +72,7 @@
         send: Send,
     ) -> None:
         """Handle one call."""
-        exchange = Exchange(scope, receive, send)
+        exchange = HttpExchange(scope, receive, send)
         try:
             await self._respond(exchange)
         except (RequestError, RefusedError, ValueError) as error:
@@ -80,10 +80,10 @@
             await exchange.respond(HTTPStatus.BAD_REQUEST, text)
         except UnavailableError:
             await exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE)
-        except CallerGoneError:
+        except ClientDisconnectedError:
             return
 
-    async def _respond(self, exchange: Exchange) -> None:
+    async def _respond(self, exchange: HttpExchange) -> None:
         received = (exchange.header('authorization') or '').encode()
         if not hmac.compare_digest(received, self._authorization):
             await exchange.respond(HTTPStatus.UNAUTHORIZED)
@@ -95,7 +95,7 @@
         elif await self._admit(exchange, kind):
             await self._serve(exchange, kind, body)
 
-    async def _admit(self, exchange: Exchange, kind: CallKind) -> bool:
+    async def _admit(self, exchange: HttpExchange, kind: CallKind) -> bool:
         await self.gate.delay_call()
         if self.gate.rejects_call():
             await exchange.respond(HTTPStatus.SERVICE_UNAVAILABLE)
@@ -111,7 +111,7 @@
 
     async def _serve(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         kind: CallKind,
         body: bytes,
     ) -> None:
@@ -128,12 +128,12 @@
             case CallKind.WATCH:
                 await self._watch(exchange)
             case CallKind.INSTANCES:
-                await exchange.answer_json(
+                await exchange.respond_json(
                     HTTPStatus.OK,
                     await self.platform.instances(),
                 )
 
-    async def _watch(self, exchange: Exchange) -> None:
+    async def _watch(self, exchange: HttpExchange) -> None:
         wait_seconds = float(_query(exchange, 'wait_seconds') or 0)
         if not math.isfinite(wait_seconds):
             raise ValueError('wait_seconds')
@@ -144,11 +144,11 @@
             wait_seconds,
         )
 
-    async def _control(self, exchange: Exchange, body: bytes) -> None:
+    async def _control(self, exchange: HttpExchange, body: bytes) -> None:
         prefix, _, instance = exchange.path.rpartition('/')
         match (exchange.method, exchange.path, prefix):
             case ('GET', '/calls', _):
-                await exchange.answer_json(
+                await exchange.respond_json(
                     HTTPStatus.OK, self.gate.call_counts()
                 )
                 return
@@ -175,13 +175,13 @@
         )
 
 
-def _call_kind(exchange: Exchange) -> CallKind | None:
+def _call_kind(exchange: HttpExchange) -> CallKind | None:
     path = exchange.path
     if path.startswith(f'{_OBJECTS}/'):
         path = f'{_OBJECTS}/'
     return _KINDS.get((exchange.method, path))
 
 
-def _query(exchange: Exchange, name: str) -> str:
+def _query(exchange: HttpExchange, name: str) -> str:
     query = parse_qs(exchange.scope['query_string'].decode('latin-1'))
     return str(query.get(name, [''])[0])
--- a/src/sardinetrack/standin/platform_objects.py
+++ b/src/sardinetrack/standin/platform_objects.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.standin.platform_faults import FaultGate
 from sardinetrack.store.api import (
     MAX_VALUE_BYTES,
@@ -32,15 +32,15 @@
         self._platform = platform
         self._gate = gate
 
-    async def get(self, exchange: Exchange, key: str) -> None:
+    async def get(self, exchange: HttpExchange, key: str) -> None:
         """Handle a read of one object."""
         stored = await self._platform.get(key)
         if stored is None:
             await exchange.respond(HTTPStatus.NOT_FOUND)
             return
-        await exchange.answer_json(HTTPStatus.OK, object_body(stored))
+        await exchange.respond_json(HTTPStatus.OK, object_body(stored))
 
-    async def put(self, exchange: Exchange, key: str, value: bytes) -> None:
+    async def put(self, exchange: HttpExchange, key: str, value: bytes) -> None:
         """Handle a write."""
         if len(value) > MAX_VALUE_BYTES:
             await exchange.respond(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
@@ -57,7 +57,7 @@
             return
         await self._respond_write(exchange, object_body(stored))
 
-    async def delete(self, exchange: Exchange, key: str) -> None:
+    async def delete(self, exchange: HttpExchange, key: str) -> None:
         """Handle a deletion, which must name the expected version."""
         expected_version = _expected_version(exchange)
         if expected_version is None:
@@ -74,14 +74,14 @@
         tombstone = ObjectBody(key, version, deleted=True)
         await self._respond_write(exchange, tombstone)
 
-    async def list(self, exchange: Exchange, prefix: str) -> None:
+    async def list(self, exchange: HttpExchange, prefix: str) -> None:
         """Handle a read of all objects under a prefix."""
         listing = await self._platform.list(prefix)
-        await exchange.answer_json(HTTPStatus.OK, listing_body(listing))
+        await exchange.respond_json(HTTPStatus.OK, listing_body(listing))
 
     async def watch(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         prefix: str,
         after_revision: int,
         wait_seconds: float,
@@ -108,7 +108,7 @@
 
     async def _respond_watch(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         prefix: str,
         changes: Listing,
     ) -> None:
@@ -121,41 +121,43 @@
             changes = Listing(
                 changes.revision, (*changes.objects, *current.objects)
             )
-        await exchange.answer_json(HTTPStatus.OK, listing_body(changes))
+        await exchange.respond_json(HTTPStatus.OK, listing_body(changes))
 
     async def _respond_write(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         body: ObjectBody,
     ) -> None:
         if self._gate.drops_response():
             await _close_early(exchange)
         else:
-            await exchange.answer_json(HTTPStatus.OK, body)
+            await exchange.respond_json(HTTPStatus.OK, body)
 
 
-def _expected_version(exchange: Exchange) -> int | None:
+def _expected_version(exchange: HttpExchange) -> int | None:
     if exchange.header('if-none-match') == '*':
         return 0
     version = exchange.header('if-match')
     return int(version) if version else None
 
 
-async def _respond_conflict(exchange: Exchange, error: ConflictError) -> None:
+async def _respond_conflict(
+    exchange: HttpExchange, error: ConflictError
+) -> None:
     current = object_body(error.current) if error.current else None
-    await exchange.answer_json(
+    await exchange.respond_json(
         HTTPStatus.PRECONDITION_FAILED,
         ConflictBody(current),
     )
 
 
-async def _close_early(exchange: Exchange) -> None:
+async def _close_early(exchange: HttpExchange) -> None:
     # Returning with one body byte missing makes uvicorn close the connection.
     await exchange.start(HTTPStatus.OK, (('content-length', '1'),))
 
 
 async def _cancel_on_disconnect(
-    exchange: Exchange,
+    exchange: HttpExchange,
     scope: anyio.CancelScope,
 ) -> None:
     await exchange.wait_for_disconnect()
--- a/src/sardinetrack/standin/platform_process.py
+++ b/src/sardinetrack/standin/platform_process.py
@@ -8,7 +8,7 @@
 from sardinetrack.config.address import IpNumber
 from sardinetrack.config.model import Port
 from sardinetrack.config.secret import Secret, resolve_secret
-from sardinetrack.http.server import serving
+from sardinetrack.http.server import serve
 from sardinetrack.standin.hosting import print_url
 from sardinetrack.standin.platform import PlatformStandin
 
@@ -26,6 +26,6 @@
 async def run_platform(settings: PlatformStandinSettings) -> None:
     """Serve an empty platform until cancelled."""
     standin = PlatformStandin(resolve_secret(settings.token))
-    async with serving(standin, settings.ip, settings.port) as server:
+    async with serve(standin, settings.ip, settings.port) as server:
         print_url(server.url)
         await anyio.sleep_forever()
--- a/src/sardinetrack/store/http.py
+++ b/src/sardinetrack/store/http.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from sardinetrack.http.client import (
-    BrokenError,
+    ConnectionBrokenError,
     HttpClient,
-    NotSentError,
-    Reply,
+    HttpResponse,
+    RequestNotSentError,
 )
 from sardinetrack.store.api import (
     ConflictError,
@@ -142,7 +142,7 @@
         headers: tuple[tuple[str, str], ...] = (),
         body: bytes = b'',
         timeout_seconds: float | None = None,
-    ) -> Reply:
+    ) -> HttpResponse:
         limit_seconds = timeout_seconds or self._call_timeout_seconds
         try:
             with anyio.fail_after(limit_seconds):
@@ -151,11 +151,11 @@
                     self._url + path,
                     headers=(self._authorization, *headers),
                     body=body,
-                    read_seconds=limit_seconds,
+                    read_timeout_seconds=limit_seconds,
                 )
-        except NotSentError as error:
+        except RequestNotSentError as error:
             raise UnavailableError(str(error)) from error
-        except (BrokenError, TimeoutError) as error:
+        except (ConnectionBrokenError, TimeoutError) as error:
             raise _no_response_error(method, str(error)) from error
 
 
@@ -185,7 +185,7 @@
 
 
 def _decode_body(
-    method: str, response: Reply, body_type: type[_BodyT]
+    method: str, response: HttpResponse, body_type: type[_BodyT]
 ) -> _BodyT:
     if response.status != HTTPStatus.OK:
         _raise_for(method, response)
@@ -197,11 +197,11 @@
         ) from error
 
 
-def _raise_for(method: str, response: Reply) -> NoReturn:
+def _raise_for(method: str, response: HttpResponse) -> NoReturn:
     raise _error_for_status(method, response)
 
 
-def _error_for_status(method: str, response: Reply) -> PlatformError:
+def _error_for_status(method: str, response: HttpResponse) -> PlatformError:
     text = f'status {response.status}'
     match response.status:
         case HTTPStatus.PRECONDITION_FAILED:
@@ -217,7 +217,7 @@
     return RefusedError(text)
 
 
-def _conflict_error(method: str, response: Reply) -> PlatformError:
+def _conflict_error(method: str, response: HttpResponse) -> PlatformError:
     try:
         current = msgspec.json.decode(response.body, type=ConflictBody).current
     except msgspec.DecodeError as error:
@@ -225,7 +225,7 @@
     return ConflictError(object_from_body(current) if current else None)
 
 
-def _retry_after_seconds(response: Reply) -> float:
+def _retry_after_seconds(response: HttpResponse) -> float:
     try:
         return float(response.header('retry-after') or _RETRY_AFTER_SECONDS)
     except ValueError:
--- a/tests/catalogue/steps/model_steps.py
+++ b/tests/catalogue/steps/model_steps.py
@@ -12,9 +12,9 @@
     listed_addresses,
 )
 from sardinetrack.catalogue.parse import parse_operator_file, parse_stored_entry
-from sardinetrack.http.asgi import Exchange
+from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.http.client import HttpClient
-from sardinetrack.http.server import bind, serving
+from sardinetrack.http.server import bind, serve
 from sardinetrack.links.api import STATUS_PATH
 from sardinetrack.store.api import InstanceState, ListedInstance
 from sardinetrack.store.in_process import MemoryPlatform
@@ -79,13 +79,13 @@
 
     async def __call__(self, scope, receive, send):
         """Respond to one call."""
-        exchange = Exchange(scope, receive, send)
+        exchange = HttpExchange(scope, receive, send)
         known = exchange.header(_SECRET_HEADER) == self.secret
         if known and exchange.path == STATUS_PATH:
             rejection = {'key': 'k', 'version': 5, 'reasons': ['reason']}
             page = {'instance': 'e1', 'revision': 7, 'digest': 'digest'}
             page = {**page, 'rejected': [rejection]}
-            await exchange.answer_json(200, page)
+            await exchange.respond_json(200, page)
         else:
             await exchange.respond(403)
 
@@ -105,7 +105,7 @@
 async def _query(application, secret):
     async with (
         HttpClient() as http,
-        serving(application, '127.0.0.1', 0) as server,
+        serve(application, '127.0.0.1', 0) as server,
     ):
         platform = MemoryPlatform()
         platform.set_instance(_listed('e1', server.address))
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -50,7 +50,7 @@
     send_seconds=1,
     wait_seconds=2,
 )
-HEADS = HeaderLimits(head_seconds=0.5, linger_seconds=0.5)
+HEADS = HeaderLimits(header_timeout_seconds=0.5, linger_seconds=0.5)
 CATALOGUE = (
     {
         'kind': 'workspace',
--- a/tests/entry/fake_side.py
+++ b/tests/entry/fake_side.py
@@ -11,8 +11,8 @@
 import msgspec
 from raw_http import TOKEN_TEXT
 
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
-from sardinetrack.http.server import BoundServer, serving
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
+from sardinetrack.http.server import BoundServer, serve
 from sardinetrack.links.api import (
     Hello,
     Link,
@@ -103,7 +103,7 @@
         hello = Hello(self.name, PeerRole.SIDE, self.incarnation, 'galata')
         self._acceptor = LinkAcceptor(hello, SECRET, streams[0])
         async with (
-            serving(self, '127.0.0.1', 0) as server,
+            serve(self, '127.0.0.1', 0) as server,
             anyio.create_task_group() as tasks,
         ):
             self.address = server.address
@@ -163,7 +163,7 @@
         if scope['type'] != 'http':
             await self._acceptor(scope, receive, send)
             return
-        exchange = Exchange(scope, receive, send)
+        exchange = HttpExchange(scope, receive, send)
         assert SECRET.matches(exchange.header('authorization'))
         assert TOKEN_TEXT not in str(exchange.headers())
         if RUN_HEADER in dict(exchange.headers()):
@@ -171,7 +171,7 @@
         else:
             await self._answer_status_query(exchange)
 
-    async def _answer_status_query(self, exchange: Exchange) -> None:
+    async def _answer_status_query(self, exchange: HttpExchange) -> None:
         body = await exchange.body(10_000, 1)
         self.status_queries.append(
             msgspec.json.decode(body, type=AttemptStatusRequest)
@@ -181,9 +181,9 @@
             return
         fate = self.status_replies.popleft()
         answer = AttemptStatusResponse(fate, self.incarnation)
-        await exchange.answer_json(200, answer)
+        await exchange.respond_json(200, answer)
 
-    async def _run(self, exchange: Exchange) -> None:
+    async def _run(self, exchange: HttpExchange) -> None:
         script = self.scripts[0]
         if len(self.scripts) > 1:
             self.scripts.popleft()
@@ -207,14 +207,14 @@
 
     async def _record_disconnect(
         self,
-        exchange: Exchange,
+        exchange: HttpExchange,
         scope: anyio.CancelScope,
     ) -> None:
         await exchange.wait_for_disconnect()
         self.disconnects += 1
         scope.cancel()
 
-    async def _answer(self, exchange: Exchange, script: Script) -> None:
+    async def _answer(self, exchange: HttpExchange, script: Script) -> None:
         result = RunResult(script.fate, self.incarnation, script.status)
         hop_status = 409 if script.fate is AttemptStatus.NOT_STARTED else 200
         await exchange.start(
--- a/tests/http/steps/client_steps.py
+++ b/tests/http/steps/client_steps.py
@@ -7,10 +7,10 @@
 import anyio
 from behave import given, then, when
 
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
 from sardinetrack.http.client import HttpClient
 from sardinetrack.http.connections import ClientConnectionPool
-from sardinetrack.http.server import BoundServer, serving
+from sardinetrack.http.server import BoundServer, serve
 
 _IP = '127.0.0.1'
 _DELAY_SECONDS = 0.05
@@ -27,11 +27,11 @@
     ) -> None:
         self.ports.add(scope['client'][1])
         await anyio.sleep(_DELAY_SECONDS)
-        await Exchange(scope, receive, send).answer_json(200, {})
+        await HttpExchange(scope, receive, send).respond_json(200, {})
 
 
 async def _endless(scope: Scope, receive: Receive, send: Send) -> None:
-    exchange = Exchange(scope, receive, send)
+    exchange = HttpExchange(scope, receive, send)
     await exchange.start(200, ())
     while True:
         await exchange.write(b'more')
@@ -72,7 +72,7 @@
 def when_sequence(context, calls):
     async def run() -> None:
         async with (
-            serving(context.application, _IP, 0) as server,
+            serve(context.application, _IP, 0) as server,
             HttpClient() as client,
         ):
             for _ in range(calls):
@@ -85,7 +85,7 @@
 def when_concurrent(context, calls):
     async def run() -> None:
         async with (
-            serving(context.application, _IP, 0) as server,
+            serve(context.application, _IP, 0) as server,
             HttpClient() as client,
         ):
             await _call_concurrently(client, server, calls)
@@ -97,10 +97,10 @@
 def when_restarted(context):
     async def run() -> list[int]:
         async with HttpClient() as client:
-            async with serving(context.application, _IP, 0) as server:
+            async with serve(context.application, _IP, 0) as server:
                 first = await client.call('GET', server.url)
                 port = server.port
-            async with serving(context.application, _IP, port) as server:
+            async with serve(context.application, _IP, port) as server:
                 second = await client.call('GET', server.url)
         return [first.status, second.status]
 
@@ -112,7 +112,7 @@
     async def run() -> int:
         connections = ClientConnectionPool()
         async with (
-            serving(context.application, _IP, 0) as server,
+            serve(context.application, _IP, 0) as server,
             HttpClient(connections=connections) as client,
         ):
             with anyio.CancelScope() as scope:
@@ -130,7 +130,7 @@
     async def run() -> int:
         connections = ClientConnectionPool(max_idle=idle)
         async with (
-            serving(context.application, _IP, 0) as server,
+            serve(context.application, _IP, 0) as server,
             HttpClient(connections=connections) as client,
         ):
             await _call_concurrently(client, server, calls)
--- a/tests/http/steps/guard_steps.py
+++ b/tests/http/steps/guard_steps.py
@@ -10,9 +10,9 @@
 from anyio.from_thread import start_blocking_portal
 from behave import given, then, when
 
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
-from sardinetrack.http.guard import ServerBounds
-from sardinetrack.http.server import serving
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
+from sardinetrack.http.guard import ServerLimits
+from sardinetrack.http.server import serve
 
 _IP = '127.0.0.1'
 _HEADER_SECONDS = 0.4
@@ -20,16 +20,16 @@
 _TIMEOUT_SECONDS = 10.0
 _HALF_HEADER = b'GET / HTTP/1.1\r\nhost: x\r\n'
 _REQUEST = b'GET / HTTP/1.1\r\nhost: x\r\n\r\n'
-_LIMITS = ServerBounds(
+_LIMITS = ServerLimits(
     max_connections=20,
     max_header_bytes=8192,
-    head_seconds=_HEADER_SECONDS,
+    header_timeout_seconds=_HEADER_SECONDS,
     linger_seconds=_HEADER_SECONDS,
 )
 
 
 async def _respond(scope: Scope, receive: Receive, send: Send) -> None:
-    exchange = Exchange(scope, receive, send)
+    exchange = HttpExchange(scope, receive, send)
     if exchange.path == '/read':
         await exchange.body(1000, _TIMEOUT_SECONDS)
     await exchange.respond(200, b'ok')
@@ -41,7 +41,7 @@
     context.add_cleanup(context.stack.close)
     portal = context.stack.enter_context(start_blocking_portal())
     server = portal.wrap_async_context_manager(
-        serving(_respond, _IP, 0, bounds=_LIMITS),
+        serve(_respond, _IP, 0, bounds=_LIMITS),
     )
     context.port = context.stack.enter_context(server).port
 
--- a/tests/http/steps/server_steps.py
+++ b/tests/http/steps/server_steps.py
@@ -13,10 +13,14 @@
 
 from sardinetrack.entry.header_checks import HeaderLimits
 from sardinetrack.entry.protocol import caller_protocol
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
-from sardinetrack.http.client import BrokenError, HttpClient, NotSentError
-from sardinetrack.http.guard import ServerBounds, guarded_protocol
-from sardinetrack.http.server import _Server, bind, serving
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
+from sardinetrack.http.client import (
+    ConnectionBrokenError,
+    HttpClient,
+    RequestNotSentError,
+)
+from sardinetrack.http.guard import ServerLimits, guarded_protocol
+from sardinetrack.http.server import _Server, bind, serve
 
 _IP = '127.0.0.1'
 _CALL = b'GET / HTTP/1.1\r\nhost: h\r\n\r\n'
@@ -29,15 +33,15 @@
 def _protocol(listener):
     if listener == 'callers':
         return caller_protocol(HeaderLimits(), _CLIENTS)
-    return guarded_protocol(ServerBounds(max_connections=_CLIENTS))
+    return guarded_protocol(ServerLimits(max_connections=_CLIENTS))
 
 
 async def _respond(scope: Scope, receive: Receive, send: Send) -> None:
-    await Exchange(scope, receive, send).answer_json(200, {})
+    await HttpExchange(scope, receive, send).respond_json(200, {})
 
 
 async def _fail_midway(scope: Scope, receive: Receive, send: Send) -> None:
-    exchange = Exchange(scope, receive, send)
+    exchange = HttpExchange(scope, receive, send)
     await exchange.start(200, ())
     await exchange.write(b'part')
     raise RuntimeError('fails midway')
@@ -52,7 +56,7 @@
 def when_cancelled(context):
     async def run() -> str:
         with anyio.CancelScope() as scope:
-            async with serving(context.application, _IP, 0) as server:
+            async with serve(context.application, _IP, 0) as server:
                 url = server.url
                 scope.cancel()
                 await anyio.sleep_forever()
@@ -69,7 +73,7 @@
 
     try:
         anyio.run(run)
-    except NotSentError:
+    except RequestNotSentError:
         return
     raise AssertionError('the server still accepts connections')
 
@@ -83,12 +87,12 @@
 def when_read(context):
     async def run() -> bool:
         async with (
-            serving(context.application, _IP, 0) as server,
+            serve(context.application, _IP, 0) as server,
             HttpClient() as client,
         ):
             try:
                 await client.call('GET', server.url)
-            except BrokenError:
+            except ConnectionBrokenError:
                 return True
         return False
 
@@ -149,7 +153,7 @@
 
 
 async def _respond_slowly(scope: Scope, receive: Receive, send: Send) -> None:
-    exchange = Exchange(scope, receive, send)
+    exchange = HttpExchange(scope, receive, send)
     await exchange.start(200, [('content-length', '2')])
     await exchange.write(b'o')
     await anyio.sleep(_SLOW_SECONDS)
@@ -165,7 +169,7 @@
 async def _stop_after_connect(context, call, before=b''):
     """Stop a server to which a client has just connected."""
     loop = asyncio.get_running_loop()
-    server_context = serving(
+    server_context = serve(
         context.application, _IP, 0, protocol=context.protocol
     )
     async with server_context as server:
@@ -218,7 +222,7 @@
 
 async def _stop_late(context):
     """Let clients connect while the loop is blocked just before shutdown."""
-    server_context = serving(
+    server_context = serve(
         context.application, _IP, 0, protocol=context.protocol
     )
     main_loop = _Server.main_loop
@@ -262,7 +266,7 @@
 
 async def _stop_in_response(context):
     loop = asyncio.get_running_loop()
-    server_context = serving(
+    server_context = serve(
         context.application, _IP, 0, protocol=context.protocol
     )
     async with server_context as server:
@@ -297,7 +301,7 @@
 
 
 async def _evict_idle(context):
-    server_context = serving(
+    server_context = serve(
         context.application, _IP, 0, protocol=context.protocol
     )
     async with server_context as server:
@@ -305,7 +309,7 @@
         await anyio.sleep(0.05)
         writer.write(_CALL)
         # The loop does not run between the request's arrival and the eviction.
-        context.protocol.idle.make_room(_CLIENTS + 1)
+        context.protocol.idle.evict_idle(_CLIENTS + 1)
         with anyio.fail_after(5):
             response = await reader.read(4096)
         writer.close()
--- a/tests/links/link_ends.py
+++ b/tests/links/link_ends.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from sardinetrack.http.server import serving
+from sardinetrack.http.server import serve
 from sardinetrack.links.api import (
     Hello,
     LinkBounds,
@@ -89,7 +89,7 @@
         end.sink,
         bounds=bounds,
     )
-    async with serving(acceptor, '127.0.0.1', 0) as server:
+    async with serve(acceptor, '127.0.0.1', 0) as server:
         yield server
 
 
--- a/tests/side/side_backend.py
+++ b/tests/side/side_backend.py
@@ -8,7 +8,7 @@
 from anyio.lowlevel import checkpoint
 
 from sardinetrack.catalogue.api import Pool, PoolClass
-from sardinetrack.http.asgi import Exchange, Receive, Scope, Send
+from sardinetrack.http.asgi import HttpExchange, Receive, Scope, Send
 from sardinetrack.messages.run import RunRequest
 
 INCARNATION: Final = 'side-1-second'
@@ -58,44 +58,44 @@
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
         """Run the method named after the path."""
-        exchange = Exchange(scope, receive, send)
+        exchange = HttpExchange(scope, receive, send)
         body = await exchange.body(10_000, _BODY_SECONDS)
         if exchange.path == '/load':
             await self.responsive.wait()
-            await exchange.answer_json(200, {'running': 0})
+            await exchange.respond_json(200, {'running': 0})
             return
         self.executions.append(exchange.target)
         self.bodies.append(body)
         name = exchange.path.replace('/', '_')
         await getattr(self, name)(exchange, body)
 
-    async def _echo(self, exchange: Exchange, body: bytes) -> None:
+    async def _echo(self, exchange: HttpExchange, body: bytes) -> None:
         pairs = [
             ('x-server', 'galata \xe9'),
             ('x-seen', exchange.header('x-caller') or ''),
         ]
         await exchange.respond(201, body, pairs)
 
-    async def _empty(self, exchange: Exchange, body: bytes) -> None:
+    async def _empty(self, exchange: HttpExchange, body: bytes) -> None:
         await exchange.start(204, ())
         await exchange.finish()
 
-    async def _head(self, exchange: Exchange, body: bytes) -> None:
+    async def _head(self, exchange: HttpExchange, body: bytes) -> None:
         await exchange.start(200, [('content-length', '4711')])
         await exchange.finish()
 
-    async def _events(self, exchange: Exchange, body: bytes) -> None:
+    async def _events(self, exchange: HttpExchange, body: bytes) -> None:
         await exchange.start(200, [('content-type', 'text/event-stream')])
         for chunk in (b'da', b'ta: 1\n\ndata: 2\n\n', b'data: [DONE]\n\n'):
             await exchange.write(chunk)
             await anyio.sleep(0.02)
         await exchange.finish()
 
-    async def _usage(self, exchange: Exchange, body: bytes) -> None:
+    async def _usage(self, exchange: HttpExchange, body: bytes) -> None:
         usage = {'prompt_tokens': 100, 'completion_tokens': 30}
-        await exchange.answer_json(200, {'choices': [], 'usage': usage})
+        await exchange.respond_json(200, {'choices': [], 'usage': usage})
 
-    async def _gated(self, exchange: Exchange, body: bytes) -> None:
+    async def _gated(self, exchange: HttpExchange, body: bytes) -> None:
         await exchange.start(200, ())
         await exchange.write(b'first ')
         async with anyio.create_task_group() as tasks:
@@ -104,7 +104,7 @@
             tasks.cancel_scope.cancel()
         await exchange.finish(b'last')
 
-    async def _flood(self, exchange: Exchange, body: bytes) -> None:
+    async def _flood(self, exchange: HttpExchange, body: bytes) -> None:
         await exchange.start(200, ())
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._record_cancel, exchange)
@@ -112,11 +112,11 @@
                 await exchange.write(b'x' * 65_536)
                 await checkpoint()
 
-    async def _record_cancel(self, exchange: Exchange) -> None:
+    async def _record_cancel(self, exchange: HttpExchange) -> None:
         await exchange.wait_for_disconnect()
         self.cancelled.set()
 
-    async def _cut(self, exchange: Exchange, body: bytes) -> None:
+    async def _cut(self, exchange: HttpExchange, body: bytes) -> None:
         await exchange.start(200, ())
         await exchange.write(b'half of it')
         raise ConnectionError('the backend server truncates its stream')
--- a/tests/side/side_world.py
+++ b/tests/side/side_world.py
@@ -15,14 +15,14 @@
 from sardinetrack.catalogue.api import Pool
 from sardinetrack.config.model import SideSettings
 from sardinetrack.http.client import (
-    BrokenError,
+    ConnectionBrokenError,
     HttpClient,
-    Reply,
+    HttpResponse,
 )
-from sardinetrack.http.server import BoundServer, serving
+from sardinetrack.http.server import BoundServer, serve
 from sardinetrack.links.api import Hello, LinkBounds, PeerRole
 from sardinetrack.links.client import LinkDialer
-from sardinetrack.links.run_reply import RunReply
+from sardinetrack.links.run_response import RunResponse
 from sardinetrack.links.secret import PeerSecret
 from sardinetrack.messages.run import (
     ATTEMPT_PATH,
@@ -83,7 +83,7 @@
     @asynccontextmanager
     async def streamed(
         self, run_request: RunRequest, body: bytes = b''
-    ) -> AsyncIterator[RunReply]:
+    ) -> AsyncIterator[RunResponse]:
         """Send a run request and yield its response while it arrives."""
         async with self.client.stream(
             'POST',
@@ -94,7 +94,7 @@
             ],
             body=body,
         ) as response:
-            yield RunReply(response)
+            yield RunResponse(response)
 
     async def query_attempt(
         self,
@@ -114,7 +114,7 @@
             response.body, type=AttemptStatusResponse
         ).fate
 
-    async def get(self, url: str, *pairs: tuple[str, str]) -> Reply:
+    async def get(self, url: str, *pairs: tuple[str, str]) -> HttpResponse:
         """Fetch a page."""
         return await self.client.call('GET', url, headers=pairs)
 
@@ -150,7 +150,7 @@
     try:
         with anyio.fail_after(WAIT_SECONDS):
             return b''.join([chunk async for chunk in chunks])
-    except BrokenError:
+    except ConnectionBrokenError:
         return None
 
 
@@ -176,7 +176,7 @@
 async def running_side(pool: Pool = POOL) -> AsyncIterator[World]:
     """Run a side beside its backend server."""
     backend = Backend()
-    async with serving(backend, '127.0.0.1', 0) as server:
+    async with serve(backend, '127.0.0.1', 0) as server:
         dependencies = SideParts(
             settings=settings(server.url),
             peer_secret=SECRET,
--- a/tests/side/steps/side_steps.py
+++ b/tests/side/steps/side_steps.py
@@ -26,7 +26,7 @@
 )
 
 from sardinetrack.catalogue.api import PoolClass
-from sardinetrack.http.server import serving
+from sardinetrack.http.server import serve
 from sardinetrack.links.api import LinkMessageReceived, LinkUp
 from sardinetrack.logs.formatters import JsonFormatter
 from sardinetrack.messages.api import (
@@ -303,7 +303,7 @@
 def step_restart_server(context: Any) -> None:
     port = context.world.server.port
     backend = context.world.backend
-    _enter(context, serving(backend, '127.0.0.1', port))
+    _enter(context, serve(backend, '127.0.0.1', port))
 
 
 @then('the response has fate {fate} and status {status:d}')
--- a/tests/standin/steps/engine_steps.py
+++ b/tests/standin/steps/engine_steps.py
@@ -17,7 +17,7 @@
     wait_until,
 )
 
-from sardinetrack.http.client import BrokenError, NotSentError
+from sardinetrack.http.client import ConnectionBrokenError, RequestNotSentError
 from sardinetrack.standin.engine import Engine
 from sardinetrack.standin.engine_batch import EngineRates
 from sardinetrack.standin.engine_load import LoadMeter
@@ -47,7 +47,7 @@
         'POST',
         f'{context.url}{CHAT}',
         body=chat_body(text, stream=True),
-        read_seconds=MAX_WAIT_SECONDS,
+        read_timeout_seconds=MAX_WAIT_SECONDS,
     ) as reply:
         async for chunk in reply.chunks():
             received.append(chunk)
@@ -90,7 +90,7 @@
     context.interrupted = False
     try:
         context.portal.call(read_stream, context, text, context.received)
-    except BrokenError:
+    except ConnectionBrokenError:
         context.interrupted = True
 
 
@@ -145,7 +145,7 @@
     context.interrupted = False
     try:
         context.reply = send_chat(context, text)
-    except BrokenError:
+    except ConnectionBrokenError:
         context.interrupted = True
 
 
@@ -243,16 +243,16 @@
 def both_interrupted(context: Any) -> None:
     assert context.interrupted
     error = context.running.exception(MAX_WAIT_SECONDS)
-    assert isinstance(error, BrokenError), error
+    assert isinstance(error, ConnectionBrokenError), error
     assert '[DONE]' not in events(context.received)
 
 
 def refuses(context: Any) -> bool:
     try:
         send_chat(context, 'id=next')
-    except BrokenError:
+    except ConnectionBrokenError:
         return False
-    except NotSentError:
+    except RequestNotSentError:
         return True
     raise AssertionError('the crashed engine responded')
 
@@ -260,7 +260,7 @@
 def responds(context: Any) -> bool:
     try:
         return send_chat(context, 'id=again').status == 200
-    except (BrokenError, NotSentError):
+    except (ConnectionBrokenError, RequestNotSentError):
         return False
 
 
--- a/tests/standin/steps/relay_steps.py
+++ b/tests/standin/steps/relay_steps.py
@@ -8,7 +8,7 @@
 from service_steps import service
 from standin_steps import MAX_WAIT_SECONDS, counts, wait_until
 
-from sardinetrack.http.client import BrokenError, NotSentError
+from sardinetrack.http.client import ConnectionBrokenError, RequestNotSentError
 from sardinetrack.standin.relay import Direction, relaying
 
 LOOKUP = '/lookup/7'
@@ -51,13 +51,13 @@
 @then('the slow request was interrupted')
 def slow_interrupted(context: Any) -> None:
     error = context.running.exception(MAX_WAIT_SECONDS)
-    assert isinstance(error, BrokenError), error
+    assert isinstance(error, ConnectionBrokenError), error
 
 
 @then('a lookup through the proxy is not sent')
 def not_sent(context: Any) -> None:
     error = start(context, LOOKUP).exception(MAX_WAIT_SECONDS)
-    assert isinstance(error, NotSentError), error
+    assert isinstance(error, RequestNotSentError), error
 
 
 @then('after it is restored a lookup through the proxy succeeds')
--- a/tests/standin/steps/service_steps.py
+++ b/tests/standin/steps/service_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 from standin_steps import call, counts, host, wait_until
 
-from sardinetrack.http.client import BrokenError
+from sardinetrack.http.client import ConnectionBrokenError
 from sardinetrack.standin.service import Service
 from sardinetrack.standin.settings import ServiceSettings
 
@@ -35,7 +35,7 @@
     context.interrupted = False
     try:
         context.reply = call(context, method, target, body.encode())
-    except BrokenError:
+    except ConnectionBrokenError:
         context.interrupted = True
 
 
--- a/tests/standin/steps/standin_steps.py
+++ b/tests/standin/steps/standin_steps.py
@@ -38,7 +38,7 @@
         f'{context.url}{path}',
         body=body,
         headers=headers,
-        read_seconds=MAX_WAIT_SECONDS,
+        read_timeout_seconds=MAX_WAIT_SECONDS,
     )
     return context.portal.call(request)
 
--- a/tests/store/steps/http_steps.py
+++ b/tests/store/steps/http_steps.py
@@ -11,7 +11,7 @@
 from behave import given, step, then, when
 
 from sardinetrack.http.client import HttpClient
-from sardinetrack.http.server import serving
+from sardinetrack.http.server import serve
 from sardinetrack.standin.platform import PlatformStandin
 from sardinetrack.store.api import (
     MAX_VALUE_BYTES,
@@ -39,7 +39,7 @@
     context.http = stack.enter_context(enter(HttpClient()))
     context.server_stack = stack.enter_context(ExitStack())
     context.server = context.server_stack.enter_context(
-        enter(serving(context.standin, '127.0.0.1', 0))
+        enter(serve(context.standin, '127.0.0.1', 0))
     )
     context.platform = _client(context, _TOKEN)
     context.written = []
