--- a/src/sardinetrack/links/api.py
+++ b/src/sardinetrack/links/api.py
@@ -35,17 +35,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkBounds:
+class LinkLimits:
     """Timeouts and size limits of a link."""
 
-    beat_seconds: float = 1.0
+    heartbeat_interval_seconds: float = 1.0
     """An end that has sent nothing for this time sends an empty frame."""
-    silence_seconds: float = 2.8
+    heartbeat_timeout_seconds: float = 2.8
     """An end that has received nothing for this time closes the link."""
     open_timeout_seconds: float = 2.0
     max_frame_bytes: int = 4_000_000
     outbox_messages: int = 1024
-    longest_retry_seconds: float = 1.0
+    max_retry_seconds: float = 1.0
 
 
 class Link(ABC):
--- a/src/sardinetrack/links/client.py
+++ b/src/sardinetrack/links/client.py
@@ -12,7 +12,7 @@
 from websockets.exceptions import ConnectionClosed, WebSocketException
 
 from sardinetrack.charts.typed import TypedStateChart
-from sardinetrack.links.api import LINK_PATH, Hello, LinkBounds, LinkEvents
+from sardinetrack.links.api import LINK_PATH, Hello, LinkEvents, LinkLimits
 from sardinetrack.links.frames import FrameSocket, LinkLostError
 from sardinetrack.links.link import FrameLink
 from sardinetrack.links.secret import (
@@ -89,7 +89,7 @@
         secret: PeerSecret,
         events: LinkEvents,
         *,
-        bounds: LinkBounds | None = None,
+        bounds: LinkLimits | None = None,
         rng: Random | None = None,
     ) -> None:
         """Build a dialer; ``run`` opens the link.
@@ -104,7 +104,7 @@
         self.address = address
         self._headers = [secret.header(), hello_header(hello)]
         self._events = events
-        self._bounds = bounds or LinkBounds()
+        self._bounds = bounds or LinkLimits()
         self._rng = rng or Random()
         self._chart = _CHART.start()
         self._consecutive_failures = 0
@@ -141,7 +141,7 @@
         # that keeps closing its links would otherwise be dialled without a
         # backoff.
         lasted_seconds = anyio.current_time() - opened_at
-        if lasted_seconds > self._bounds.longest_retry_seconds:
+        if lasted_seconds > self._bounds.max_retry_seconds:
             self._consecutive_failures = 0
         else:
             self._consecutive_failures += 1
@@ -173,7 +173,7 @@
     def _backoff_seconds(self) -> float:
         doublings = min(self._consecutive_failures, _MAX_DOUBLINGS)
         limit_seconds = min(
-            self._bounds.longest_retry_seconds,
+            self._bounds.max_retry_seconds,
             _INITIAL_BACKOFF_SECONDS * (1 << doublings),
         )
         return limit_seconds * self._rng.uniform(_MIN_JITTER_FRACTION, 1)
--- a/src/sardinetrack/links/link.py
+++ b/src/sardinetrack/links/link.py
@@ -11,9 +11,9 @@
 from sardinetrack.links.api import (
     Hello,
     Link,
-    LinkBounds,
     LinkDown,
     LinkEvents,
+    LinkLimits,
     LinkMessageReceived,
     LinkUp,
 )
@@ -38,7 +38,7 @@
         self,
         connection: FrameSocket,
         peer: Hello,
-        bounds: LinkBounds,
+        bounds: LinkLimits,
     ) -> None:
         """Wrap an open connection; ``run`` sends and receives."""
         self._connection = connection
@@ -175,8 +175,12 @@
         # only mean one of the two.
         while True:
             now = anyio.current_time()
-            timeout_at = self._received_at + self._bounds.silence_seconds
-            heartbeat_at = self._sent_at + self._bounds.beat_seconds
+            timeout_at = (
+                self._received_at + self._bounds.heartbeat_timeout_seconds
+            )
+            heartbeat_at = (
+                self._sent_at + self._bounds.heartbeat_interval_seconds
+            )
             if now >= timeout_at:
                 _LOG.warning(
                     'heartbeat timeout, closing the link',
@@ -187,5 +191,5 @@
             if now >= heartbeat_at:
                 self._sent_at = now
                 self.post_encoded(_HEARTBEAT)
-                heartbeat_at = now + self._bounds.beat_seconds
+                heartbeat_at = now + self._bounds.heartbeat_interval_seconds
             await anyio.sleep(min(timeout_at, heartbeat_at) - now)
--- a/src/sardinetrack/links/server.py
+++ b/src/sardinetrack/links/server.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sardinetrack.http.asgi import Message, Receive, Scope, Send
-from sardinetrack.links.api import Hello, LinkBounds, LinkEvents
+from sardinetrack.links.api import Hello, LinkEvents, LinkLimits
 from sardinetrack.links.frames import FrameSocket, LinkLostError
 from sardinetrack.links.link import FrameLink
 from sardinetrack.links.secret import (
@@ -59,7 +59,7 @@
         secret: PeerSecret,
         events: LinkEvents,
         *,
-        bounds: LinkBounds | None = None,
+        bounds: LinkLimits | None = None,
     ) -> None:
         """Build an acceptor.
 
@@ -70,7 +70,7 @@
         self._response_headers = [_encode_header(*hello_header(hello))]
         self._secret = secret
         self._events = events
-        self._bounds = bounds or LinkBounds()
+        self._bounds = bounds or LinkLimits()
 
     async def __call__(
         self,
--- a/src/sardinetrack/side/parts.py
+++ b/src/sardinetrack/side/parts.py
@@ -7,7 +7,7 @@
 
 from sardinetrack.admission.api import Admission
 from sardinetrack.config.model import SideSettings
-from sardinetrack.links.api import LinkBounds
+from sardinetrack.links.api import LinkLimits
 from sardinetrack.links.secret import PeerSecret
 from sardinetrack.side.concurrency import ConcurrencyLimit, FixedLimit
 from sardinetrack.side.configuration import SideConfiguration
@@ -27,7 +27,7 @@
     admission: Admission
     configuration: SideConfiguration
     concurrency: ConcurrencyLimit = field(default_factory=FixedLimit)
-    link_bounds: LinkBounds = field(default_factory=LinkBounds)
+    link_limits: LinkLimits = field(default_factory=LinkLimits)
     platform: Platform | None = None
     """Stores the lease; without it a side sends no load commands."""
     send_seconds: float = _SEND_SECONDS
--- a/src/sardinetrack/side/wiring.py
+++ b/src/sardinetrack/side/wiring.py
@@ -70,7 +70,7 @@
             self._identity.hello(),
             self._dependencies.peer_secret,
             self.events,
-            bounds=self._dependencies.link_bounds,
+            bounds=self._dependencies.link_limits,
         )
         run = RunEndpoint(
             RunDependencies(
--- a/tests/links/link_ends.py
+++ b/tests/links/link_ends.py
@@ -14,8 +14,8 @@
 from sardinetrack.http.server import serve
 from sardinetrack.links.api import (
     Hello,
-    LinkBounds,
     LinkDown,
+    LinkLimits,
     LinkMessageReceived,
     LinkUp,
     PeerRole,
@@ -25,11 +25,11 @@
 from sardinetrack.links.server import LinkAcceptor
 
 SECRET: Final = 'winter-harbour'
-BOUNDS: Final = LinkBounds(
-    beat_seconds=0.1,
-    silence_seconds=0.5,
+BOUNDS: Final = LinkLimits(
+    heartbeat_interval_seconds=0.1,
+    heartbeat_timeout_seconds=0.5,
     open_timeout_seconds=1.0,
-    longest_retry_seconds=0.2,
+    max_retry_seconds=0.2,
     outbox_messages=8,
 )
 WAIT_SECONDS: Final = 15.0
@@ -80,7 +80,7 @@
 
 @asynccontextmanager
 async def accept_links(
-    end: LinkEnd, bounds: LinkBounds = BOUNDS
+    end: LinkEnd, bounds: LinkLimits = BOUNDS
 ) -> AsyncIterator:
     """Accept links as a side."""
     acceptor = LinkAcceptor(
@@ -98,7 +98,7 @@
     end: LinkEnd,
     address: str,
     secret: str = SECRET,
-    bounds: LinkBounds = BOUNDS,
+    bounds: LinkLimits = BOUNDS,
 ) -> AsyncIterator[None]:
     """Keep an entry's link to the side open."""
     dialer = LinkDialer(
--- a/tests/side/side_world.py
+++ b/tests/side/side_world.py
@@ -20,7 +20,7 @@
     HttpResponse,
 )
 from sardinetrack.http.server import BoundServer, serve
-from sardinetrack.links.api import Hello, LinkBounds, PeerRole
+from sardinetrack.links.api import Hello, LinkLimits, PeerRole
 from sardinetrack.links.client import LinkDialer
 from sardinetrack.links.run_response import RunResponse
 from sardinetrack.links.secret import PeerSecret
@@ -183,7 +183,9 @@
             incarnation=INCARNATION,
             admission=FakeAdmission(),
             configuration=FakeConfiguration(pool),
-            link_bounds=LinkBounds(beat_seconds=0.1, silence_seconds=0.5),
+            link_limits=LinkLimits(
+                heartbeat_interval_seconds=0.1, heartbeat_timeout_seconds=0.5
+            ),
             send_seconds=0.3,
         )
         async with SideDaemon(dependencies) as side:
@@ -200,9 +202,7 @@
         Hello('entry-1', PeerRole.ENTRY, 'entry-1-first', 'galata'),
         SECRET,
         world.sink,
-        bounds=replace(
-            world.dependencies.link_bounds, longest_retry_seconds=0.1
-        ),
+        bounds=replace(world.dependencies.link_limits, max_retry_seconds=0.1),
     )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(dialer.run)
