--- a/src/sardinetrack/catalogue/feed.py
+++ b/src/sardinetrack/catalogue/feed.py
@@ -11,7 +11,7 @@
 
 from sardinetrack.catalogue.api import CATALOGUE_PREFIX
 from sardinetrack.catalogue.coverage import update_from_listing
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.api import ConfigUpdate
 from sardinetrack.store.api import (
     Listing,
@@ -31,7 +31,7 @@
 
 _REPEAT_DELAY_SECONDS: Final = 0.1
 
-_LOG: Final = PartLogger(Part.CATALOGUE)
+_LOG: Final = ComponentLogger(LogComponent.CATALOGUE)
 
 
 @dataclass
--- a/src/sardinetrack/entry/attempt.py
+++ b/src/sardinetrack/entry/attempt.py
@@ -24,11 +24,11 @@
     StreamedResponse,
 )
 from sardinetrack.links.run_response import RunResponse
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.run import RUN_PATH, AttemptStatus
 from sardinetrack.routing.api import AttemptOutcome, Dispatch
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 _TRUNCATE_AFTER_SECONDS: Final = 1.0
 _MARGIN_SECONDS: Final = 5.0
 """The side's own limit on the run ends it first."""
--- a/src/sardinetrack/entry/config_sync.py
+++ b/src/sardinetrack/entry/config_sync.py
@@ -8,10 +8,10 @@
 from sardinetrack.entry.dispatcher import Dispatcher
 from sardinetrack.entry.linked_peers import LinkedPeers
 from sardinetrack.links.api import Link, PeerRole
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.api import ConfigDigest, ConfigUpdate
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 
 
 class ConfigSync:
--- a/src/sardinetrack/entry/daemon.py
+++ b/src/sardinetrack/entry/daemon.py
@@ -16,11 +16,11 @@
 from sardinetrack.http.asgi import Application
 from sardinetrack.http.client import HttpClient
 from sardinetrack.http.server import BoundServer
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.process.daemon import ServingDaemon
 from sardinetrack.process.startup import startup_cost
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 
 
 class EntryDaemon(ServingDaemon):
--- a/src/sardinetrack/entry/decision_log.py
+++ b/src/sardinetrack/entry/decision_log.py
@@ -5,7 +5,11 @@
 from typing import Final
 
 from sardinetrack.entry.pending_request import PendingRequest
-from sardinetrack.logs.lines import DecisionRecord, Part, PartLogger
+from sardinetrack.logs.lines import (
+    ComponentLogger,
+    DecisionRecord,
+    LogComponent,
+)
 from sardinetrack.routing.api import (
     AttemptOutcome,
     Dispatch,
@@ -13,7 +17,7 @@
     WaitNotice,
 )
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 _DIGITS: Final = 3
 
 
--- a/src/sardinetrack/entry/peer_dialers.py
+++ b/src/sardinetrack/entry/peer_dialers.py
@@ -10,11 +10,11 @@
 from sardinetrack.links.api import Hello, LinkEvents, PeerRole
 from sardinetrack.links.client import LinkDialer
 from sardinetrack.links.secret import PeerSecret
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.membership.api import Gone, Joined, MembershipChange
 from sardinetrack.store.api import InstanceState, ListedInstance
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 
 
 class PeerDialers:
--- a/src/sardinetrack/entry/peer_events.py
+++ b/src/sardinetrack/entry/peer_events.py
@@ -16,7 +16,7 @@
     LinkUp,
     PeerRole,
 )
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.membership.api import Gone, Joined, MembershipChange
 from sardinetrack.messages.api import (
     ConfigDigest,
@@ -30,7 +30,7 @@
 )
 from sardinetrack.routing.api import SideInfo
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 
 
 class PeerEvents:
--- a/src/sardinetrack/entry/request_handler.py
+++ b/src/sardinetrack/entry/request_handler.py
@@ -29,9 +29,9 @@
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.errors.table import error_response_for
 from sardinetrack.http.asgi import ClientDisconnectedError, HttpExchange
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 _MODELS_PATH: Final = '/v1/models'
 _DIGITS: Final = 3
 
--- a/src/sardinetrack/entry/stall_detection.py
+++ b/src/sardinetrack/entry/stall_detection.py
@@ -10,10 +10,10 @@
 
 from sardinetrack.entry.side_directory import SideDirectory, SideEndpoint
 from sardinetrack.entry.status_query import StatusQuery
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.run import AttemptStatus
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 STALL_SECONDS: Final = 2.0
 """An active response delivers data more often than this."""
 SIDE_RETURN_SECONDS: Final = 15.0
--- a/src/sardinetrack/entry/status_query.py
+++ b/src/sardinetrack/entry/status_query.py
@@ -10,7 +10,7 @@
 
 from sardinetrack.entry.side_directory import SideDirectory, SideEndpoint
 from sardinetrack.http.client import ConnectionBrokenError, RequestNotSentError
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.run import (
     ATTEMPT_PATH,
     AttemptStatus,
@@ -19,7 +19,7 @@
 )
 from sardinetrack.routing.api import AttemptOutcome, Dispatch
 
-_LOG: Final = PartLogger(Part.ENTRY)
+_LOG: Final = ComponentLogger(LogComponent.ENTRY)
 _DELAYS_SECONDS: Final = (0, 0.2, 0.6)
 _QUERY_TIMEOUT_SECONDS: Final = 1.0
 STATUS_TRUST_SECONDS: Final = 600.0
--- a/src/sardinetrack/links/client.py
+++ b/src/sardinetrack/links/client.py
@@ -21,9 +21,9 @@
     hello_header,
     read_hello,
 )
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 
-_LOG: Final = PartLogger(Part.LINK)
+_LOG: Final = ComponentLogger(LogComponent.LINK)
 _INITIAL_BACKOFF_SECONDS: Final = 0.05
 _MIN_JITTER_FRACTION: Final = 0.5
 _MAX_DOUBLINGS: Final = 16
--- a/src/sardinetrack/links/link.py
+++ b/src/sardinetrack/links/link.py
@@ -18,11 +18,11 @@
     LinkUp,
 )
 from sardinetrack.links.frames import FrameSocket, LinkLostError
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.api import LinkMessage
 from sardinetrack.messages.codec import decode, encode
 
-_LOG: Final = PartLogger(Part.LINK)
+_LOG: Final = ComponentLogger(LogComponent.LINK)
 _HEARTBEAT: Final = b''
 _DOWN_EVENT_TIMEOUT_SECONDS: Final = 1.0
 
--- a/src/sardinetrack/links/server.py
+++ b/src/sardinetrack/links/server.py
@@ -17,9 +17,9 @@
     hello_header,
     read_hello,
 )
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 
-_LOG: Final = PartLogger(Part.LINK)
+_LOG: Final = ComponentLogger(LogComponent.LINK)
 _LATIN: Final = 'latin-1'
 _TYPE: Final = 'type'
 
--- a/src/sardinetrack/logs/__init__.py
+++ b/src/sardinetrack/logs/__init__.py
@@ -3,6 +3,16 @@
 from __future__ import annotations
 
 from sardinetrack.logs.configure import LogFormat, configure
-from sardinetrack.logs.lines import DecisionRecord, Part, PartLogger
+from sardinetrack.logs.lines import (
+    ComponentLogger,
+    DecisionRecord,
+    LogComponent,
+)
 
-__all__ = ['DecisionRecord', 'LogFormat', 'Part', 'PartLogger', 'configure']
+__all__ = [
+    'DecisionRecord',
+    'LogFormat',
+    'LogComponent',
+    'ComponentLogger',
+    'configure',
+]
--- a/src/sardinetrack/logs/lines.py
+++ b/src/sardinetrack/logs/lines.py
@@ -14,7 +14,7 @@
 ROOT_LOGGER: Final = 'sardinetrack'
 
 
-class Part(StrEnum):
+class LogComponent(StrEnum):
     """A component of the system; the value is the prefix of its lines."""
 
     ENTRY = 'entry'
@@ -47,10 +47,10 @@
     """Whether the request was running when another backend server crashed."""
 
 
-class PartLogger:
+class ComponentLogger:
     """Logger of one component."""
 
-    def __init__(self, part: Part) -> None:
+    def __init__(self, part: LogComponent) -> None:
         """Log under the component's prefix."""
         self._logger = logging.getLogger(f'{ROOT_LOGGER}.{part.value}')
 
--- a/src/sardinetrack/membership/feed.py
+++ b/src/sardinetrack/membership/feed.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.streams.memory import MemoryObjectSendStream
 
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.membership.api import MembershipChange
 from sardinetrack.membership.view import MembershipView
 from sardinetrack.store.api import Platform, PlatformError
@@ -18,7 +18,7 @@
 _MIN_JITTER_FACTOR: Final = 0.9
 _MAX_JITTER_FACTOR: Final = 1.1
 
-_LOG: Final = PartLogger(Part.MEMBERSHIP)
+_LOG: Final = ComponentLogger(LogComponent.MEMBERSHIP)
 
 
 class MembershipFeed:
--- a/src/sardinetrack/process/signals.py
+++ b/src/sardinetrack/process/signals.py
@@ -8,10 +8,10 @@
 import anyio
 
 from sardinetrack.charts.drain import DRAIN_CHART, DrainEvent, DrainState
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.process.api import Drainable
 
-_LOG: Final = PartLogger(Part.PROCESS)
+_LOG: Final = ComponentLogger(LogComponent.PROCESS)
 
 
 async def run_until_drained(daemon: Drainable) -> None:
--- a/src/sardinetrack/process/startup.py
+++ b/src/sardinetrack/process/startup.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from typing import Final
 
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 
-_LOG: Final = PartLogger(Part.PROCESS)
+_LOG: Final = ComponentLogger(LogComponent.PROCESS)
 _STAT_PATH: Final = Path('/proc/self/stat')
 _START_TICKS_FIELD: Final = 19
 """Index among the fields after the command's name; see ``proc(5)``."""
--- a/src/sardinetrack/side/backend_run.py
+++ b/src/sardinetrack/side/backend_run.py
@@ -14,7 +14,7 @@
     RequestNotSentError,
     StreamedResponse,
 )
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.run import AttemptStatus, RunResult
 from sardinetrack.side.attempt import Attempt
 from sardinetrack.side.backend_watch import request_probe
@@ -24,7 +24,7 @@
 from sardinetrack.side.responses import send_result, start_response
 from sardinetrack.side.run_dependencies import RunDependencies
 
-_LOG: Final = PartLogger(Part.SIDE)
+_LOG: Final = ComponentLogger(LogComponent.SIDE)
 
 
 class BackendRun:
--- a/src/sardinetrack/side/backend_watch.py
+++ b/src/sardinetrack/side/backend_watch.py
@@ -12,7 +12,7 @@
 )
 
 from sardinetrack.catalogue.api import Pool, PoolClass
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.side.backend import (
     BackendServer,
     UnreachableError,
@@ -23,7 +23,7 @@
 from sardinetrack.side.events import LimitChanged, SideEvents
 from sardinetrack.side.load_report import LoadReport
 
-_LOG: Final = PartLogger(Part.SIDE)
+_LOG: Final = ComponentLogger(LogComponent.SIDE)
 _POLL_INTERVAL_SECONDS: Final = 1.0
 _RETRY_INTERVAL_SECONDS: Final = 0.25
 _UNRESPONSIVE_SECONDS: Final = 3.0
--- a/src/sardinetrack/side/daemon.py
+++ b/src/sardinetrack/side/daemon.py
@@ -9,7 +9,7 @@
 
 from sardinetrack.http.client import HttpClient
 from sardinetrack.http.server import BoundServer
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.process.daemon import ServingDaemon
 from sardinetrack.process.startup import startup_cost
 from sardinetrack.side.events import DrainStarted, DrainTimedOut
@@ -17,7 +17,7 @@
 from sardinetrack.side.parts import SideParts
 from sardinetrack.side.wiring import Wiring
 
-_LOG: Final = PartLogger(Part.SIDE)
+_LOG: Final = ComponentLogger(LogComponent.SIDE)
 _LINGER_SECONDS: Final = 0.5
 """Run requests sent before entries received the drain notice get a clear
 refusal."""
--- a/src/sardinetrack/side/link_event_handler.py
+++ b/src/sardinetrack/side/link_event_handler.py
@@ -5,11 +5,11 @@
 from typing import Final
 
 from sardinetrack.links.api import LinkDown, LinkMessageReceived, LinkUp
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.api import Bids, ConfigDigest, ConfigUpdate, Decline
 from sardinetrack.side.owner_state import Effects, OwnerState
 
-_LOG: Final = PartLogger(Part.SIDE)
+_LOG: Final = ComponentLogger(LogComponent.SIDE)
 
 
 class LinkEventHandler:
--- a/src/sardinetrack/side/link_state.py
+++ b/src/sardinetrack/side/link_state.py
@@ -8,7 +8,7 @@
 
 from sardinetrack.links.api import Link
 from sardinetrack.links.table import LinkTable
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.api import (
     ConfigDigest,
     ConfigUpdate,
@@ -18,7 +18,7 @@
 from sardinetrack.side.backend_watch import ProbeNow, request_probe
 from sardinetrack.side.configuration import SideConfiguration
 
-_LOG: Final = PartLogger(Part.SIDE)
+_LOG: Final = ComponentLogger(LogComponent.SIDE)
 BROADCAST_INTERVAL_SECONDS: Final = 0.05
 
 
--- a/src/sardinetrack/side/log.py
+++ b/src/sardinetrack/side/log.py
@@ -4,11 +4,15 @@
 
 from typing import Final
 
-from sardinetrack.logs.lines import DecisionRecord, Part, PartLogger
+from sardinetrack.logs.lines import (
+    ComponentLogger,
+    DecisionRecord,
+    LogComponent,
+)
 from sardinetrack.messages.run import RunRequest
 from sardinetrack.side.identity import SideIdentity
 
-_LOG: Final = PartLogger(Part.SIDE)
+_LOG: Final = ComponentLogger(LogComponent.SIDE)
 
 
 class DecisionLog:
--- a/src/sardinetrack/side/owner.py
+++ b/src/sardinetrack/side/owner.py
@@ -25,7 +25,7 @@
 )
 from sardinetrack.charts.drain import DRAIN_CHART, DrainEvent, DrainState
 from sardinetrack.links.api import LinkDown, LinkMessageReceived, LinkUp
-from sardinetrack.logs.lines import Part, PartLogger
+from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.api import SidePhase
 from sardinetrack.side.events import (
     AttemptEnded,
@@ -42,7 +42,7 @@
 from sardinetrack.side.owner_state import Effects, OwnerState
 from sardinetrack.side.request_event_handler import RequestEventHandler
 
-_LOG: Final = PartLogger(Part.SIDE)
+_LOG: Final = ComponentLogger(LogComponent.SIDE)
 _TICK_SECONDS: Final = 0.1
 
 EventHandler = Callable[[float, Any], Effects]
--- a/tests/logs/steps/lines_steps.py
+++ b/tests/logs/steps/lines_steps.py
@@ -12,18 +12,19 @@
 from behave.runner import Context
 
 from sardinetrack.logs import (
+    ComponentLogger,
     DecisionRecord,
+    LogComponent,
     LogFormat,
-    Part,
-    PartLogger,
     configure,
 )
 
 _PROGRAM = """
 import sys
-from sardinetrack.logs import LogFormat, Part, PartLogger, configure
+from sardinetrack.logs import ComponentLogger, LogComponent
+from sardinetrack.logs import LogFormat, configure
 configure(LogFormat(sys.argv[1]), 'info')
-PartLogger(Part.ENTRY).info(sys.argv[2], port=1)
+ComponentLogger(LogComponent.ENTRY).info(sys.argv[2], port=1)
 """
 
 
@@ -63,7 +64,7 @@
         reason='free slot',
         attempt_id=attempt_id,
     )
-    PartLogger(Part.SIDE).decision('start', record)
+    ComponentLogger(LogComponent.SIDE).decision('start', record)
 
 
 @when('a decision is logged for request "{request}" because "{reason}"')
@@ -76,22 +77,22 @@
         reason=reason,
         waited_seconds=0.25,
     )
-    PartLogger(Part.ENTRY).decision('request sent', record)
+    ComponentLogger(LogComponent.ENTRY).decision('request sent', record)
 
 
 @when('the component "{component}" logs "{sentence}"')
 def step_logs(context: Context, component: str, sentence: str) -> None:
-    PartLogger(Part(component)).info(sentence)
+    ComponentLogger(LogComponent(component)).info(sentence)
 
 
 @when('a line is logged with "{text}" in its sentence')
 def step_in_sentence(context: Context, text: str) -> None:
-    PartLogger(Part.ENTRY).warning(f'refused {text}')
+    ComponentLogger(LogComponent.ENTRY).warning(f'refused {text}')
 
 
 @when('a line is logged with "{text}" in its field')
 def step_in_field(context: Context, text: str) -> None:
-    PartLogger(Part.ENTRY).warning('refused', header=text)
+    ComponentLogger(LogComponent.ENTRY).warning('refused', header=text)
 
 
 @when('a line is logged with "{text}" in its traceback')
@@ -99,12 +100,12 @@
     try:
         _fail(text)
     except ValueError:
-        PartLogger(Part.ENTRY).exception('failed')
+        ComponentLogger(LogComponent.ENTRY).exception('failed')
 
 
 @when('a line is logged with the field "{name}" as "{text}"')
 def step_with_field(context: Context, name: str, text: str) -> None:
-    PartLogger(Part.ENTRY).info('called', **{name: text})
+    ComponentLogger(LogComponent.ENTRY).info('called', **{name: text})
 
 
 @when('a process logs "{sentence}" in the format "{log_format}"')
