--- a/src/sardinetrack/catalogue/feed.py
+++ b/src/sardinetrack/catalogue/feed.py
@@ -15,7 +15,7 @@
 from sardinetrack.messages.api import ConfigUpdate
 from sardinetrack.store.api import (
     Listing,
-    NoAnswerError,
+    NoResponseError,
     Platform,
     PlatformError,
     WatchLostError,
@@ -88,7 +88,7 @@
                 self._revision = None
             # If watches fail whenever there is a change, a list still returns
             # it. In an outage calls are rejected, which causes no list.
-            self._watch_failed = isinstance(error, NoAnswerError)
+            self._watch_failed = isinstance(error, NoResponseError)
             await self._back_off(error)
         else:
             await self._updates.send(update)
--- a/src/sardinetrack/platform/store.py
+++ b/src/sardinetrack/platform/store.py
@@ -17,14 +17,14 @@
     ResponseSink,
 )
 from sardinetrack.store.api import (
+    CallRejectedError,
     ConflictError,
     Listing,
-    NoAnswerError,
+    NoResponseError,
     ObjectApi,
     PlatformError,
-    RefusedError,
+    StoreCounters,
     StoredObject,
-    StoreUse,
     ThrottledError,
     UnavailableError,
     UncertainError,
@@ -113,7 +113,7 @@
         """
         self._address = address
         self._pool = ConnectionPool()
-        self.counters = StoreUse()
+        self.counters = StoreCounters()
 
     async def get(self, key: str) -> StoredObject | None:
         """Read one object."""
@@ -214,7 +214,7 @@
         for raw in items:
             try:
                 found.append(_to_stored_object(kind, _decode(raw, _Object)))
-            except NoAnswerError:
+            except NoResponseError:
                 self.counters.unreadable += 1
                 found.extend(_empty_object(kind, as_of, raw))
         return found
@@ -282,11 +282,11 @@
 
 def _no_response_error(
     method: str, detail: str
-) -> NoAnswerError | UncertainError:
+) -> NoResponseError | UncertainError:
     # A write whose response is lost may have taken effect, or take effect
     # seconds later; only a read certainly has none.
     if method == _READ:
-        return NoAnswerError(detail)
+        return NoResponseError(detail)
     return UncertainError(detail)
 
 
@@ -318,7 +318,7 @@
             return WatchLostError(text)
     if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return _no_response_error(method, text)
-    return RefusedError(text)
+    return CallRejectedError(text)
 
 
 def _empty_object(
@@ -336,7 +336,7 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise NoAnswerError(f'unreadable response: {error}') from error
+        raise NoResponseError(f'unreadable response: {error}') from error
 
 
 def _to_stored_object(
--- a/src/sardinetrack/relay/metrics.py
+++ b/src/sardinetrack/relay/metrics.py
@@ -17,7 +17,7 @@
 
 from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.relay.meters import BOUNDS_SECONDS, Histogram
-from sardinetrack.store.api import StoreUse
+from sardinetrack.store.api import StoreCounters
 from sardinetrack.turns.clock import loop_now
 from sardinetrack.turns.side import SideServer
 
@@ -37,7 +37,7 @@
     return generate_latest(registry)
 
 
-def entry_metrics(state: EntryState, store: StoreUse) -> Iterable[Metric]:
+def entry_metrics(state: EntryState, store: StoreCounters) -> Iterable[Metric]:
     """Return the metrics of an entry.
 
     :param store: its calls to the store since its start.
@@ -59,7 +59,7 @@
     yield _total('log_lines_dropped', 'Dropped lines', state.log.dropped)
 
 
-def _view_metrics(state: EntryState, store: StoreUse) -> Iterable[Metric]:
+def _view_metrics(state: EntryState, store: StoreCounters) -> Iterable[Metric]:
     """Return the metrics of an entry's view of the fleet."""
     yield _gauge(
         'configuration_age_seconds',
@@ -104,7 +104,7 @@
     )
 
 
-def side_metrics(side: SideServer, store: StoreUse) -> Iterable[Metric]:
+def side_metrics(side: SideServer, store: StoreCounters) -> Iterable[Metric]:
     """Return the metrics of a side.
 
     :param store: its calls to the store since its start.
@@ -148,7 +148,7 @@
     yield _counter('turns', 'Verdicts on asked turns', side.verdicts)
 
 
-def _store_metrics(store: StoreUse) -> Iterable[Metric]:
+def _store_metrics(store: StoreCounters) -> Iterable[Metric]:
     yield _total('store_calls', 'Calls to the store', store.calls)
     yield _total(
         'unreadable_objects',
--- a/src/sardinetrack/standin/platform.py
+++ b/src/sardinetrack/standin/platform.py
@@ -24,8 +24,8 @@
 from sardinetrack.standin.platform_objects import ObjectCalls
 from sardinetrack.store.api import (
     MAX_VALUE_BYTES,
+    CallRejectedError,
     ListedInstance,
-    RefusedError,
     UnavailableError,
 )
 from sardinetrack.store.in_process import Disturbance, MemoryPlatform
@@ -75,7 +75,7 @@
         exchange = HttpExchange(scope, receive, send)
         try:
             await self._respond(exchange)
-        except (RequestError, RefusedError, ValueError) as error:
+        except (RequestError, CallRejectedError, ValueError) as error:
             text = str(error).encode()
             await exchange.respond(HTTPStatus.BAD_REQUEST, text)
         except UnavailableError:
--- a/src/sardinetrack/store/api.py
+++ b/src/sardinetrack/store/api.py
@@ -62,7 +62,7 @@
     """The call did not reach the platform or was rejected before any effect."""
 
 
-class NoAnswerError(UnavailableError):
+class NoResponseError(UnavailableError):
     """A read was sent, but no complete response arrived in time."""
 
 
@@ -95,7 +95,7 @@
         self.current = current
 
 
-class RefusedError(PlatformError):
+class CallRejectedError(PlatformError):
     """The platform permanently rejects this call: its token, size or format."""
 
 
@@ -104,7 +104,7 @@
 
 
 @dataclass(slots=True)
-class StoreUse:
+class StoreCounters:
     """Counters of a client of the store since its start."""
 
     calls: int = 0
--- a/src/sardinetrack/store/http.py
+++ b/src/sardinetrack/store/http.py
@@ -16,13 +16,13 @@
     RequestNotSentError,
 )
 from sardinetrack.store.api import (
+    CallRejectedError,
     ConflictError,
     ListedInstance,
     Listing,
-    NoAnswerError,
+    NoResponseError,
     Platform,
     PlatformError,
-    RefusedError,
     StoredObject,
     ThrottledError,
     UnavailableError,
@@ -161,12 +161,12 @@
 
 def _no_response_error(
     method: str, detail: str
-) -> NoAnswerError | UncertainError:
+) -> NoResponseError | UncertainError:
     # A write whose response is lost may have taken effect: a caller that
     # treated it as rejected would write twice or give up a lease that it
     # holds.
     if method == _READ:
-        return NoAnswerError(detail or 'no response in time')
+        return NoResponseError(detail or 'no response in time')
     return UncertainError(detail or 'no response in time')
 
 
@@ -214,7 +214,7 @@
             return WatchLostError(text)
     if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return _no_response_error(method, text)
-    return RefusedError(text)
+    return CallRejectedError(text)
 
 
 def _conflict_error(method: str, response: HttpResponse) -> PlatformError:
--- a/src/sardinetrack/store/memory.py
+++ b/src/sardinetrack/store/memory.py
@@ -9,10 +9,10 @@
 
 from sardinetrack.store.api import (
     MAX_VALUE_BYTES,
+    CallRejectedError,
     ConflictError,
     ListedInstance,
     Listing,
-    RefusedError,
     StoredObject,
     WatchLostError,
 )
@@ -64,10 +64,10 @@
         """Write conditionally; see ``Platform.put``.
 
         :raises ConflictError: the object has another version.
-        :raises RefusedError: the value is too large.
+        :raises CallRejectedError: the value is too large.
         """
         if len(value) > MAX_VALUE_BYTES:
-            raise RefusedError('the value is too large')
+            raise CallRejectedError('the value is too large')
         self._check_version(key, expected_version)
         stored = StoredObject(key, self.revision + 1, value)
         self._objects[key] = stored
--- a/tests/catalogue/steps/feed_steps.py
+++ b/tests/catalogue/steps/feed_steps.py
@@ -15,7 +15,7 @@
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.store.api import (
     Listing,
-    NoAnswerError,
+    NoResponseError,
     ThrottledError,
     UnavailableError,
 )
@@ -48,7 +48,7 @@
             self.fault = ''
             raise UnavailableError('connection closed')
         if self.fault == 'always break' and listing.objects:
-            raise NoAnswerError('connection closed')
+            raise NoResponseError('connection closed')
         if self.fault == 'repeat known changes without delay':
             return Listing(after_revision, self.store.list(prefix).objects)
         if self.fault == 'repeat':
--- a/tests/relay/steps/metrics_steps.py
+++ b/tests/relay/steps/metrics_steps.py
@@ -6,9 +6,9 @@
 from tests.support.relay_world import KEY
 
 from sardinetrack.relay.metrics import entry_metrics, render_metrics
-from sardinetrack.store.api import StoreUse
+from sardinetrack.store.api import StoreCounters
 
-_STORE = StoreUse(calls=3, unreadable=2)
+_STORE = StoreCounters(calls=3, unreadable=2)
 
 
 @then('the page counts {count:d} requests served')
--- a/tests/store/http.feature
+++ b/tests/store/http.feature
@@ -46,16 +46,16 @@
     Then the error is <error>
 
     Examples:
-      | call         | faults                     | error            |
-      | a put        | {"outage": true}           | UnavailableError |
-      | a get        | {"outage": true}           | UnavailableError |
-      | an instances | {"outage": true}           | UnavailableError |
-      | a get        | {"freeze": true}           | NoAnswerError    |
-      | a put        | {"writes_per_second": 0.1} | ThrottledError   |
-      | a list       | {"reads_per_second": 0.1}  | ThrottledError   |
-      | a watch      | {"watch_break": true}      | NoAnswerError    |
-      | an old watch | {}                         | WatchLostError   |
-      | a large put  | {}                         | RefusedError     |
+      | call         | faults                     | error             |
+      | a put        | {"outage": true}           | UnavailableError  |
+      | a get        | {"outage": true}           | UnavailableError  |
+      | an instances | {"outage": true}           | UnavailableError  |
+      | a get        | {"freeze": true}           | NoResponseError   |
+      | a put        | {"writes_per_second": 0.1} | ThrottledError    |
+      | a list       | {"reads_per_second": 0.1}  | ThrottledError    |
+      | a watch      | {"watch_break": true}      | NoResponseError   |
+      | an old watch | {}                         | WatchLostError    |
+      | a large put  | {}                         | CallRejectedError |
 
   Scenario: A platform that is not running
     When the platform stops before a put
@@ -63,7 +63,7 @@
 
   Scenario: A wrong token is rejected
     When a get is made with a wrong token
-    Then the error is RefusedError
+    Then the error is CallRejectedError
 
   Scenario: A watch returns a change, a deletion, or nothing after its timeout
     When a watch waits while "a/1" is created with "one"
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -10,7 +10,7 @@
 from collections import Counter
 
 from sardinetrack.logs.events import EventLog
-from sardinetrack.store.api import Listing, NoAnswerError, StoredObject
+from sardinetrack.store.api import Listing, NoResponseError, StoredObject
 from sardinetrack.topology.feed import (
     CHANGE_WATCH_SECONDS,
     CONFIRMING_WATCH_SECONDS,
@@ -116,7 +116,7 @@
         if self.silent:
             await asyncio.sleep(1000)
         if self._fails():
-            raise NoAnswerError('away')
+            raise NoResponseError('away')
 
 
 class Taker(FeedListener):
--- a/tests/topology/steps/feed_steps.py
+++ b/tests/topology/steps/feed_steps.py
@@ -11,7 +11,7 @@
 from sardinetrack.logs.events import EventLog
 from sardinetrack.store.api import (
     Listing,
-    NoAnswerError,
+    NoResponseError,
     StoredObject,
     WatchLostError,
 )
@@ -78,7 +78,7 @@
     def _respond(self):
         if self.failing_calls:
             self.failing_calls -= 1
-            raise NoAnswerError('silent')
+            raise NoResponseError('silent')
 
 
 @given('a feed on a store with object {name}')
