--- a/src/sardinetrack/entry/peer_dialers.py
+++ b/src/sardinetrack/entry/peer_dialers.py
@@ -11,7 +11,11 @@
 from sardinetrack.links.client import LinkDialer
 from sardinetrack.links.secret import PeerSecret
 from sardinetrack.logs.lines import ComponentLogger, LogComponent
-from sardinetrack.membership.api import Gone, Joined, MembershipChange
+from sardinetrack.membership.api import (
+    InstanceJoined,
+    InstanceRemoved,
+    MembershipChange,
+)
 from sardinetrack.store.api import InstanceState, ListedInstance
 
 _LOG: Final = ComponentLogger(LogComponent.ENTRY)
@@ -58,11 +62,11 @@
     def apply(self, change: MembershipChange) -> None:
         """Apply a change of the instance list."""
         row = change.row
-        if isinstance(change, Gone):
+        if isinstance(change, InstanceRemoved):
             self._instances.pop(row.instance, None)
             return
         self._instances[row.instance] = row
-        if isinstance(change, Joined) and self._should_dial(row):
+        if isinstance(change, InstanceJoined) and self._should_dial(row):
             self._dial(row)
 
     def stop_dialing(self, instance: str) -> None:
--- a/src/sardinetrack/entry/peer_events.py
+++ b/src/sardinetrack/entry/peer_events.py
@@ -17,7 +17,11 @@
     PeerRole,
 )
 from sardinetrack.logs.lines import ComponentLogger, LogComponent
-from sardinetrack.membership.api import Gone, Joined, MembershipChange
+from sardinetrack.membership.api import (
+    InstanceJoined,
+    InstanceRemoved,
+    MembershipChange,
+)
 from sardinetrack.messages.api import (
     ConfigDigest,
     ConfigUpdate,
@@ -68,13 +72,15 @@
         name = change.row.instance
         self._dialers.apply(change)
         linked = self._peers.side(name)
-        if isinstance(change, Joined):
+        if isinstance(change, InstanceJoined):
             if linked is not None:
                 self._start_using(linked)
             return
         if linked is not None:
             self._stop_using(linked)
-        if isinstance(change, Gone) and not self._peers.is_linked(name):
+        if isinstance(change, InstanceRemoved) and not self._peers.is_linked(
+            name
+        ):
             self._dialers.stop_dialing(name)
 
     def _link_up(self, link: Link) -> None:
--- a/src/sardinetrack/membership/api.py
+++ b/src/sardinetrack/membership/api.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Joined:
+class InstanceJoined:
     """A live instance was added to the list."""
 
     row: ListedInstance
@@ -25,10 +25,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class InstanceRemoved:
     """An instance is no longer listed."""
 
     row: ListedInstance
 
 
-MembershipChange = Joined | InstanceLeaving | Gone
+MembershipChange = InstanceJoined | InstanceLeaving | InstanceRemoved
--- a/src/sardinetrack/membership/view.py
+++ b/src/sardinetrack/membership/view.py
@@ -7,9 +7,9 @@
 from typing import Final
 
 from sardinetrack.membership.api import (
-    Gone,
+    InstanceJoined,
     InstanceLeaving,
-    Joined,
+    InstanceRemoved,
     MembershipChange,
 )
 from sardinetrack.store.api import InstanceState, ListedInstance
@@ -57,9 +57,11 @@
         joined = self._add_new(current)
         return (*removed, *leaving, *joined)
 
-    def _remove_absent(self, current: dict[str, ListedInstance]) -> list[Gone]:
+    def _remove_absent(
+        self, current: dict[str, ListedInstance]
+    ) -> list[InstanceRemoved]:
         removed = [
-            Gone(row)
+            InstanceRemoved(row)
             for row in self._rows.values()
             if row.instance not in current
             or _is_another_process(row, current[row.instance])
@@ -85,9 +87,11 @@
             self._leaving_ids.pop(next(iter(self._leaving_ids)))
         return leaving
 
-    def _add_new(self, current: dict[str, ListedInstance]) -> list[Joined]:
+    def _add_new(
+        self, current: dict[str, ListedInstance]
+    ) -> list[InstanceJoined]:
         joined = [
-            Joined(row)
+            InstanceJoined(row)
             for row in current.values()
             if row.instance not in self._rows
             and row.instance not in self._leaving_ids
--- a/tests/membership/steps/feed_steps.py
+++ b/tests/membership/steps/feed_steps.py
@@ -11,7 +11,11 @@
 from anyio.from_thread import start_blocking_portal
 from behave import given, step, then, when
 
-from sardinetrack.membership.api import Gone, InstanceLeaving, Joined
+from sardinetrack.membership.api import (
+    InstanceJoined,
+    InstanceLeaving,
+    InstanceRemoved,
+)
 from sardinetrack.membership.feed import MembershipFeed
 from sardinetrack.membership.view import MembershipView
 from sardinetrack.store.api import InstanceState, ListedInstance
@@ -20,7 +24,11 @@
 _POLL_INTERVAL_SECONDS = 0.02
 _MAX_POLLS = 500
 _KINDS = MappingProxyType(
-    {Joined: 'joined', InstanceLeaving: 'leaving', Gone: 'removed'}
+    {
+        InstanceJoined: 'joined',
+        InstanceLeaving: 'leaving',
+        InstanceRemoved: 'removed',
+    }
 )
 
 
@@ -116,9 +124,9 @@
 
 def _add_up(listed, changes):
     for change in changes:
-        if isinstance(change, Gone):
+        if isinstance(change, InstanceRemoved):
             listed = listed - {change.row.instance}
-        elif isinstance(change, Joined):
+        elif isinstance(change, InstanceJoined):
             listed = listed | {change.row.instance}
     return listed
 
