--- a/benchmarks/chaos/virtual/side.py
+++ b/benchmarks/chaos/virtual/side.py
@@ -15,9 +15,9 @@
 from sardinetrack.admission.slots import SlotAdmission
 from sardinetrack.config.model import SideSettings
 from sardinetrack.links.secret import PeerSecret
-from sardinetrack.side.parts import SideParts
-from sardinetrack.side.relayed import RelayedConfiguration
-from sardinetrack.side.wiring import Wiring
+from sardinetrack.side.components import SideComponents
+from sardinetrack.side.dependencies import SideDependencies
+from sardinetrack.side.relayed_configuration import RelayedConfiguration
 
 
 class SideNode(Node):
@@ -53,8 +53,8 @@
             },
         )
         self.admission = SlotAdmission(incarnation, 0)
-        components = Wiring(
-            SideParts(
+        components = SideComponents(
+            SideDependencies(
                 settings=settings,
                 peer_secret=PeerSecret(SECRET),
                 incarnation=incarnation,
--- a/src/sardinetrack/compose/side.py
+++ b/src/sardinetrack/compose/side.py
@@ -16,8 +16,8 @@
 from sardinetrack.process.ready import SideReady, print_ready
 from sardinetrack.process.signals import run_until_drained
 from sardinetrack.side.daemon import SideDaemon
-from sardinetrack.side.parts import SideParts
-from sardinetrack.side.relayed import RelayedConfiguration
+from sardinetrack.side.dependencies import SideDependencies
+from sardinetrack.side.relayed_configuration import RelayedConfiguration
 
 _NO_SLOTS: Final = 0
 """A side admits no requests until its first configuration arrives."""
@@ -33,7 +33,7 @@
     incarnation = new_incarnation()
     async with HttpClient() as client:
         platform = platform_client(client, settings.platform)
-        dependencies = SideParts(
+        dependencies = SideDependencies(
             settings=settings,
             peer_secret=PeerSecret(resolve_secret(settings.peer_secret)),
             incarnation=incarnation,
--- a/src/sardinetrack/entry/daemon.py
+++ b/src/sardinetrack/entry/daemon.py
@@ -18,7 +18,7 @@
 from sardinetrack.http.server import BoundServer
 from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.process.daemon import ServingDaemon
-from sardinetrack.process.startup import startup_cost
+from sardinetrack.process.startup import startup_durations
 
 _LOG: Final = ComponentLogger(LogComponent.ENTRY)
 
@@ -80,13 +80,13 @@
         control.start()
         self.callers = await self._start(stack, serve_callers(self.core))
 
-    def _tell_serving(self) -> None:
+    def _log_serving(self) -> None:
         _LOG.info(
             'serving',
             callers=self.callers.address,
             peers=self.peer.address,
             operators=self.operator.address,
-            **startup_cost(),
+            **startup_durations(),
         )
 
     def _operator_application(self) -> Application:
--- a/src/sardinetrack/process/daemon.py
+++ b/src/sardinetrack/process/daemon.py
@@ -31,7 +31,7 @@
         async with self._stack as stack:
             await self._open(stack)
             self._stack = stack.pop_all()
-        self._tell_serving()
+        self._log_serving()
         return self
 
     async def __aexit__(
@@ -52,7 +52,7 @@
         """Start tasks and servers; the stack closes them."""
 
     @abstractmethod
-    def _tell_serving(self) -> None:
+    def _log_serving(self) -> None:
         """Log the addresses."""
 
     async def _serve(
--- a/src/sardinetrack/process/startup.py
+++ b/src/sardinetrack/process/startup.py
@@ -22,10 +22,10 @@
     Together with the line of ``serving`` it distinguishes a process that waited
     for something from one that got no processor time.
     """
-    _LOG.info('starts', **startup_cost())
+    _LOG.info('starts', **startup_durations())
 
 
-def startup_cost() -> dict[str, float]:
+def startup_durations() -> dict[str, float]:
     """Return the time since the process was created.
 
     :return: ``running_seconds`` by the clock, and ``processor_seconds``.
--- a/src/sardinetrack/side/wiring.py
+++ b/src/sardinetrack/side/components.py
@@ -10,6 +10,7 @@
 from sardinetrack.links.server import LinkAcceptor
 from sardinetrack.side.backend import BackendServer
 from sardinetrack.side.backend_watch import BackendWatch, ProbeNow
+from sardinetrack.side.dependencies import SideDependencies
 from sardinetrack.side.events import SideEvent
 from sardinetrack.side.identity import SideIdentity
 from sardinetrack.side.log import DecisionLog
@@ -17,7 +18,6 @@
 from sardinetrack.side.operator_application import OperatorApplication
 from sardinetrack.side.owner import AdmissionOwner
 from sardinetrack.side.owner_state import OwnerState
-from sardinetrack.side.parts import SideParts
 from sardinetrack.side.peer_application import PeerApplication
 from sardinetrack.side.run_dependencies import RunDependencies
 from sardinetrack.side.run_endpoint import RunEndpoint
@@ -25,10 +25,12 @@
 _WAITING_EVENTS: Final = 1024
 
 
-class Wiring:
+class SideComponents:
     """The objects of one side, connected by memory streams."""
 
-    def __init__(self, dependencies: SideParts, client: HttpClient) -> None:
+    def __init__(
+        self, dependencies: SideDependencies, client: HttpClient
+    ) -> None:
         """Build and connect the objects.
 
         :param dependencies: settings and decision objects of the side.
--- a/src/sardinetrack/side/daemon.py
+++ b/src/sardinetrack/side/daemon.py
@@ -11,11 +11,11 @@
 from sardinetrack.http.server import BoundServer
 from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.process.daemon import ServingDaemon
-from sardinetrack.process.startup import startup_cost
+from sardinetrack.process.startup import startup_durations
+from sardinetrack.side.components import SideComponents
+from sardinetrack.side.dependencies import SideDependencies
 from sardinetrack.side.events import DrainStarted, DrainTimedOut
 from sardinetrack.side.model_loader import build_model_loader
-from sardinetrack.side.parts import SideParts
-from sardinetrack.side.wiring import Wiring
 
 _LOG: Final = ComponentLogger(LogComponent.SIDE)
 _LINGER_SECONDS: Final = 0.5
@@ -26,10 +26,10 @@
 class SideDaemon(ServingDaemon):
     """Serves while the context lasts; ``run`` returns after a drain."""
 
-    def __init__(self, dependencies: SideParts) -> None:
+    def __init__(self, dependencies: SideDependencies) -> None:
         super().__init__()
         self._dependencies = dependencies
-        self._wiring: Wiring
+        self._wiring: SideComponents
         self.peer_server: BoundServer
         self.operator_server: BoundServer
 
@@ -49,7 +49,7 @@
 
     async def _open(self, stack: AsyncExitStack) -> None:
         client = await stack.enter_async_context(HttpClient())
-        self._wiring = Wiring(self._dependencies, client)
+        self._wiring = SideComponents(self._dependencies, client)
         tasks = await stack.enter_async_context(anyio.create_task_group())
         stack.callback(tasks.cancel_scope.cancel)
         tasks.start_soon(self._wiring.owner.run)
@@ -73,11 +73,11 @@
             settings.peer,
         )
 
-    def _tell_serving(self) -> None:
+    def _log_serving(self) -> None:
         _LOG.info(
             'serving',
             peers=self.peer_server.address,
             operators=self.operator_server.address,
             backend_server=self._dependencies.settings.backend_server,
-            **startup_cost(),
+            **startup_durations(),
         )
--- a/src/sardinetrack/side/parts.py
+++ b/src/sardinetrack/side/dependencies.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SideParts:
+class SideDependencies:
     """Settings, secret and decision objects of one side process."""
 
     settings: SideSettings
--- a/src/sardinetrack/side/model_loader.py
+++ b/src/sardinetrack/side/model_loader.py
@@ -10,8 +10,8 @@
 from sardinetrack.lease.manager import LeaseManager
 from sardinetrack.lease.model_loader import ModelLoader
 from sardinetrack.lease.record import lease_key
+from sardinetrack.side.dependencies import SideDependencies
 from sardinetrack.side.model_server import HttpModelServer
-from sardinetrack.side.parts import SideParts
 from sardinetrack.store.api import Platform
 
 _MARGIN_FRACTION: Final = 0.2
@@ -19,7 +19,7 @@
 
 
 def build_model_loader(
-    dependencies: SideParts,
+    dependencies: SideDependencies,
     platform: Platform,
     client: HttpClient,
 ) -> ModelLoader:
--- a/tests/side/side_world.py
+++ b/tests/side/side_world.py
@@ -35,7 +35,7 @@
 )
 from sardinetrack.messages.run_codec import encode_run_request
 from sardinetrack.side.daemon import SideDaemon
-from sardinetrack.side.parts import SideParts
+from sardinetrack.side.dependencies import SideDependencies
 
 SECRET: Final = PeerSecret('winter-harbour')
 WAIT_SECONDS: Final = 15.0
@@ -51,7 +51,7 @@
         side: SideDaemon,
         backend: Backend,
         server: BoundServer,
-        dependencies: SideParts,
+        dependencies: SideDependencies,
     ) -> None:
         self.side = side
         self.server = server
@@ -177,7 +177,7 @@
     """Run a side beside its backend server."""
     backend = Backend()
     async with serve(backend, '127.0.0.1', 0) as server:
-        dependencies = SideParts(
+        dependencies = SideDependencies(
             settings=settings(server.url),
             peer_secret=SECRET,
             incarnation=INCARNATION,
