--- a/benchmarks/slopes/samples.py
+++ b/benchmarks/slopes/samples.py
@@ -13,7 +13,7 @@
     Workspace,
     WorkspaceLimits,
 )
-from sardinetrack.catalogue.coverage import covering
+from sardinetrack.catalogue.coverage import complete_update
 from sardinetrack.messages.api import (
     BidRow,
     Bids,
@@ -148,14 +148,14 @@
 def snapshot(count: int) -> ConfigUpdate:
     """Return an update with the complete catalogue."""
     objects = [config_object(number, number + 1) for number in range(count)]
-    return covering(0, count, objects)
+    return complete_update(0, count, objects)
 
 
 def change(count: int, number: int = 0) -> ConfigUpdate:
     """Return one change after a snapshot, or a later one by its number."""
     revision = count + 1 + number
     changed = config_object(number % count, revision)
-    return covering(revision - 1, revision, [changed])
+    return complete_update(revision - 1, revision, [changed])
 
 
 def instances(count: int) -> tuple[ListedInstance, ...]:
--- a/src/sardinetrack/catalogue/api.py
+++ b/src/sardinetrack/catalogue/api.py
@@ -10,7 +10,7 @@
 """Keys are ``catalogue/<kind>/<name>``."""
 
 
-class EntryKind(StrEnum):
+class CatalogueKind(StrEnum):
     """What a catalogue entry describes."""
 
     WORKSPACE = 'workspace'
--- a/src/sardinetrack/catalogue/coverage.py
+++ b/src/sardinetrack/catalogue/coverage.py
@@ -15,7 +15,7 @@
 from sardinetrack.store.api import Listing, StoredObject
 
 
-def covering(
+def complete_update(
     after_revision: int,
     revision: int,
     changes: Iterable[ConfigObject],
@@ -52,7 +52,7 @@
     :param after_revision: 0 for a list, the watched revision for a watch.
     """
     changes = (_config_object(stored) for stored in listing.objects)
-    return covering(after_revision, listing.revision, changes)
+    return complete_update(after_revision, listing.revision, changes)
 
 
 def _config_object(stored: StoredObject) -> ConfigObject:
--- a/src/sardinetrack/catalogue/editor.py
+++ b/src/sardinetrack/catalogue/editor.py
@@ -8,9 +8,12 @@
 from typing import Final
 
 from sardinetrack.catalogue.api import CATALOGUE_PREFIX
-from sardinetrack.catalogue.coverage import covering, update_from_listing
-from sardinetrack.catalogue.parse import WrittenEntry, parse_stored_entry
-from sardinetrack.catalogue.problems import InvalidEntryError
+from sardinetrack.catalogue.coverage import complete_update, update_from_listing
+from sardinetrack.catalogue.parse import (
+    EncodedCatalogueEntry,
+    parse_stored_entry,
+)
+from sardinetrack.catalogue.problems import InvalidCatalogueEntryError
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.errors.problem import ValidationProblem
 from sardinetrack.messages.api import ConfigObject
@@ -38,7 +41,7 @@
     changed: bool
 
 
-class LostRaceError(Exception):
+class EditConflictError(Exception):
     """Another writer changed the object first; nothing was overwritten."""
 
     def __init__(
@@ -79,7 +82,7 @@
 
     async def apply(
         self,
-        catalogue_entry: WrittenEntry,
+        catalogue_entry: EncodedCatalogueEntry,
         *,
         expected_version: int | None = None,
     ) -> EditResult:
@@ -88,8 +91,9 @@
         :param expected_version: the version that the operator edited, 0 for
             none; by default the current one.
         :return: the edit; unchanged when the same text is already stored.
-        :raises InvalidEntryError: the catalogue entry can't become active.
-        :raises LostRaceError: another version is stored.
+        :raises InvalidCatalogueEntryError: the catalogue entry can't become
+            active.
+        :raises EditConflictError: another version is stored.
         :raises PlatformError: the platform failed; after ``UncertainError`` the
             edit may have been made, after any other error it was not.
         """
@@ -120,7 +124,7 @@
         return EditResult(key, version, changed=True)
 
     async def _write(
-        self, catalogue_entry: WrittenEntry, base_version: int
+        self, catalogue_entry: EncodedCatalogueEntry, base_version: int
     ) -> EditResult:
         stored = await self._try_write(catalogue_entry, base_version)
         attempts = 1
@@ -134,7 +138,7 @@
 
     async def _try_write(
         self,
-        catalogue_entry: WrittenEntry,
+        catalogue_entry: EncodedCatalogueEntry,
         base_version: int,
     ) -> StoredObject | None:
         try:
@@ -172,7 +176,7 @@
         if current is None:
             return listing.revision
         if current.version != base_version:
-            raise LostRaceError(key, base_version, current)
+            raise EditConflictError(key, base_version, current)
         return None
 
     async def _read_back(self) -> Listing:
@@ -191,7 +195,7 @@
 
 
 def _written_object(
-    catalogue_entry: WrittenEntry,
+    catalogue_entry: EncodedCatalogueEntry,
     base_version: int,
     current: StoredObject | None,
 ) -> StoredObject | None:
@@ -202,7 +206,7 @@
         return current
     version = current.version if current else _NO_VERSION
     if version != base_version:
-        raise LostRaceError(catalogue_entry.key, base_version, current)
+        raise EditConflictError(catalogue_entry.key, base_version, current)
     return None
 
 
@@ -218,11 +222,13 @@
 ) -> int:
     version = current.version if current else _NO_VERSION
     if expected_version not in {None, version}:
-        raise LostRaceError(key, expected_version or _NO_VERSION, current)
+        raise EditConflictError(key, expected_version or _NO_VERSION, current)
     return version
 
 
-def _check_acceptable(catalogue_entry: WrittenEntry, listing: Listing) -> None:
+def _check_acceptable(
+    catalogue_entry: EncodedCatalogueEntry, listing: Listing
+) -> None:
     """Raise for a catalogue entry that would be rejected, even in part."""
     parse_stored_entry(catalogue_entry.key, catalogue_entry.value)
     view = CatalogueView()
@@ -234,10 +240,10 @@
         catalogue_entry.value.decode(),
         deleted=False,
     )
-    view.apply(covering(listing.revision, version, (change,)))
+    view.apply(complete_update(listing.revision, version, (change,)))
     for rejected in view.rejected():
         if rejected.key == catalogue_entry.key:
             problems = [
                 ValidationProblem('', reason) for reason in rejected.reasons
             ]
-            raise InvalidEntryError(catalogue_entry.key, problems)
+            raise InvalidCatalogueEntryError(catalogue_entry.key, problems)
--- a/src/sardinetrack/catalogue/model.py
+++ b/src/sardinetrack/catalogue/model.py
@@ -14,7 +14,7 @@
 
 from sardinetrack.catalogue.api import (
     CATALOGUE_PREFIX,
-    EntryKind,
+    CatalogueKind,
     Pool,
     PoolClass,
     RepeatableCall,
@@ -177,6 +177,6 @@
 ]
 
 
-def key_of(kind: EntryKind, name: str) -> str:
+def key_of(kind: CatalogueKind, name: str) -> str:
     """Return the key of a catalogue entry in the platform's store."""
     return f'{CATALOGUE_PREFIX}{kind.value}/{name}'
--- a/src/sardinetrack/catalogue/parse.py
+++ b/src/sardinetrack/catalogue/parse.py
@@ -9,10 +9,10 @@
 import pyjson5
 from pydantic import TypeAdapter, ValidationError
 
-from sardinetrack.catalogue.api import EntryKind, Pool, Workspace
+from sardinetrack.catalogue.api import CatalogueKind, Pool, Workspace
 from sardinetrack.catalogue.model import CatalogueEntryModel, key_of
 from sardinetrack.catalogue.problems import (
-    InvalidEntryError,
+    InvalidCatalogueEntryError,
     problems_from,
 )
 from sardinetrack.errors.problem import ValidationProblem
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WrittenEntry:
+class EncodedCatalogueEntry:
     """An operator's catalogue entry, validated and encoded for the store."""
 
     key: str
@@ -39,20 +39,20 @@
     :param key: ``catalogue/<kind>/<name>``.
     :param value: plain JSON.
     :return: the workspace or pool that it describes.
-    :raises InvalidEntryError: with all problems.
+    :raises InvalidCatalogueEntryError: with all problems.
     """
     model = _validate(key, value)
-    expected = key_of(EntryKind(model.kind), model.name)
+    expected = key_of(CatalogueKind(model.kind), model.name)
     if key != expected:
         problem = ValidationProblem('name', f'this entry belongs at {expected}')
-        raise InvalidEntryError(key, [problem])
+        raise InvalidCatalogueEntryError(key, [problem])
     return model.to_catalogue_entry()
 
 
-def parse_operator_file(text: str) -> WrittenEntry:
+def parse_operator_file(text: str) -> EncodedCatalogueEntry:
     """Validate an operator's file, which is JSON with comments.
 
-    :raises InvalidEntryError: with all problems.
+    :raises InvalidCatalogueEntryError: with all problems.
     """
     try:
         content = pyjson5.decode(text)
@@ -60,17 +60,19 @@
         problem = ValidationProblem(
             '', f'not JSON with comments: {error.args[0]}'
         )
-        raise InvalidEntryError(_OPERATOR_FILE, [problem]) from error
+        raise InvalidCatalogueEntryError(_OPERATOR_FILE, [problem]) from error
     value = json.dumps(content, sort_keys=True).encode()
     if len(value) > MAX_VALUE_BYTES:
         problem = ValidationProblem('', f'larger than {MAX_VALUE_BYTES} bytes')
-        raise InvalidEntryError(_OPERATOR_FILE, [problem])
+        raise InvalidCatalogueEntryError(_OPERATOR_FILE, [problem])
     model = _validate(_OPERATOR_FILE, value)
-    return WrittenEntry(key_of(EntryKind(model.kind), model.name), value)
+    return EncodedCatalogueEntry(
+        key_of(CatalogueKind(model.kind), model.name), value
+    )
 
 
 def _validate(key: str, value: bytes) -> CatalogueEntryModel:
     try:
         return _ADAPTER.validate_json(value)
     except ValidationError as error:
-        raise InvalidEntryError(key, problems_from(error)) from error
+        raise InvalidCatalogueEntryError(key, problems_from(error)) from error
--- a/src/sardinetrack/catalogue/problems.py
+++ b/src/sardinetrack/catalogue/problems.py
@@ -13,7 +13,7 @@
 )
 
 
-class InvalidEntryError(Exception):
+class InvalidCatalogueEntryError(Exception):
     """A catalogue entry can't become active."""
 
     def __init__(self, key: str, problems: Iterable[ValidationProblem]) -> None:
--- a/src/sardinetrack/catalogue/record.py
+++ b/src/sardinetrack/catalogue/record.py
@@ -9,7 +9,7 @@
 
 from sardinetrack.catalogue.api import Pool, Workspace
 from sardinetrack.catalogue.parse import parse_stored_entry
-from sardinetrack.catalogue.problems import InvalidEntryError
+from sardinetrack.catalogue.problems import InvalidCatalogueEntryError
 from sardinetrack.messages.api import ConfigObject
 
 _NO_VERSION: Final = 0
@@ -38,7 +38,7 @@
         catalogue_entry = parse_stored_entry(
             config_object.key, config_object.value.encode()
         )
-    except InvalidEntryError as error:
+    except InvalidCatalogueEntryError as error:
         return Change(config_object, reasons=error.reasons)
     return Change(config_object, catalogue_entry)
 
--- a/src/sardinetrack/catalogue/rollout.py
+++ b/src/sardinetrack/catalogue/rollout.py
@@ -50,7 +50,7 @@
         return bool(self.in_force or self.rejected) and not self.behind
 
 
-async def wait_in_force(
+async def wait_until_active(
     discover: Discover,
     fetch: Fetch,
     *,
--- a/src/sardinetrack/catalogue/ask.py
+++ b/src/sardinetrack/catalogue/status_client.py
@@ -102,7 +102,7 @@
     return None
 
 
-async def listed_addresses(platform: Platform) -> tuple[str, ...]:
+async def live_peer_addresses(platform: Platform) -> tuple[str, ...]:
     """Return the peer addresses of all live instances."""
     listed = await platform.instances()
     return tuple(
--- a/src/sardinetrack/catalogue/view.py
+++ b/src/sardinetrack/catalogue/view.py
@@ -19,7 +19,7 @@
 from sardinetrack.catalogue.api import Pool, PoolClass, Workspace
 from sardinetrack.catalogue.coverage import (
     complete_after,
-    covering,
+    complete_update,
     sorted_changes,
 )
 from sardinetrack.catalogue.record import KeyRecord, absent_at, validate_change
@@ -186,7 +186,7 @@
             if record.latest.version > revision
             for config_object in record.config_objects()
         ]
-        return covering(revision, self.revision, changes)
+        return complete_update(revision, self.revision, changes)
 
 
 def _digest_of(records: dict[str, KeyRecord]) -> str:
--- a/src/sardinetrack/cli/catalogue.py
+++ b/src/sardinetrack/cli/catalogue.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from sardinetrack.catalogue.api import EntryKind
+from sardinetrack.catalogue.api import CatalogueKind
 from sardinetrack.catalogue.model import key_of
 from sardinetrack.catalogue.parse import parse_operator_file
 from sardinetrack.cli.api import Command, CommandError
@@ -139,8 +139,8 @@
 
 def _parse_key(text: str) -> str:
     kind, _, name = text.partition('/')
-    known_kinds = [known.value for known in EntryKind]
+    known_kinds = [known.value for known in CatalogueKind]
     if kind not in known_kinds or not name:
         choices = ' or '.join(f'{known}/NAME' for known in known_kinds)
         raise ArgumentTypeError(f'must be {choices}')
-    return key_of(EntryKind(kind), name)
+    return key_of(CatalogueKind(kind), name)
--- a/src/sardinetrack/cli/catalogue_actions.py
+++ b/src/sardinetrack/cli/catalogue_actions.py
@@ -12,10 +12,13 @@
 import anyio
 
 from sardinetrack.catalogue.api import CATALOGUE_PREFIX
-from sardinetrack.catalogue.ask import StatusClient, listed_addresses
 from sardinetrack.catalogue.editor import CatalogueEditor, EditResult
-from sardinetrack.catalogue.parse import WrittenEntry
-from sardinetrack.catalogue.rollout import Rollout, wait_in_force
+from sardinetrack.catalogue.parse import EncodedCatalogueEntry
+from sardinetrack.catalogue.rollout import Rollout, wait_until_active
+from sardinetrack.catalogue.status_client import (
+    StatusClient,
+    live_peer_addresses,
+)
 from sardinetrack.cli.api import CommandError
 from sardinetrack.cli.exit_codes import ExitCode
 from sardinetrack.cli.operator_access import open_access
@@ -36,8 +39,8 @@
 
     async def wait_active(self, edit: EditResult, seconds: float) -> Rollout:
         """Wait until an edit is active at every listed instance."""
-        return await wait_in_force(
-            partial(listed_addresses, self.platform),
+        return await wait_until_active(
+            partial(live_peer_addresses, self.platform),
             self.status_client.fetch_status,
             key=edit.key,
             version=edit.version,
@@ -104,7 +107,7 @@
 class ApplyAction(CatalogueAction):
     """Create or replace an entry."""
 
-    entry: WrittenEntry
+    entry: EncodedCatalogueEntry
     version: int | None
     wait_seconds: float
 
--- a/src/sardinetrack/cli/catalogue_errors.py
+++ b/src/sardinetrack/cli/catalogue_errors.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from sardinetrack.catalogue.editor import LostRaceError
-from sardinetrack.catalogue.problems import InvalidEntryError
+from sardinetrack.catalogue.editor import EditConflictError
+from sardinetrack.catalogue.problems import InvalidCatalogueEntryError
 from sardinetrack.cli.api import CommandError
 from sardinetrack.cli.exit_codes import ExitCode
 from sardinetrack.store.api import PlatformError, UncertainError
@@ -20,18 +20,22 @@
     """
     try:
         yield
-    except (InvalidEntryError, LostRaceError, PlatformError) as error:
+    except (
+        InvalidCatalogueEntryError,
+        EditConflictError,
+        PlatformError,
+    ) as error:
         raise _command_error(error) from error
 
 
 def _command_error(
-    error: InvalidEntryError | LostRaceError | PlatformError,
+    error: InvalidCatalogueEntryError | EditConflictError | PlatformError,
 ) -> CommandError:
     match error:
-        case InvalidEntryError():
+        case InvalidCatalogueEntryError():
             lines = [f'{error.key}: {reason}' for reason in error.reasons]
             return CommandError('\n'.join(lines), ExitCode.BAD_USAGE)
-        case LostRaceError():
+        case EditConflictError():
             return CommandError(str(error), ExitCode.LOST_RACE)
         case UncertainError():
             return CommandError(
--- a/src/sardinetrack/compose/local_catalogue.py
+++ b/src/sardinetrack/compose/local_catalogue.py
@@ -7,7 +7,7 @@
 from types import MappingProxyType
 from typing import Any, Final
 
-from sardinetrack.catalogue.api import CATALOGUE_PREFIX, EntryKind
+from sardinetrack.catalogue.api import CATALOGUE_PREFIX, CatalogueKind
 from sardinetrack.store.api import Platform
 
 MODEL: Final = 'local-model'
@@ -34,17 +34,17 @@
         'token_hashes': [digest],
         'limits': dict(_LIMITS),
     }
-    await _put(platform, EntryKind.WORKSPACE, _WORKSPACE, workspace)
+    await _put(platform, CatalogueKind.WORKSPACE, _WORKSPACE, workspace)
     models = {'class': 'model', 'models': [MODEL]}
-    await _put(platform, EntryKind.POOL, MODEL_POOL, models)
+    await _put(platform, CatalogueKind.POOL, MODEL_POOL, models)
     repeatable = {'method': 'GET', 'path_prefix': '/'}
     service = {'class': 'service', 'repeatable': [repeatable]}
-    await _put(platform, EntryKind.POOL, SERVICE_POOL, service)
+    await _put(platform, CatalogueKind.POOL, SERVICE_POOL, service)
 
 
 async def _put(
     platform: Platform,
-    kind: EntryKind,
+    kind: CatalogueKind,
     name: str,
     content: dict[str, Any],
 ) -> None:
--- a/src/sardinetrack/compose/store_view.py
+++ b/src/sardinetrack/compose/store_view.py
@@ -11,9 +11,9 @@
     CONFIGURATION_KEY,
     CONFIGURATION_PREFIX,
     EVACUATIONS_PREFIX,
-    configuration_of,
+    decode_configuration,
 )
-from sardinetrack.platform.servers import SERVERS_PREFIX, server_of
+from sardinetrack.platform.servers import SERVERS_PREFIX, decode_server
 from sardinetrack.platform.store import PlatformStore
 from sardinetrack.relay.entry_state import EntryState
 from sardinetrack.relay.feed_listeners import (
@@ -70,12 +70,12 @@
         """Decode a configuration; ``None`` for any other object."""
         if stored.key != CONFIGURATION_KEY:
             return None
-        return configuration_of(stored.value)
+        return decode_configuration(stored.value)
 
     def server(self, stored: StoredObject) -> BackendServer:
         """Decode a backend server."""
         instance = stored.key.partition('/')[2]
-        return server_of(instance, stored.value, stored.version)
+        return decode_server(instance, stored.value, stored.version)
 
 
 class StoreFeedFactory(FeedFactory):
--- a/src/sardinetrack/platform/catalogue.py
+++ b/src/sardinetrack/platform/catalogue.py
@@ -97,7 +97,7 @@
     tenants: list[_Tenant] = []
 
 
-def configuration_of(spec: bytes) -> Configuration:
+def decode_configuration(spec: bytes) -> Configuration:
     """Decode the operator's configuration.
 
     :raises TranslationError: the object is not a valid configuration.
--- a/src/sardinetrack/platform/servers.py
+++ b/src/sardinetrack/platform/servers.py
@@ -41,7 +41,9 @@
     born: Annotated[int, msgspec.Meta(ge=0)] | msgspec.UnsetType = msgspec.UNSET
 
 
-def server_of(instance: str, spec: bytes, revision: int = 0) -> BackendServer:
+def decode_server(
+    instance: str, spec: bytes, revision: int = 0
+) -> BackendServer:
     """Decode the object of a backend server.
 
     :param instance: the object's name.
--- a/tests/catalogue/steps/editor_steps.py
+++ b/tests/catalogue/steps/editor_steps.py
@@ -9,10 +9,10 @@
 from behave import given, step, then, when
 from histories import config_object
 
-from sardinetrack.catalogue.editor import CatalogueEditor, LostRaceError
+from sardinetrack.catalogue.editor import CatalogueEditor, EditConflictError
 from sardinetrack.catalogue.parse import parse_operator_file
-from sardinetrack.catalogue.problems import InvalidEntryError
-from sardinetrack.catalogue.rollout import ConfigStatus, wait_in_force
+from sardinetrack.catalogue.problems import InvalidCatalogueEntryError
+from sardinetrack.catalogue.rollout import ConfigStatus, wait_until_active
 from sardinetrack.store.api import (
     PlatformError,
     UnavailableError,
@@ -22,7 +22,7 @@
 
 _PILOT = 'catalogue/workspace/pilot'
 _POOL = 'catalogue/pool/ice'
-_ERRORS = (InvalidEntryError, LostRaceError, PlatformError)
+_ERRORS = (InvalidCatalogueEntryError, EditConflictError, PlatformError)
 
 
 class _LossyPlatform(MemoryPlatform):
@@ -164,7 +164,7 @@
 
 @then('the edit conflicts and the error names both versions')
 def conflicts(context):
-    assert isinstance(context.error, LostRaceError), repr(context.error)
+    assert isinstance(context.error, EditConflictError), repr(context.error)
     now = _stored(context, _PILOT).version
     assert f'version {context.read_version}' in str(context.error)
     assert f'version {now}' in str(context.error)
@@ -251,7 +251,9 @@
 
 @then('the error names {place} and {reason}')
 def error_names(context, place, reason):
-    assert isinstance(context.error, InvalidEntryError), repr(context.error)
+    assert isinstance(context.error, InvalidCatalogueEntryError), repr(
+        context.error
+    )
     assert place in str(context.error), context.error
     assert reason in str(context.error), context.error
 
@@ -283,7 +285,7 @@
 
 def _wait(context, version, seconds):
     wait = partial(
-        wait_in_force,
+        wait_until_active,
         partial(_discover, context),
         partial(_fetch, context),
         key='k',
--- a/tests/catalogue/steps/model_steps.py
+++ b/tests/catalogue/steps/model_steps.py
@@ -7,11 +7,11 @@
 import anyio
 from behave import given, then, when
 
-from sardinetrack.catalogue.ask import (
+from sardinetrack.catalogue.parse import parse_operator_file, parse_stored_entry
+from sardinetrack.catalogue.status_client import (
     StatusClient,
-    listed_addresses,
+    live_peer_addresses,
 )
-from sardinetrack.catalogue.parse import parse_operator_file, parse_stored_entry
 from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.http.client import HttpClient
 from sardinetrack.http.server import bind, serve
@@ -110,7 +110,7 @@
         platform = MemoryPlatform()
         platform.set_instance(_listed('e1', server.address))
         platform.set_instance(_listed('e2', 'x', InstanceState.LEAVING))
-        addresses = await listed_addresses(platform)
+        addresses = await live_peer_addresses(platform)
         client = StatusClient(http, ((_SECRET_HEADER, secret),))
         listed = [await client.fetch_status(address) for address in addresses]
         return [*listed, await client.fetch_status(_unused_address())]
--- a/tests/catalogue/steps/view_steps.py
+++ b/tests/catalogue/steps/view_steps.py
@@ -15,7 +15,7 @@
 )
 from worlds import World
 
-from sardinetrack.catalogue.coverage import covering, sorted_changes
+from sardinetrack.catalogue.coverage import complete_update, sorted_changes
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.messages.api import ConfigUpdate
 
@@ -33,12 +33,12 @@
 
 def _list(context, *rows):
     revision = max(one.version for one in rows)
-    context.changed = context.view.apply(covering(0, revision, rows))
+    context.changed = context.view.apply(complete_update(0, revision, rows))
 
 
 def _watch(context, one):
     after = context.view.revision
-    update = covering(after, one.version, [one])
+    update = complete_update(after, one.version, [one])
     context.changed = context.view.apply(update)
 
 
@@ -106,7 +106,7 @@
 @when('a peer sends the changes between {after:d} and {revision:d}')
 def peer_sends_changes(context, after, revision):
     one = _workspace('late', revision)
-    context.view.apply(covering(after, revision, [one]))
+    context.view.apply(complete_update(after, revision, [one]))
 
 
 @then('the view is complete only up to {revision:d}')
@@ -178,8 +178,8 @@
 def peer(context, count, revision):
     rows = [_workspace(f'w{one}', one) for one in range(1, count + 1)]
     context.peer = CatalogueView(kept_deletions=20)
-    context.peer.apply(covering(0, revision, rows))
-    context.view.apply(covering(0, revision, rows))
+    context.peer.apply(complete_update(0, revision, rows))
+    context.view.apply(complete_update(0, revision, rows))
 
 
 @given('{edits:d} edits and deletions that the peer missed')
--- a/tests/catalogue/steps/worlds.py
+++ b/tests/catalogue/steps/worlds.py
@@ -4,7 +4,7 @@
 
 from histories import active_in, reference
 
-from sardinetrack.catalogue.coverage import covering, sorted_changes
+from sardinetrack.catalogue.coverage import complete_update, sorted_changes
 from sardinetrack.catalogue.view import CatalogueView
 from sardinetrack.messages.api import ConfigDigest, ConfigUpdate
 
@@ -45,12 +45,12 @@
     def _list(self, instance, _):
         latest = self._latest(0, self._now)
         live = [one for one in latest.values() if not one.deleted]
-        instance.apply(covering(0, self._now, live))
+        instance.apply(complete_update(0, self._now, live))
 
     def _watch(self, instance, _):
         after = self._rng.randint(0, self._now)
         changes = self._latest(after, self._now).values()
-        instance.apply(covering(after, self._now, changes))
+        instance.apply(complete_update(after, self._now, changes))
 
     def _receive(self, instance, other):
         update = other.update_for(instance.digest())
--- a/tests/platform/steps/translation_steps.py
+++ b/tests/platform/steps/translation_steps.py
@@ -14,7 +14,7 @@
 
 from sardinetrack.compose.store_view import PlatformObjectDecoder
 from sardinetrack.logs.events import EventLog
-from sardinetrack.platform.catalogue import configuration_of
+from sardinetrack.platform.catalogue import decode_configuration
 from sardinetrack.platform.errors import TranslationError
 from sardinetrack.platform.protocol_adapter import PlatformProtocolAdapter
 from sardinetrack.platform.settings import read_settings
@@ -109,7 +109,7 @@
 
 @then('its routes, pools, workspaces and limits are translated')
 def is_translated(context):
-    decoded = configuration_of(json.dumps(context.document).encode())
+    decoded = decode_configuration(json.dumps(context.document).encode())
     route = decoded.routes['ficu95.example'][1]
     assert route.kind is RouteKind.STREAMING
     assert (route.timeout_seconds, route.first_event_objective_seconds) == (
@@ -127,14 +127,14 @@
 
 @then('a path under two prefixes matches the longer one')
 def longest_prefix_matches(context):
-    decoded = configuration_of(json.dumps(context.document).encode())
+    decoded = decode_configuration(json.dumps(context.document).encode())
     assert decoded.route('ficu95.example', '/lohu/more/x').name == 'r-2'
     assert decoded.route('ficu95.example', '/lohu/mor').name == 'r-1'
 
 
 @then('a path under no prefix has no route')
 def no_route(context):
-    decoded = configuration_of(json.dumps(context.document).encode())
+    decoded = decode_configuration(json.dumps(context.document).encode())
     assert decoded.route('ficu95.example', '/other/') is None
     assert decoded.route('other.example', '/lohu/') is None
 
@@ -142,7 +142,7 @@
 @then('it is refused, and the message names {named}')
 def config_refused(context, named):
     try:
-        configuration_of(json.dumps(context.document).encode())
+        decode_configuration(json.dumps(context.document).encode())
     except TranslationError as error:
         assert named in str(error), error
         return
