--- a/benchmarks/chaos/processes/faults.py
+++ b/benchmarks/chaos/processes/faults.py
@@ -19,7 +19,7 @@
     World,
 )
 from benchmarks.chaos.submission import MODEL
-from sardinetrack.standin.relay import TcpProxy
+from sardinetrack.standin.tcp_proxy import TcpProxy
 
 Fault = Callable[[World, float], Awaitable[None]]
 
--- a/benchmarks/chaos/processes/world.py
+++ b/benchmarks/chaos/processes/world.py
@@ -14,7 +14,7 @@
 import httpcore
 
 from benchmarks.chaos.submission import MODEL, SERVICE, WORKSPACES, token_of
-from sardinetrack.standin.relay import TcpProxy, relaying
+from sardinetrack.standin.tcp_proxy import TcpProxy, open_proxy
 from support.fleet import PLATFORM_TOKEN, Fleet, eventually
 from support.process import Process
 
@@ -225,4 +225,4 @@
 
 async def _open_proxy(stack: AsyncExitStack, url: str) -> TcpProxy:
     port = int(url.rpartition(':')[2])
-    return await stack.enter_async_context(relaying(_IP, port))
+    return await stack.enter_async_context(open_proxy(_IP, port))
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -8,7 +8,7 @@
 
 from benchmarks.soak.engine import SoakServer
 from benchmarks.soak.world import REVOKE_SECONDS, Process, World
-from sardinetrack.standin.relay import Direction
+from sardinetrack.standin.tcp_proxy import Direction
 
 _REVOKED_SECONDS = 8.0
 """How long a key stays revoked: the time until a revocation must take effect,
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -16,7 +16,7 @@
 from tests.support.object_store import ObjectStore
 
 from benchmarks.soak.engine import SoakServer
-from sardinetrack.standin.relay import TcpProxy, relaying
+from sardinetrack.standin.tcp_proxy import TcpProxy, open_proxy
 
 ROOT = Path(__file__).parents[2]
 START = ROOT / 'deploy' / 'start.py'
@@ -146,7 +146,7 @@
         return self
 
     async def _open_proxy(self, process: Process) -> None:
-        proxy = relaying(
+        proxy = open_proxy(
             self._store_ip,
             _STORE_PORT,
             ip=process.store_ip,
--- a/src/sardinetrack/compose/local.py
+++ b/src/sardinetrack/compose/local.py
@@ -24,7 +24,7 @@
 from sardinetrack.process.signals import run_until_drained
 from sardinetrack.side.daemon import SideDaemon
 from sardinetrack.standin.engine import Engine
-from sardinetrack.standin.hosting import hosting
+from sardinetrack.standin.hosting import serve_standin
 from sardinetrack.standin.platform import PlatformStandin
 from sardinetrack.standin.service import Service
 from sardinetrack.standin.settings import EngineSettings, ServiceSettings
@@ -96,11 +96,13 @@
     async def _open_backend_servers(self, stack: AsyncExitStack) -> None:
         for number in range(_ENGINE_COUNT):
             engine = Engine(EngineSettings(model=MODEL))
-            url = await stack.enter_async_context(hosting(engine, _IP, 0))
+            url = await stack.enter_async_context(serve_standin(engine, _IP, 0))
             await self._open_side(stack, MODEL_POOL, f'engine-{number}', url)
         for number in range(_SERVICE_COUNT):
             service = Service(ServiceSettings())
-            url = await stack.enter_async_context(hosting(service, _IP, 0))
+            url = await stack.enter_async_context(
+                serve_standin(service, _IP, 0)
+            )
             name = f'service-{number}'
             await self._open_side(stack, SERVICE_POOL, name, url)
 
--- a/src/sardinetrack/standin/base.py
+++ b/src/sardinetrack/standin/base.py
@@ -20,7 +20,7 @@
 from sardinetrack.standin.connections import ConnectionRegistry
 from sardinetrack.standin.executions import Execution, Executions, Outcome
 from sardinetrack.standin.faults import Faults, FaultSwitch
-from sardinetrack.standin.fencing import Fence
+from sardinetrack.standin.fencing import FencingCheck
 
 FENCING_HEADER: Final = 'sardinetrack-fencing'
 OK: Final = 200
@@ -50,7 +50,7 @@
     """ASGI application with faults, a fencing check and execution counts."""
 
     def __init__(self, faults: Faults, *, checks_fencing: bool) -> None:
-        """Build a stand-in; ``sardinetrack.standin.hosting`` serves it.
+        """Build a stand-in; ``sardinetrack.standin.serve_standin`` serves it.
 
         :param faults: the initial faults.
         :param checks_fencing: whether old fencing tokens are refused.
@@ -58,7 +58,7 @@
         self.faults = FaultSwitch(faults)
         self.executions = Executions()
         self.connections = ConnectionRegistry()
-        self.fence = Fence(checks=checks_fencing)
+        self.fence = FencingCheck(checks=checks_fencing)
         self.crashed = anyio.Event()
         self._scopes: set[anyio.CancelScope] = set()
 
--- a/src/sardinetrack/standin/engine_load_commands.py
+++ b/src/sardinetrack/standin/engine_load_commands.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from sardinetrack.standin.fencing import Fence
+from sardinetrack.standin.fencing import FencingCheck
 
 
 class LoadCommand(msgspec.Struct):
@@ -37,7 +37,7 @@
 class LoadCommandLog:
     """Accepted commands, oldest first."""
 
-    def __init__(self, fence: Fence) -> None:
+    def __init__(self, fence: FencingCheck) -> None:
         """Build an empty log.
 
         :param fence: checks the fencing token of each command.
--- a/src/sardinetrack/standin/fencing.py
+++ b/src/sardinetrack/standin/fencing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Fence:
+class FencingCheck:
     """Rejects fencing tokens older than the newest one seen."""
 
     def __init__(self, *, checks: bool) -> None:
--- a/src/sardinetrack/standin/hosting.py
+++ b/src/sardinetrack/standin/hosting.py
@@ -15,7 +15,7 @@
 
 
 @asynccontextmanager
-async def hosting(
+async def serve_standin(
     standin: StandIn,
     ip: str,
     port: int,
@@ -40,7 +40,7 @@
 
 async def run(standin: StandIn, ip: str, port: int) -> None:
     """Serve until cancelled; print the URL when ready."""
-    async with hosting(standin, ip, port) as url:
+    async with serve_standin(standin, ip, port) as url:
         print_url(url)
         await anyio.sleep_forever()
 
--- a/src/sardinetrack/standin/platform.py
+++ b/src/sardinetrack/standin/platform.py
@@ -28,7 +28,7 @@
     ListedInstance,
     UnavailableError,
 )
-from sardinetrack.store.in_process import Disturbance, MemoryPlatform
+from sardinetrack.store.in_process import InjectedFaults, MemoryPlatform
 
 _OBJECTS: Final = '/objects'
 _INSTANCES: Final = '/instances'
@@ -167,7 +167,7 @@
     def _inject_faults(self, faults: Faults) -> None:
         self.gate.replace(time.monotonic(), faults)
         self.platform.apply_faults(
-            Disturbance(
+            InjectedFaults(
                 outage=faults.outage,
                 watch_lag_seconds=faults.watch_lag_seconds,
                 list_lag_seconds=faults.list_lag_seconds,
--- a/src/sardinetrack/standin/relay.py
+++ b/src/sardinetrack/standin/tcp_proxy.py
@@ -60,7 +60,7 @@
 
 
 class TcpProxy:
-    """Forwards TCP connections to a target; ``relaying`` runs it."""
+    """Forwards TCP connections to a target; ``open_proxy`` runs it."""
 
     def __init__(self, target_ip: str, target_port: int) -> None:
         """Build a proxy that is not yet open; needs a running event loop.
@@ -266,7 +266,7 @@
 
 
 @asynccontextmanager
-async def relaying(
+async def open_proxy(
     target_ip: str,
     target_port: int,
     *,
--- a/src/sardinetrack/store/in_process.py
+++ b/src/sardinetrack/store/in_process.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Disturbance:
+class InjectedFaults:
     """Faults to inject into the calls."""
 
     outage: bool = False
@@ -53,11 +53,11 @@
         :param clock: returns the current moment in seconds.
         """
         self.store = store or MemoryStore()
-        self._faults = Disturbance()
+        self._faults = InjectedFaults()
         self._clock = clock
         self._waiting_watches: set[_WaitingWatch] = set()
 
-    def apply_faults(self, faults: Disturbance) -> None:
+    def apply_faults(self, faults: InjectedFaults) -> None:
         """Replace the injected faults, also for watches that are waiting."""
         self._faults = faults
         for watch in self._waiting_watches:
--- a/tests/catalogue/steps/editor_steps.py
+++ b/tests/catalogue/steps/editor_steps.py
@@ -18,7 +18,7 @@
     UnavailableError,
     UncertainError,
 )
-from sardinetrack.store.in_process import Disturbance, MemoryPlatform
+from sardinetrack.store.in_process import InjectedFaults, MemoryPlatform
 
 _PILOT = 'catalogue/workspace/pilot'
 _POOL = 'catalogue/pool/ice'
@@ -179,7 +179,7 @@
 @given('the responses to the next {count:d} writes are lost')
 def lose_replies(context, count):
     context.before = context.platform.store.revision
-    context.platform.apply_faults(Disturbance(lose_replies=count))
+    context.platform.apply_faults(InjectedFaults(lose_replies=count))
 
 
 @given('the next {count:d} writes are lost before they arrive')
@@ -218,13 +218,13 @@
 
 @given('the platform fails after the next write, whose response is lost')
 def fail_after_write(context):
-    context.platform.apply_faults(Disturbance(lose_replies=1))
+    context.platform.apply_faults(InjectedFaults(lose_replies=1))
     context.platform.after_write = partial(_take_down, context.platform)
 
 
 async def _take_down(platform):
     await anyio.lowlevel.checkpoint()
-    platform.apply_faults(Disturbance(outage=True))
+    platform.apply_faults(InjectedFaults(outage=True))
 
 
 @then('the outcome is reported as uncertain')
--- a/tests/catalogue/steps/feed_steps.py
+++ b/tests/catalogue/steps/feed_steps.py
@@ -20,7 +20,7 @@
     UnavailableError,
 )
 from sardinetrack.store.backoff import Backoff
-from sardinetrack.store.in_process import Disturbance, MemoryPlatform
+from sardinetrack.store.in_process import InjectedFaults, MemoryPlatform
 from sardinetrack.store.memory import MemoryStore
 
 _PILOT = 'catalogue/workspace/pilot'
@@ -125,7 +125,9 @@
 
 @when('the platform becomes unavailable and {count:d} calls have failed')
 def make_unavailable(context, count):
-    context.portal.call(context.platform.apply_faults, Disturbance(outage=True))
+    context.portal.call(
+        context.platform.apply_faults, InjectedFaults(outage=True)
+    )
     _until(context, lambda: context.feed.calls.failures >= count)
 
 
@@ -134,7 +136,7 @@
     ' and workspace "pilot" is given to "{owner}"'
 )
 def make_available(context, owner):
-    context.portal.call(context.platform.apply_faults, Disturbance())
+    context.portal.call(context.platform.apply_faults, InjectedFaults())
     _write(context, _PILOT, owner)
 
 
@@ -152,7 +154,7 @@
     for number in range(count):
         key = f'catalogue/workspace/w{number}'
         store.put(0, key, config_object(key, 1).value.encode(), None)
-    context.platform.apply_faults(Disturbance())
+    context.platform.apply_faults(InjectedFaults())
 
 
 @then('{count:d} workspaces become active and "pilot" is removed')
@@ -164,7 +166,7 @@
 @when('the watches {fault}')
 def set_fault(context, fault):
     if fault == 'lag':
-        lagging = Disturbance(watch_lag_seconds=0.3)
+        lagging = InjectedFaults(watch_lag_seconds=0.3)
         context.portal.call(context.platform.apply_faults, lagging)
     else:
         context.platform.fault = fault
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -38,7 +38,7 @@
     StoredObject,
     UnavailableError,
 )
-from sardinetrack.store.in_process import Disturbance, MemoryPlatform
+from sardinetrack.store.in_process import InjectedFaults, MemoryPlatform
 
 MODEL = 'ice-1'
 POLL_SECONDS = 0.02
@@ -113,7 +113,7 @@
     ) -> StoredObject:
         """Write, and lose the response if this write was selected."""
         if self.countdown == 0:
-            self.apply_faults(Disturbance(lose_replies=1))
+            self.apply_faults(InjectedFaults(lose_replies=1))
         self.countdown -= 1
         return await super().put(
             key,
@@ -289,7 +289,7 @@
             side.free = SLOTS
             self.portal.call(side.announce)
 
-    def inject_faults(self, disturbance: Disturbance) -> None:
+    def inject_faults(self, disturbance: InjectedFaults) -> None:
         """Set the faults of the platform."""
         self.portal.call(self.platform.apply_faults, disturbance)
 
--- a/tests/entry/steps/caller_interface_steps.py
+++ b/tests/entry/steps/caller_interface_steps.py
@@ -17,7 +17,7 @@
 
 from sardinetrack.errors.api import ErrorKind
 from sardinetrack.errors.table import error_response_for
-from sardinetrack.store.in_process import Disturbance
+from sardinetrack.store.in_process import InjectedFaults
 
 AUTHORIZED = f'host: entry\r\nauthorization: Bearer {TOKEN_TEXT}\r\n'
 SERVICE = f'POST /services/chart-api/x HTTP/1.1\r\n{AUTHORIZED}'
@@ -231,7 +231,7 @@
 @given('an entry "{name}" that starts while the platform is down')
 def start_entry_alone(context, name):
     world = context.world
-    world.portal.call(world.platform.apply_faults, Disturbance(outage=True))
+    world.portal.call(world.platform.apply_faults, InjectedFaults(outage=True))
     world.entries[name] = world.start_entry(name)
 
 
--- a/tests/entry/steps/claims_steps.py
+++ b/tests/entry/steps/claims_steps.py
@@ -11,7 +11,7 @@
 
 from sardinetrack.entry.claims import ClaimRequest
 from sardinetrack.entry.completions import fingerprint
-from sardinetrack.store.in_process import Disturbance
+from sardinetrack.store.in_process import InjectedFaults
 
 WARN = '/services/chart-api/warn'
 HOUR_SECONDS = 3600
@@ -42,7 +42,7 @@
 
 @given('the platform loses the response to the next write')
 def lose_response(context: Any) -> None:
-    context.world.inject_faults(Disturbance(lose_replies=1))
+    context.world.inject_faults(InjectedFaults(lose_replies=1))
 
 
 @given('the platform loses the response to the second write from now')
@@ -53,12 +53,12 @@
 @given('the platform is down')
 @when('the platform goes down')
 def platform_down(context: Any) -> None:
-    context.world.inject_faults(Disturbance(outage=True))
+    context.world.inject_faults(InjectedFaults(outage=True))
 
 
 @when('the platform is back')
 def platform_back(context: Any) -> None:
-    context.world.inject_faults(Disturbance())
+    context.world.inject_faults(InjectedFaults())
 
 
 @given('an abandoned claim of warning "{text}" with key "{key}"')
--- a/tests/lease/lease_simulation.py
+++ b/tests/lease/lease_simulation.py
@@ -11,7 +11,7 @@
 
 from sardinetrack.lease.decision import Lease
 from sardinetrack.lease.manager import LeaseManager
-from sardinetrack.standin.fencing import Fence
+from sardinetrack.standin.fencing import FencingCheck
 from sardinetrack.store.api import PlatformError
 from support.faulty_platform import FaultRates, FaultyPlatform, SharedStore
 from support.virtual_time import run_virtually
@@ -34,7 +34,7 @@
     async def run(self) -> None:
         """Let both sides send commands for 200 seconds."""
         self.rng = random.Random(self.seed)
-        self.fence = Fence(checks=self.checks)
+        self.fence = FencingCheck(checks=self.checks)
         road = SharedStore()
         async with anyio.create_task_group() as tasks:
             for name in ('a', 'b'):
--- a/tests/lease/steps/lease_steps.py
+++ b/tests/lease/steps/lease_steps.py
@@ -13,7 +13,7 @@
     ObservedLease,
     WaitForExpiry,
 )
-from sardinetrack.standin.fencing import Fence
+from sardinetrack.standin.fencing import FencingCheck
 
 
 @given('a server that {kind} fencing tokens')
@@ -91,7 +91,7 @@
 
 @then('the server refuses the token of "{name}"')
 def then_refuses(context: Any, name: str) -> None:
-    fence = Fence(checks=True)
+    fence = FencingCheck(checks=True)
     assert fence.admits(context.seen.version)
     assert not fence.admits(_lease(context, name).fencing_token)
 
--- a/tests/membership/steps/feed_steps.py
+++ b/tests/membership/steps/feed_steps.py
@@ -19,7 +19,7 @@
 from sardinetrack.membership.feed import MembershipFeed
 from sardinetrack.membership.view import MembershipView
 from sardinetrack.store.api import InstanceState, ListedInstance
-from sardinetrack.store.in_process import Disturbance, MemoryPlatform
+from sardinetrack.store.in_process import InjectedFaults, MemoryPlatform
 
 _POLL_INTERVAL_SECONDS = 0.02
 _MAX_POLLS = 500
@@ -171,7 +171,9 @@
 
 @when("the list's platform goes down and {count:d} polls have failed")
 def platform_down(context, count):
-    context.portal.call(context.platform.apply_faults, Disturbance(outage=True))
+    context.portal.call(
+        context.platform.apply_faults, InjectedFaults(outage=True)
+    )
     _wait_until(context, lambda: context.feed.failures >= count)
 
 
@@ -188,7 +190,7 @@
 @when('the platform is back and lists "e1" only')
 def platform_back(context):
     context.platform.remove_instance('s1')
-    context.portal.call(context.platform.apply_faults, Disturbance())
+    context.portal.call(context.platform.apply_faults, InjectedFaults())
 
 
 @then('the feed finally sends "{expected}"')
--- a/tests/standin/steps/relay_steps.py
+++ b/tests/standin/steps/relay_steps.py
@@ -9,7 +9,7 @@
 from standin_steps import MAX_WAIT_SECONDS, counts, wait_until
 
 from sardinetrack.http.client import ConnectionBrokenError, RequestNotSentError
-from sardinetrack.standin.relay import Direction, relaying
+from sardinetrack.standin.tcp_proxy import Direction, open_proxy
 
 LOOKUP = '/lookup/7'
 
@@ -26,7 +26,7 @@
     port = int(context.url.rpartition(':')[2])
     context.relay = context.stack.enter_context(
         context.portal.wrap_async_context_manager(
-            relaying('127.0.0.1', port),
+            open_proxy('127.0.0.1', port),
         ),
     )
 
--- a/tests/standin/steps/standin_steps.py
+++ b/tests/standin/steps/standin_steps.py
@@ -11,7 +11,7 @@
 
 from behave import given, step, then
 
-from sardinetrack.standin.hosting import hosting
+from sardinetrack.standin.hosting import serve_standin
 
 MAX_WAIT_SECONDS = 10.0
 
@@ -20,7 +20,7 @@
     context.standin = context.portal.call(build)
     context.url = context.stack.enter_context(
         context.portal.wrap_async_context_manager(
-            hosting(context.standin, '127.0.0.1', 0),
+            serve_standin(context.standin, '127.0.0.1', 0),
         ),
     )
 
--- a/tests/support/relay_link.py
+++ b/tests/support/relay_link.py
@@ -9,7 +9,7 @@
 
 from anyio.from_thread import start_blocking_portal
 
-from sardinetrack.standin.relay import Direction, relaying
+from sardinetrack.standin.tcp_proxy import Direction, open_proxy
 
 
 class RelayLink:
@@ -28,7 +28,7 @@
         self._portal = self._stack.enter_context(start_blocking_portal())
         self._proxy = self._stack.enter_context(
             self._portal.wrap_async_context_manager(
-                relaying(str(self._target.hostname), self._target.port or 0),
+                open_proxy(str(self._target.hostname), self._target.port or 0),
             ),
         )
         return self
--- a/tests/support/wires.py
+++ b/tests/support/wires.py
@@ -8,7 +8,7 @@
 
 from anyio.from_thread import BlockingPortal, start_blocking_portal
 
-from sardinetrack.standin.relay import Direction, TcpProxy, relaying
+from sardinetrack.standin.tcp_proxy import Direction, TcpProxy, open_proxy
 
 
 class Proxy:
@@ -90,6 +90,6 @@
         """Open a proxy to ``IP:port``."""
         ip, _, port = address.rpartition(':')
         proxy = self._stack.enter_context(
-            self._portal.wrap_async_context_manager(relaying(ip, int(port))),
+            self._portal.wrap_async_context_manager(open_proxy(ip, int(port))),
         )
         return Proxy(self._portal, proxy)
--- a/tests/system/steps/not_run_steps.py
+++ b/tests/system/steps/not_run_steps.py
@@ -9,7 +9,7 @@
 from behave import given, step, then, when
 from failure_steps import start_scene
 
-from sardinetrack.standin.relay import Direction
+from sardinetrack.standin.tcp_proxy import Direction
 from support.crowd import COMPLETE, describe, post_service
 from support.fleet import eventually
 from support.scene import Plan, Scene
