--- a/src/sardinetrack/cli/experiment.py
+++ b/src/sardinetrack/cli/experiment.py
@@ -11,7 +11,7 @@
 from sardinetrack.cli.table import format_table
 from sardinetrack.emulator.experiment import ExperimentResult, compare_policies
 from sardinetrack.emulator.load import LoadProfile
-from sardinetrack.emulator.orders import ORDERS
+from sardinetrack.emulator.policies import PLACEMENT_POLICIES
 
 _DEFAULT_RATES: Final = (24.0, 60.0)
 _DEFAULT_SECONDS: Final = 40.0
@@ -87,7 +87,7 @@
         """Print a row for each placement policy and rate."""
         rows = compare_policies(
             LoadProfile(engines=options.engines, rate_step=options.jump),
-            ORDERS,
+            PLACEMENT_POLICIES,
             options.rate or _DEFAULT_RATES,
             range(1, options.seeds + 1),
             options.seconds,
--- a/src/sardinetrack/emulator/experiment.py
+++ b/src/sardinetrack/emulator/experiment.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from sardinetrack.emulator.api import Outcome, PlacementPolicy
-from sardinetrack.emulator.crowd import Simulation
 from sardinetrack.emulator.load import LoadProfile, draw_requests
+from sardinetrack.emulator.simulation import Simulation
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/sardinetrack/emulator/load.py
+++ b/src/sardinetrack/emulator/load.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FewSlots(LoadProfile):
+class FewSlotsProfile(LoadProfile):
     """Engines whose slots are exhausted before their prefill capacity.
 
     59 engines of 12 slots, as the users' largest ice-llm. The requests' own
--- a/src/sardinetrack/emulator/orders.py
+++ b/src/sardinetrack/emulator/policies.py
@@ -12,7 +12,7 @@
 _SEED: Final = 1
 
 
-class HomeOrder(PlacementPolicy):
+class HomeServerPolicy(PlacementPolicy):
     """The product's own policy: by the request's estimated cost."""
 
     name = 'home'
@@ -48,8 +48,8 @@
 
 
 PolicyTypes = tuple[type[PlacementPolicy], ...]
-ORDERS: Final[PolicyTypes] = (
-    HomeOrder,
+PLACEMENT_POLICIES: Final[PolicyTypes] = (
+    HomeServerPolicy,
     LeastLoadedPolicy,
     RandomPolicy,
 )
--- a/tests/emulator/steps/crowd_steps.py
+++ b/tests/emulator/steps/crowd_steps.py
@@ -9,9 +9,9 @@
 
 from behave import then, when
 
-from sardinetrack.emulator.crowd import Simulation
 from sardinetrack.emulator.load import LoadProfile, draw_requests
-from sardinetrack.emulator.orders import HomeOrder
+from sardinetrack.emulator.policies import HomeServerPolicy
+from sardinetrack.emulator.simulation import Simulation
 from sardinetrack.run import main
 
 _SECONDS = 20
@@ -20,7 +20,7 @@
 def _simulate(rate, seed):
     shape = LoadProfile()
     requests = draw_requests(shape, rate, _SECONDS, seed)
-    return Simulation(shape, HomeOrder()).run_load(requests, _SECONDS)
+    return Simulation(shape, HomeServerPolicy()).run_load(requests, _SECONDS)
 
 
 @when(
--- a/tests/placement/crowd.feature
+++ b/tests/placement/crowd.feature
@@ -24,7 +24,7 @@
       | 60   | 2    | 0.55     | 1.2   |
 
   Scenario Outline: Engines with few slots, seed <seed>
-    The load and its basis are FewSlots of the same module: 310 requests a
+    The load and its basis are FewSlotsProfile of the same module: 310 requests a
     second take 0.88 of its slots. Callers see refusals though the engines
     prefill for half of their time: a side reported that it was free while all
     its slots were occupied, and after three such engines a request was refused,
--- a/tests/placement/steps/crowd_steps.py
+++ b/tests/placement/steps/crowd_steps.py
@@ -4,9 +4,13 @@
 
 from behave import then, when
 
-from sardinetrack.emulator.crowd import Simulation
-from sardinetrack.emulator.load import FewSlots, LoadProfile, draw_requests
-from sardinetrack.emulator.orders import ORDERS, HomeOrder
+from sardinetrack.emulator.load import (
+    FewSlotsProfile,
+    LoadProfile,
+    draw_requests,
+)
+from sardinetrack.emulator.policies import PLACEMENT_POLICIES, HomeServerPolicy
+from sardinetrack.emulator.simulation import Simulation
 
 _FEW_SLOTS_SECONDS = 10
 _NAIVE = ('random', 'least loaded')
@@ -19,7 +23,7 @@
 def run(context, rate, seconds, seed):
     shape = LoadProfile()
     context.outcomes = {}
-    for order in ORDERS:
+    for order in PLACEMENT_POLICIES:
         requests = draw_requests(shape, rate, seconds, seed)
         outcome = Simulation(shape, order()).run_load(requests, seconds)
         context.outcomes[order.name] = outcome
@@ -35,9 +39,9 @@
     'with seed {seed:d}'
 )
 def run_few_slots(context, rate, seed):
-    shape = FewSlots()
+    shape = FewSlotsProfile()
     requests = draw_requests(shape, rate, _FEW_SLOTS_SECONDS, seed)
-    crowd = Simulation(shape, HomeOrder())
+    crowd = Simulation(shape, HomeServerPolicy())
     context.outcomes = {'home': crowd.run_load(requests, _FEW_SLOTS_SECONDS)}
 
 
