--- a/benchmarks/chaos/virtual/entry.py
+++ b/benchmarks/chaos/virtual/entry.py
@@ -52,7 +52,7 @@
         """Build one start of the entry."""
         super().__init__(network, address)
         self.name = name
-        self.core: EntryComponents
+        self.components: EntryComponents
         self._platform = NodePlatform(store, self, faults)
 
     async def work(self, tasks: TaskGroup) -> None:
@@ -67,11 +67,13 @@
                 self._platform,
                 claims,
             )
-            self.core = EntryComponents(dependencies, VirtualHttp(self.network))
-            control = Control(self.core, tasks)
+            self.components = EntryComponents(
+                dependencies, VirtualHttp(self.network)
+            )
+            control = Control(self.components, tasks)
             control.start()
             self.application = _Listeners(
                 control.peer_application(),
-                HttpApplication(caller_request_handler(self.core).handle),
+                HttpApplication(caller_request_handler(self.components).handle),
             )
             await self.accept_connections()
--- a/benchmarks/chaos/virtual/world.py
+++ b/benchmarks/chaos/virtual/world.py
@@ -99,7 +99,7 @@
         return [
             node
             for node in self.entries.values()
-            if node.is_listening and not node.core.status.read().not_ready
+            if node.is_listening and not node.components.status.read().not_ready
         ]
 
     def execution_counts(self) -> dict[str, int]:
@@ -114,8 +114,8 @@
         """Describe what is still occupied though no request is under way."""
         found = []
         for entry in self.entries.values():
-            core = entry.core
-            if core.dispatcher.open_requests() or core.gate.inside:
+            components = entry.components
+            if components.dispatcher.open_requests() or components.gate.inside:
                 found.append(f'{entry.name} has open requests')
             found.extend(self._entry_leaks(entry))
         for side in self.sides.values():
@@ -125,7 +125,7 @@
         return found
 
     def _entry_leaks(self, entry: EntryNode) -> list[str]:
-        status = entry.core.status.read()
+        status = entry.components.status.read()
         waits = [pool for pool in status.pools if pool.waiting or pool.running]
         found = [' '.join((entry.name, repr(pool))) for pool in waits]
         linked = sum(len(pool.sides) for pool in status.pools)
--- a/src/sardinetrack/entry/attempt.py
+++ b/src/sardinetrack/entry/attempt.py
@@ -127,8 +127,8 @@
                     self._call, self._dispatch, side, self._sides, bids
                 ),
                 body=self._call.body,
-            ) as reply:
-                return await self._handle_reply(reply)
+            ) as response:
+                return await self._handle_reply(response)
         except RequestNotSentError:
             return _NOT_STARTED
         except ClientDisconnectedError:
@@ -145,8 +145,8 @@
     async def _handle_reply(
         self, streamed: StreamedResponse
     ) -> AttemptResult | None:
-        reply = RunResponse(streamed)
-        match reply.run_result.fate:
+        response = RunResponse(streamed)
+        match response.run_result.fate:
             case AttemptStatus.NOT_STARTED:
                 return _NOT_STARTED
             case AttemptStatus.FAILED:
@@ -155,13 +155,13 @@
                 return AttemptResult(AttemptOutcome.UNKNOWN)
             case AttemptStatus.UNKNOWN:
                 return None
-        await self._relay_response(reply)
+        await self._relay_response(response)
         return AttemptResult(AttemptOutcome.COMPLETED, self._cost())
 
-    async def _relay_response(self, reply: RunResponse) -> None:
+    async def _relay_response(self, response: RunResponse) -> None:
         self._meter = meter_for(
             self._call,
-            reply.header('content-type') or '',
+            response.header('content-type') or '',
             self._dispatcher.clock,
             self._began,
         )
@@ -171,7 +171,7 @@
             self._meter,
             self._progress,
         )
-        await self._relay.run(reply)
+        await self._relay.run(response)
 
     def _silent_seconds(self) -> float:
         received_at = self._relay.received_at if self._relay else self._began
--- a/src/sardinetrack/entry/callers.py
+++ b/src/sardinetrack/entry/callers.py
@@ -21,17 +21,17 @@
 
 
 def serve_callers(
-    core: EntryComponents,
+    components: EntryComponents,
 ) -> AbstractAsyncContextManager[BoundServer]:
     """Serve callers while the context is open.
 
-    :param core: the entry's components.
+    :param components: the entry's components.
     :return: a context manager of the running server.
     """
-    settings = core.parts.settings
+    settings = components.dependencies.settings
     bounds = settings.bounds
     return serve(
-        HttpApplication(caller_request_handler(core).handle),
+        HttpApplication(caller_request_handler(components).handle),
         settings.callers.ip,
         settings.callers.port,
         bounds=ServerLimits(
@@ -39,29 +39,31 @@
             keep_alive_seconds=max(1, round(bounds.keep_alive_seconds)),
         ),
         protocol=caller_protocol(
-            core.parts.head_bounds,
+            components.dependencies.head_bounds,
             bounds.max_connections,
         ),
     )
 
 
-def caller_request_handler(core: EntryComponents) -> CallerRequestHandler:
+def caller_request_handler(components: EntryComponents) -> CallerRequestHandler:
     """Build the handler of callers' requests, without a listener.
 
-    :param core: the entry's components.
+    :param components: the entry's components.
     :return: the handler.
     """
-    bounds = core.parts.settings.bounds
+    bounds = components.dependencies.settings.bounds
     costs = CostEstimates()
     runner = CallRunner(
-        core.dispatcher,
-        core.peers,
-        IdempotentRuns(core.parts.claims, bounds.wait_seconds),
+        components.dispatcher,
+        components.peers,
+        IdempotentRuns(components.dependencies.claims, bounds.wait_seconds),
         costs,
-        core.metrics,
+        components.metrics,
         bounds.send_seconds,
     )
-    reader = CallReader(core.view, costs, bounds, core.dispatcher.clock)
+    reader = CallReader(
+        components.view, costs, bounds, components.dispatcher.clock
+    )
     return CallerRequestHandler(
-        core.view, reader, runner, core.gate, core.metrics
+        components.view, reader, runner, components.gate, components.metrics
     )
--- a/src/sardinetrack/entry/components.py
+++ b/src/sardinetrack/entry/components.py
@@ -19,29 +19,33 @@
     All of them are used on the event loop only, between two awaits.
     """
 
-    def __init__(self, parts: EntryDependencies, http: HttpClient) -> None:
+    def __init__(
+        self, dependencies: EntryDependencies, http: HttpClient
+    ) -> None:
         """Build the components.
 
-        :param parts: settings and collaborators of the entry.
+        :param dependencies: settings and collaborators of the entry.
         :param http: the client for requests to sides.
         """
-        self.parts = parts
+        self.dependencies = dependencies
         self.gate = DrainGate()
         self.view = CatalogueView()
         self.peers = LinkedPeers(
-            parts.settings.instance,
+            dependencies.settings.instance,
             http,
-            parts.peer_secret,
+            dependencies.peer_secret,
         )
         self.metrics = EntryMetrics()
-        self.dispatcher = Dispatcher(parts.routing, self.peers, self.metrics)
+        self.dispatcher = Dispatcher(
+            dependencies.routing, self.peers, self.metrics
+        )
         self.metrics.set_gauges(
             self.dispatcher.open_requests,
             self.peers.count_links,
         )
         self.config_sync = ConfigSync(self.view, self.dispatcher, self.peers)
         self.status = StatusReader(
-            parts.hello(),
+            dependencies.hello(),
             self.config_sync,
             self.dispatcher,
             self.peers,
--- a/src/sardinetrack/entry/control_tasks.py
+++ b/src/sardinetrack/entry/control_tasks.py
@@ -20,47 +20,49 @@
 class Control:
     """Connects the links and the platform feeds with the entry components."""
 
-    def __init__(self, core: EntryComponents, tasks: TaskGroup) -> None:
+    def __init__(self, components: EntryComponents, tasks: TaskGroup) -> None:
         """Build the link handlers and the feeds.
 
-        :param core: the entry's components.
+        :param components: the entry's components.
         :param tasks: runs the feeds and the dialers.
         """
-        self._core = core
+        self._components = components
         self._tasks = tasks
         self._inbox = LinkInbox()
         dialers = PeerDialers(
-            core.parts.hello(),
-            core.parts.peer_secret,
+            components.dependencies.hello(),
+            components.dependencies.peer_secret,
             self._inbox.events,
             tasks,
         )
         self._events = PeerEvents(
-            core.peers,
+            components.peers,
             dialers,
-            core.dispatcher,
-            core.config_sync,
+            components.dispatcher,
+            components.config_sync,
         )
         self._updates = PlatformUpdates(
-            core.parts.platform,
-            core.parts.settings.platform.watch_seconds,
+            components.dependencies.platform,
+            components.dependencies.settings.platform.watch_seconds,
         )
 
     def start(self) -> None:
         """Start all tasks."""
         self._tasks.start_soon(self._inbox.deliver, self._events)
-        self._tasks.start_soon(tick_periodically, self._core.dispatcher)
+        self._tasks.start_soon(tick_periodically, self._components.dispatcher)
         self._tasks.start_soon(
-            send_digests_periodically, self._core.config_sync
+            send_digests_periodically, self._components.config_sync
+        )
+        self._updates.start(
+            self._tasks, self._components.config_sync, self._events
         )
-        self._updates.start(self._tasks, self._core.config_sync, self._events)
 
     def peer_application(self) -> PeerApplication:
         """Build the endpoint for peers."""
-        secret = self._core.parts.peer_secret
+        secret = self._components.dependencies.peer_secret
         acceptor = LinkAcceptor(
-            self._core.parts.hello(),
+            self._components.dependencies.hello(),
             secret,
             self._inbox.events,
         )
-        return PeerApplication(secret, acceptor, self._core.status.read)
+        return PeerApplication(secret, acceptor, self._components.status.read)
--- a/src/sardinetrack/entry/daemon.py
+++ b/src/sardinetrack/entry/daemon.py
@@ -26,14 +26,14 @@
 class EntryDaemon(ServingDaemon):
     """Serves while the context is open; ``run`` returns after a drain."""
 
-    def __init__(self, parts: EntryDependencies) -> None:
+    def __init__(self, dependencies: EntryDependencies) -> None:
         """Store the dependencies; entering the context starts the entry.
 
-        :param parts: settings and collaborators of the entry.
+        :param dependencies: settings and collaborators of the entry.
         """
         super().__init__()
-        self._parts = parts
-        self.core: EntryComponents
+        self._dependencies = dependencies
+        self.components: EntryComponents
         self.callers: BoundServer
         self.peer: BoundServer
         self.operator: BoundServer
@@ -43,14 +43,14 @@
 
         Requests that run longer than the configured time are interrupted.
         """
-        gate = self.core.gate
+        gate = self.components.gate
         gate.begin_shutdown()
         _LOG.info('draining', requests=gate.inside)
         # If the listener closed before the load balancer has noticed, new
         # callers would get a connection reset instead of a response.
-        await anyio.sleep(self._parts.balancer_seconds)
+        await anyio.sleep(self._dependencies.balancer_seconds)
         gate.stop_accepting()
-        with anyio.move_on_after(self._parts.settings.drain_seconds):
+        with anyio.move_on_after(self._dependencies.settings.drain_seconds):
             await gate.wait_idle()
         gate.end_drain()
         if gate.inside:
@@ -62,11 +62,11 @@
 
     async def _open(self, stack: AsyncExitStack) -> None:
         http = await stack.enter_async_context(HttpClient())
-        self.core = EntryComponents(self._parts, http)
+        self.components = EntryComponents(self._dependencies, http)
         tasks = await stack.enter_async_context(anyio.create_task_group())
         stack.callback(tasks.cancel_scope.cancel)
-        control = Control(self.core, tasks)
-        settings = self._parts.settings
+        control = Control(self.components, tasks)
+        settings = self._dependencies.settings
         self.operator = await self._serve(
             stack,
             self._operator_application(),
@@ -78,7 +78,7 @@
             settings.peer,
         )
         control.start()
-        self.callers = await self._start(stack, serve_callers(self.core))
+        self.callers = await self._start(stack, serve_callers(self.components))
 
     def _log_serving(self) -> None:
         _LOG.info(
@@ -91,8 +91,8 @@
 
     def _operator_application(self) -> Application:
         pages = OperatorPages(
-            self.core.status.read,
-            self.core.metrics,
-            self._parts.settings.model_dump(mode='json'),
+            self.components.status.read,
+            self.components.metrics,
+            self._dependencies.settings.model_dump(mode='json'),
         )
         return HttpApplication(pages.handle)
--- a/src/sardinetrack/entry/response_relay.py
+++ b/src/sardinetrack/entry/response_relay.py
@@ -54,48 +54,50 @@
         """When data last arrived from the side, for detecting a stalled
         connection."""
 
-    async def run(self, reply: RunResponse) -> None:
+    async def run(self, response: RunResponse) -> None:
         """Relay the response.
 
         :raises ConnectionBrokenError: it ended before it was complete.
         """
-        headers = response_headers_to_forward(reply.headers)
+        headers = response_headers_to_forward(response.headers)
         headers.append((REQUEST_ID_HEADER, self._call.external_request_id))
         if self._meter.needs_terminal:
-            await self._relay_events(reply, headers)
-        elif self._can_buffer(reply):
-            await self._relay_buffered(reply, headers)
+            await self._relay_events(response, headers)
+        elif self._can_buffer(response):
+            await self._relay_buffered(response, headers)
         else:
-            await self._relay_chunks(reply, headers)
+            await self._relay_chunks(response, headers)
 
     async def _relay_events(
-        self, reply: RunResponse, headers: HeaderList
+        self, response: RunResponse, headers: HeaderList
     ) -> None:
         headers = _without_length(headers)
-        async for chunk in self._chunks_until_terminal(reply):
-            await self._forward(reply.status, headers, self._meter.feed(chunk))
+        async for chunk in self._chunks_until_terminal(response):
+            await self._forward(
+                response.status, headers, self._meter.feed(chunk)
+            )
             self._report_progress()
         remainder = self._meter.remainder()
         if not self._meter.has_terminal:
             raise ConnectionBrokenError('the stream ended without [DONE]')
-        await self._forward(reply.status, headers, remainder)
+        await self._forward(response.status, headers, remainder)
         await self._caller.finish()
 
     async def _chunks_until_terminal(
         self,
-        reply: RunResponse,
+        response: RunResponse,
     ) -> AsyncIterator[bytes]:
         try:
-            async for chunk in self._received_chunks(reply):
+            async for chunk in self._received_chunks(response):
                 yield chunk
         except ConnectionBrokenError:
             if not self._meter.has_terminal:
                 raise
 
     async def _received_chunks(
-        self, reply: RunResponse
+        self, response: RunResponse
     ) -> AsyncIterator[bytes]:
-        async for chunk in reply.chunks():
+        async for chunk in response.chunks():
             self.received_at = anyio.current_time()
             yield chunk
 
@@ -109,36 +111,36 @@
         await self._caller.write(ready)
 
     async def _relay_buffered(
-        self, reply: RunResponse, headers: HeaderList
+        self, response: RunResponse, headers: HeaderList
     ) -> None:
         buffered = bytearray()
-        async for chunk in self._received_chunks(reply):
+        async for chunk in self._received_chunks(response):
             buffered += self._meter.feed(chunk)
             if len(buffered) > _MAX_BUFFERED_BYTES:
-                await self._forward(reply.status, headers, bytes(buffered))
+                await self._forward(response.status, headers, bytes(buffered))
                 buffered.clear()
         if not self._caller.started:
             headers = _with_length(
-                headers, reply.status, self._call, len(buffered)
+                headers, response.status, self._call, len(buffered)
             )
-            await self._caller.begin(reply.status, headers)
+            await self._caller.begin(response.status, headers)
         await self._caller.finish(bytes(buffered))
 
     async def _relay_chunks(
-        self, reply: RunResponse, headers: HeaderList
+        self, response: RunResponse, headers: HeaderList
     ) -> None:
-        await self._caller.begin(reply.status, headers)
-        async for chunk in self._received_chunks(reply):
+        await self._caller.begin(response.status, headers)
+        async for chunk in self._received_chunks(response):
             await self._caller.write(self._meter.feed(chunk))
             self._report_progress()
         await self._caller.finish()
 
-    def _can_buffer(self, reply: RunResponse) -> bool:
+    def _can_buffer(self, response: RunResponse) -> bool:
         if self._call.pool.pool_class is PoolClass.MODEL:
             return True
-        if reply.status in _BODILESS or self._call.method == 'HEAD':
+        if response.status in _BODILESS or self._call.method == 'HEAD':
             return True
-        size = reply.header(_LENGTH) or ''
+        size = response.header(_LENGTH) or ''
         return size.isdecimal() and int(size) <= _MAX_BUFFERED_BYTES
 
     def _report_progress(self) -> None:
--- a/src/sardinetrack/entry/runner.py
+++ b/src/sardinetrack/entry/runner.py
@@ -28,14 +28,14 @@
         self,
         dispatcher: Dispatcher,
         sides: SideDirectory,
-        keyed: IdempotentRuns,
+        idempotent_runs: IdempotentRuns,
         costs: CostEstimates,
         metrics: EntryMetrics,
         send_seconds: float,
     ) -> None:
         self._dispatcher = dispatcher
         self._sides = sides
-        self._keyed = keyed
+        self._idempotent_runs = idempotent_runs
         self._costs = costs
         self._metrics = metrics
         self._send_seconds = send_seconds
@@ -57,7 +57,7 @@
         if call.idempotency_key is None:
             await run(_ignore)
         else:
-            await self._keyed.run(call, call.idempotency_key, run)
+            await self._idempotent_runs.run(call, call.idempotency_key, run)
 
     async def _run_routed(
         self,
--- a/src/sardinetrack/entry/status_query.py
+++ b/src/sardinetrack/entry/status_query.py
@@ -96,13 +96,15 @@
     async def _call(
         self, attempt_id: str, query: AttemptStatusRequest
     ) -> AttemptStatus:
-        reply = await self._sides.http.call(
+        response = await self._sides.http.call(
             'POST',
             self._side.url(f'{ATTEMPT_PATH}{attempt_id}'),
             headers=[self._sides.secret.header()],
             body=msgspec.json.encode(query),
         )
-        return msgspec.json.decode(reply.body, type=AttemptStatusResponse).fate
+        return msgspec.json.decode(
+            response.body, type=AttemptStatusResponse
+        ).fate
 
 
 def _trusted(end: AttemptOutcome, began_seconds: float) -> AttemptOutcome:
--- a/src/sardinetrack/lease/model_loader.py
+++ b/src/sardinetrack/lease/model_loader.py
@@ -57,19 +57,19 @@
     def __init__(
         self,
         server: ModelServer,
-        keeper: LeaseManager,
+        lease_manager: LeaseManager,
         pool: Callable[[], Pool | None],
         rng: random.Random,
     ) -> None:
         """Create the task.
 
         :param server: the backend server.
-        :param keeper: acquires the lease on the server.
+        :param lease_manager: acquires the lease on the server.
         :param pool: returns the current pool, ``None`` when it is unknown.
         :param rng: random number generator for the backoff after errors.
         """
         self._server = server
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._pool = pool
         self._backoff = Backoff(rng)
         self._accepted_models: tuple[str, ...] = ()
@@ -104,7 +104,7 @@
 
     async def _load(self, pool: Pool, models: tuple[str, ...]) -> None:
         checks_fencing = self._server.name in pool.checks_fencing
-        await self._keeper.acquire(checks_fencing=checks_fencing)
+        await self._lease_manager.acquire(checks_fencing=checks_fencing)
         self._backoff.reset()
         # Another holder may have loaded the models during the acquisition.
         if await self._missing(pool) != models:
@@ -114,20 +114,20 @@
             'lease: load command backend_server=%s fencing=%d models=%s '
             'result=%s',
             self._server.name,
-            self._keeper.lease.fencing_token,
+            self._lease_manager.lease.fencing_token,
             ','.join(models),
             result.name.lower(),
         )
         if result is LoadResult.ACCEPTED:
             self._accepted_models = models
         elif result is LoadResult.OLD_NUMBER:
-            self._keeper.lease.mark_superseded()
+            self._lease_manager.lease.mark_superseded()
 
     async def _send_command(self, models: tuple[str, ...]) -> LoadResult:
         # The process may have been paused since the lease was acquired, and
         # the command may be slow in transit: it is cancelled when the lease
         # expires.
-        lease = self._keeper.lease
+        lease = self._lease_manager.lease
         left_seconds = lease.seconds_left(anyio.current_time())
         if left_seconds > 0:
             with anyio.move_on_after(left_seconds):
--- a/src/sardinetrack/relay/attempt.py
+++ b/src/sardinetrack/relay/attempt.py
@@ -47,7 +47,7 @@
         self,
         call: CallerRequest,
         caller: CallerConnection,
-        dialect: ProtocolAdapter,
+        adapter: ProtocolAdapter,
         progress: Progress,
         *,
         streams: bool,
@@ -62,7 +62,7 @@
         self.body = b''
         self._call = call
         self._caller = caller
-        self._dialect = dialect
+        self._adapter = adapter
         self._progress = progress
         self._streams = streams
         self._on_first_event = on_first_event
@@ -80,7 +80,7 @@
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
         """Check the head; end the attempt if the response is not acceptable."""
-        response = self._dialect.parse_response_head(status, headers)
+        response = self._adapter.parse_response_head(status, headers)
         self.response = response
         self.last_data_seconds = self._loop.time()
         if response.not_run:
--- a/src/sardinetrack/relay/caller_connection.py
+++ b/src/sardinetrack/relay/caller_connection.py
@@ -30,14 +30,14 @@
     """Parses requests, writes responses and detects a disconnected caller."""
 
     def __init__(
-        self, dialect: ProtocolAdapter, owner: ConnectionOwner
+        self, adapter: ProtocolAdapter, owner: ConnectionOwner
     ) -> None:
         """Create the connection; asyncio supplies the transport later.
 
-        :param dialect: parses the heads of requests.
+        :param adapter: parses the heads of requests.
         :param owner: the entry that serves the requests.
         """
-        self._dialect = dialect
+        self._adapter = adapter
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -194,7 +194,7 @@
     def on_headers_complete(self) -> None:
         """Parse the head; the body is read even if the head is rejected."""
         try:
-            self._head = self._dialect.parse_request(
+            self._head = self._adapter.parse_request(
                 self._parser.get_method(),
                 self._target,
                 self._headers,
--- a/src/sardinetrack/relay/entry.py
+++ b/src/sardinetrack/relay/entry.py
@@ -46,7 +46,7 @@
     def __init__(
         self,
         state: EntryState,
-        dialect: ProtocolAdapter,
+        adapter: ProtocolAdapter,
         view: ViewSource | None,
     ) -> None:
         """Create an entry; it listens once entered as a context.
@@ -57,7 +57,7 @@
         self.draining = False
         self.port = 0
         self._state = state
-        self._dialect = dialect
+        self._adapter = adapter
         self._view = view
         self._connections: set[CallerConnection] = set()
         self._exchanges: set[Exchange] = set()
@@ -130,7 +130,7 @@
         address = self._state.settings.callers
         assert address is not None  # noqa: S101
         self._listener = await Listener.open(
-            lambda: CallerConnection(self._dialect, self),
+            lambda: CallerConnection(self._adapter, self),
             address,
         )
         self.port = self._listener.port
@@ -236,7 +236,7 @@
         self, call: CallerRequest, caller: CallerConnection
     ) -> None:
         """Serve a request, or refuse it if the entry has no capacity for it."""
-        exchange = Exchange(self._state, self._dialect, call, caller)
+        exchange = Exchange(self._state, self._adapter, call, caller)
         workspace = self._state.workspace_name(call.api_key)
         refusal = self._refusal(workspace)
         if refusal is not None:
--- a/src/sardinetrack/relay/exchange.py
+++ b/src/sardinetrack/relay/exchange.py
@@ -29,19 +29,19 @@
     def __init__(
         self,
         state: EntryState,
-        dialect: ProtocolAdapter,
+        adapter: ProtocolAdapter,
         call: CallerRequest,
         caller: CallerConnection,
     ) -> None:
         self.plan: Plan | None = None
         self.trace = Trace()
         self._state = state
-        self._dialect = dialect
+        self._adapter = adapter
         self._call = call
         self._caller = caller
         self.progress = Progress(EventSplitter(call.last_event_id))
         self._placer = Placer(state, call, self.trace)
-        self._sender = Sender(state, dialect, call, caller, self.trace)
+        self._sender = Sender(state, adapter, call, caller, self.trace)
 
     @property
     def attempt(self) -> Attempt | None:
@@ -72,7 +72,7 @@
             return
         status, headers, body = error_response(error)
         self.trace.status = status
-        identity = self._dialect.own_headers(self._call)
+        identity = self._adapter.own_headers(self._call)
         self._caller.write_response(status, identity + headers, body)
 
     async def _run_with_deadline(self) -> None:
--- a/src/sardinetrack/relay/metrics.py
+++ b/src/sardinetrack/relay/metrics.py
@@ -145,7 +145,7 @@
         "The engine's time by its use",
         side.usage.seconds,
     )
-    yield _counter('turns', 'Verdicts on asked turns', side.verdicts)
+    yield _counter('turns', 'Verdicts on asked turns', side.decisions)
 
 
 def _store_metrics(store: StoreCounters) -> Iterable[Metric]:
--- a/src/sardinetrack/relay/sender.py
+++ b/src/sardinetrack/relay/sender.py
@@ -85,7 +85,7 @@
     def __init__(
         self,
         state: EntryState,
-        dialect: ProtocolAdapter,
+        adapter: ProtocolAdapter,
         call: CallerRequest,
         caller: CallerConnection,
         trace: Trace,
@@ -93,7 +93,7 @@
         self.attempt: Attempt | None = None
         self.server: BackendServer | None = None
         self._state = state
-        self._dialect = dialect
+        self._adapter = adapter
         self._call = call
         self._caller = caller
         self._trace = trace
@@ -161,7 +161,7 @@
         return Attempt(
             self._call,
             self._caller,
-            self._dialect,
+            self._adapter,
             progress,
             streams=plan.route.kind is RouteKind.STREAMING,
             on_first_event=partial(_first_event, placement.permit, target),
@@ -176,7 +176,7 @@
     ) -> None:
         server = candidate.server
         self._recheck(plan, server)
-        request = self._dialect.encode_request(
+        request = self._adapter.encode_request(
             self._call,
             self._sending(plan, server, attempt),
         )
--- a/src/sardinetrack/side/daemon.py
+++ b/src/sardinetrack/side/daemon.py
@@ -29,7 +29,7 @@
     def __init__(self, dependencies: SideDependencies) -> None:
         super().__init__()
         self._dependencies = dependencies
-        self._wiring: SideComponents
+        self._components: SideComponents
         self.peer_server: BoundServer
         self.operator_server: BoundServer
 
@@ -39,21 +39,21 @@
         Requests that run longer than the settings allow are cancelled.
         """
         idle = anyio.Event()
-        await self._wiring.events.send(DrainStarted(idle))
+        await self._components.events.send(DrainStarted(idle))
         with anyio.move_on_after(self._dependencies.settings.drain_seconds):
             await idle.wait()
         if not idle.is_set():
-            await self._wiring.events.send(DrainTimedOut())
+            await self._components.events.send(DrainTimedOut())
         await anyio.sleep(_LINGER_SECONDS)
         await self._close_servers()
 
     async def _open(self, stack: AsyncExitStack) -> None:
         client = await stack.enter_async_context(HttpClient())
-        self._wiring = SideComponents(self._dependencies, client)
+        self._components = SideComponents(self._dependencies, client)
         tasks = await stack.enter_async_context(anyio.create_task_group())
         stack.callback(tasks.cancel_scope.cancel)
-        tasks.start_soon(self._wiring.owner.run)
-        tasks.start_soon(self._wiring.watch.run)
+        tasks.start_soon(self._components.owner.run)
+        tasks.start_soon(self._components.watch.run)
         if self._dependencies.platform is not None:
             model_loader = build_model_loader(
                 self._dependencies,
@@ -64,12 +64,12 @@
         settings = self._dependencies.settings
         self.operator_server = await self._serve(
             stack,
-            self._wiring.operator_application(),
+            self._components.operator_application(),
             settings.operator,
         )
         self.peer_server = await self._serve(
             stack,
-            self._wiring.peer_application(),
+            self._components.peer_application(),
             settings.peer,
         )
 
--- a/src/sardinetrack/standin/base.py
+++ b/src/sardinetrack/standin/base.py
@@ -58,7 +58,7 @@
         self.faults = FaultSwitch(faults)
         self.executions = Executions()
         self.connections = ConnectionRegistry()
-        self.fence = FencingCheck(checks=checks_fencing)
+        self.fencing_check = FencingCheck(checks=checks_fencing)
         self.crashed = anyio.Event()
         self._scopes: set[anyio.CancelScope] = set()
 
@@ -105,7 +105,7 @@
 
     def restart(self) -> None:
         """Accept connections again after a crash, with no state left."""
-        self.fence.reset()
+        self.fencing_check.reset()
         self.crashed = anyio.Event()
         self.connections.accept_again()
 
@@ -165,4 +165,4 @@
             return None
         if not token.isdecimal():
             return BAD_REQUEST
-        return None if self.fence.admits(int(token)) else CONFLICT
+        return None if self.fencing_check.admits(int(token)) else CONFLICT
--- a/src/sardinetrack/standin/engine.py
+++ b/src/sardinetrack/standin/engine.py
@@ -48,7 +48,7 @@
         self._loaded: dict[str, None] = {}
         self._rates = settings.rates
         self._cache = PrefixCache(settings.rates.cache_blocks)
-        self._load_commands = LoadCommandLog(self.fence)
+        self._load_commands = LoadCommandLog(self.fencing_check)
         self._meter = LoadMeter(
             settings.load_lag_seconds,
             settings.rates.kv_capacity_tokens,
@@ -96,7 +96,7 @@
         if accepted:
             newest = self._load_commands.accepted[-1]
             self._loaded.update(dict.fromkeys(models_to_load(newest)))
-        content = {'accepted': accepted, 'newest': self.fence.newest}
+        content = {'accepted': accepted, 'newest': self.fencing_check.newest}
         status = OK if accepted else CONFLICT
         await request.exchange.respond_json(status, content)
 
--- a/src/sardinetrack/standin/engine_load_commands.py
+++ b/src/sardinetrack/standin/engine_load_commands.py
@@ -37,13 +37,13 @@
 class LoadCommandLog:
     """Accepted commands, oldest first."""
 
-    def __init__(self, fence: FencingCheck) -> None:
+    def __init__(self, fencing_check: FencingCheck) -> None:
         """Build an empty log.
 
-        :param fence: checks the fencing token of each command.
+        :param fencing_check: checks the fencing token of each command.
         """
         self.accepted: list[LoadCommand] = []
-        self._fence = fence
+        self._fencing_check = fencing_check
 
     def apply(self, body: bytes) -> bool:
         """Accept a command unless its fencing token is too old.
@@ -52,7 +52,7 @@
         :raises msgspec.MsgspecError: the body is not a command.
         """
         command = msgspec.json.decode(body, type=LoadCommand)
-        if not self._fence.admits(command.fencing):
+        if not self._fencing_check.admits(command.fencing):
             return False
         self.accepted.append(command)
         return True
--- a/src/sardinetrack/turns/side.py
+++ b/src/sardinetrack/turns/side.py
@@ -65,7 +65,7 @@
         self._reported: tuple[float, int, int] | None = None
         self._reported_seconds = float(0)
         self.usage = UsageLog(log)
-        self.verdicts: Counter[str] = Counter()
+        self.decisions: Counter[str] = Counter()
         self._requests: dict[str, PermitRequest] = {}
         self._refused = RefusedRequests()
         self._new_prefixes: set[str] = set()
@@ -257,7 +257,7 @@
         decision: AdmissionDecision,
     ) -> None:
         message = self._requests.pop(decision.permit_id)
-        self.verdicts[type(decision).__name__.lower()] += 1
+        self.decisions[type(decision).__name__.lower()] += 1
         if isinstance(decision, Granted):
             self.engine_starts.record_permit(loop_now())
             if message.shared_prefix:
--- a/tests/entry/entry_world.py
+++ b/tests/entry/entry_world.py
@@ -212,7 +212,7 @@
         claims = self.enter(self.portal.call(self._claims))
         self.claims.append(claims)
         identity = ProcessIdentity(name, f'{name}-1')
-        parts = EntryDependencies(
+        dependencies = EntryDependencies(
             settings=settings,
             peer_secret=SECRET,
             incarnation=identity.incarnation,
@@ -222,7 +222,9 @@
             head_bounds=HEADS,
             balancer_seconds=0.3,
         )
-        entry: EntryDaemon = self.enter(self.portal.call(EntryDaemon, parts))
+        entry: EntryDaemon = self.enter(
+            self.portal.call(EntryDaemon, dependencies)
+        )
         return entry
 
     def _claims(self) -> ShardedClaimStore:
--- a/tests/entry/steps/not_run_steps.py
+++ b/tests/entry/steps/not_run_steps.py
@@ -55,7 +55,7 @@
 @given('"{name}" has stopped listening while its link is up')
 def stop_listening(context: Any, name: str) -> None:
     entry = context.world.entries['entry-a']
-    linked = entry.core.peers.side(name)
+    linked = entry.components.peers.side(name)
     linked.endpoint = replace(linked.endpoint, address='127.0.0.1:1')
 
 
--- a/tests/lease/lease_simulation.py
+++ b/tests/lease/lease_simulation.py
@@ -34,7 +34,7 @@
     async def run(self) -> None:
         """Let both sides send commands for 200 seconds."""
         self.rng = random.Random(self.seed)
-        self.fence = FencingCheck(checks=self.checks)
+        self.fencing_check = FencingCheck(checks=self.checks)
         road = SharedStore()
         async with anyio.create_task_group() as tasks:
             for name in ('a', 'b'):
@@ -55,10 +55,10 @@
             duration_seconds=_LEASE_SECONDS,
             margin_seconds=_MARGIN_SECONDS,
         )
-        keeper = LeaseManager(platform, 'leases/p/s', lease)
+        lease_manager = LeaseManager(platform, 'leases/p/s', lease)
         while True:
             with suppress(PlatformError):
-                await keeper.acquire(checks_fencing=self.checks)
+                await lease_manager.acquire(checks_fencing=self.checks)
                 await self._pause()
                 await self._send_command(name, lease)
             await self._pause()
@@ -68,7 +68,7 @@
             self.counts['commands withheld'] += 1
             return
         await anyio.sleep(self.rng.uniform(0, _MAX_SEND_SECONDS))
-        if self.fence.admits(lease.fencing_token):
+        if self.fencing_check.admits(lease.fencing_token):
             self.accepted.append((lease.fencing_token, name))
         else:
             self.counts['refused'] += 1
--- a/tests/lease/steps/lease_steps.py
+++ b/tests/lease/steps/lease_steps.py
@@ -91,9 +91,9 @@
 
 @then('the server refuses the token of "{name}"')
 def then_refuses(context: Any, name: str) -> None:
-    fence = FencingCheck(checks=True)
-    assert fence.admits(context.seen.version)
-    assert not fence.admits(_lease(context, name).fencing_token)
+    fencing_check = FencingCheck(checks=True)
+    assert fencing_check.admits(context.seen.version)
+    assert not fencing_check.admits(_lease(context, name).fencing_token)
 
 
 @then('no command was accepted after one with a greater fencing token')
--- a/tests/once/steps/claims_steps.py
+++ b/tests/once/steps/claims_steps.py
@@ -145,10 +145,10 @@
     )
 
     async def send_run_request(
-        note_may_have_run: Callable[[bool], None],
+        on_may_have_run: Callable[[bool], None],
     ) -> None:
         await anyio.sleep(late)
-        note_may_have_run(True)
+        on_may_have_run(True)
         context.sent = True
 
     async def main() -> None:
--- a/tests/platform/steps/translation_steps.py
+++ b/tests/platform/steps/translation_steps.py
@@ -201,8 +201,8 @@
 
 @given('a request as a client of the platform sends it')
 def client_request(context):
-    context.dialect = PlatformProtocolAdapter()
-    context.call = context.dialect.parse_request(
+    context.adapter = PlatformProtocolAdapter()
+    context.call = context.adapter.parse_request(
         b'POST', b'/lohu/1?q=2', _HEAD, 5
     )
     context.call.body = b'body'
@@ -235,7 +235,7 @@
         leaving=False,
     )
     attempt = AttemptContext(server, 9.5, 'hule', 14)
-    context.sent_bytes = context.dialect.encode_request(context.call, attempt)
+    context.sent_bytes = context.adapter.encode_request(context.call, attempt)
     for line in (
         b'POST /lohu/1?q=2 HTTP/1.1',
         b'x-sardinetrack-deadline-ms: 9500',
@@ -258,17 +258,17 @@
     'these responses prove that nothing has run: 421, 503 with the header',
 )
 def proofs(context):
-    dialect = PlatformProtocolAdapter()
-    assert dialect.parse_response_head(421, ()).not_run
+    adapter = PlatformProtocolAdapter()
+    assert adapter.parse_response_head(421, ()).not_run
     header = (b'x-sardinetrack-not-processed', b'1')
-    assert dialect.parse_response_head(503, (header,)).not_run
+    assert adapter.parse_response_head(503, (header,)).not_run
 
 
 @then('these do not: 500, 503, 504')
 def no_proofs(context):
-    dialect = PlatformProtocolAdapter()
+    adapter = PlatformProtocolAdapter()
     assert not any(
-        dialect.parse_response_head(one, ()).not_run for one in (500, 503, 504)
+        adapter.parse_response_head(one, ()).not_run for one in (500, 503, 504)
     )
 
 
