--- a/src/sardinetrack/entry/attempt.py
+++ b/src/sardinetrack/entry/attempt.py
@@ -45,7 +45,7 @@
 _NOT_STARTED: Final = AttemptResult(AttemptOutcome.NOT_STARTED)
 
 
-class Attempt:
+class EntryAttempt:
     """Sends one run request and relays its response."""
 
     def __init__(
--- a/src/sardinetrack/entry/runner.py
+++ b/src/sardinetrack/entry/runner.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from sardinetrack.entry.attempt import Attempt, AttemptResult
+from sardinetrack.entry.attempt import AttemptResult, EntryAttempt
 from sardinetrack.entry.call import Call
 from sardinetrack.entry.caller import Caller, run_until_disconnected
 from sardinetrack.entry.cost import CostEstimates, CostKey
@@ -87,7 +87,7 @@
         caller: Caller,
         dispatch: Dispatch,
     ) -> AttemptResult:
-        attempt = Attempt(
+        attempt = EntryAttempt(
             call,
             dispatch,
             caller,
--- a/src/sardinetrack/relay/attempt.py
+++ b/src/sardinetrack/relay/attempt.py
@@ -40,7 +40,7 @@
     """When the first event arrived, on the clock of the event loop."""
 
 
-class Attempt(ResponseSink):
+class ServerAttempt(ResponseSink):
     """Forwards events as they arrive; buffers any other response."""
 
     def __init__(
--- a/src/sardinetrack/relay/exchange.py
+++ b/src/sardinetrack/relay/exchange.py
@@ -7,7 +7,7 @@
 from sardinetrack.errors.api import ErrorKind, RequestError
 from sardinetrack.logs.events import Event
 from sardinetrack.relay.api import CallerRequest, ProtocolAdapter
-from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
+from sardinetrack.relay.attempt import Progress, SendOutcome, ServerAttempt
 from sardinetrack.relay.caller_connection import CallerConnection
 from sardinetrack.relay.connection_pool import NotConnectedError
 from sardinetrack.relay.entry_state import EntryState
@@ -44,7 +44,7 @@
         self._sender = Sender(state, adapter, call, caller, self.trace)
 
     @property
-    def attempt(self) -> Attempt | None:
+    def attempt(self) -> ServerAttempt | None:
         """The latest attempt."""
         return self._sender.attempt
 
@@ -123,7 +123,7 @@
                 placement.permit.release(complete=complete)
             delivered = self._handle_outcome(plan, attempt)
 
-    def _handle_outcome(self, plan: Plan, attempt: Attempt) -> bool:
+    def _handle_outcome(self, plan: Plan, attempt: ServerAttempt) -> bool:
         """Return whether the response is delivered; if not, retry.
 
         :raises RequestError: the request may not be retried.
--- a/src/sardinetrack/relay/sender.py
+++ b/src/sardinetrack/relay/sender.py
@@ -15,7 +15,7 @@
     CallerRequest,
     ProtocolAdapter,
 )
-from sardinetrack.relay.attempt import Attempt, Progress, SendOutcome
+from sardinetrack.relay.attempt import Progress, SendOutcome, ServerAttempt
 from sardinetrack.relay.caller_connection import CallerConnection
 from sardinetrack.relay.connection_pool import IDLE_SECONDS, NotConnectedError
 from sardinetrack.relay.entry_state import EntryState
@@ -90,7 +90,7 @@
         caller: CallerConnection,
         trace: Trace,
     ) -> None:
-        self.attempt: Attempt | None = None
+        self.attempt: ServerAttempt | None = None
         self.server: BackendServer | None = None
         self._state = state
         self._adapter = adapter
@@ -104,7 +104,7 @@
         plan: Plan,
         placement: Placement,
         progress: Progress,
-    ) -> Attempt:
+    ) -> ServerAttempt:
         """Send, and wait for the end of the response.
 
         :return: the attempt, whose outcome is known.
@@ -156,9 +156,9 @@
         placement: Placement,
         progress: Progress,
         target: _Target,
-    ) -> Attempt:
+    ) -> ServerAttempt:
         progress.splitter.resume()
-        return Attempt(
+        return ServerAttempt(
             self._call,
             self._caller,
             self._adapter,
@@ -172,7 +172,7 @@
         plan: Plan,
         candidate: Candidate,
         connection: ServerConnection,
-        attempt: Attempt,
+        attempt: ServerAttempt,
     ) -> None:
         server = candidate.server
         self._recheck(plan, server)
@@ -215,7 +215,7 @@
         self,
         plan: Plan,
         server: BackendServer,
-        attempt: Attempt,
+        attempt: ServerAttempt,
     ) -> AttemptContext:
         left_seconds = plan.deadline_seconds - self._loop.time()
         return AttemptContext(
@@ -247,7 +247,7 @@
             again_tokens=candidate.recomputed_tokens,
         )
 
-    def _record_outcome(self, target: _Target, attempt: Attempt) -> None:
+    def _record_outcome(self, target: _Target, attempt: ServerAttempt) -> None:
         outcome = attempt.done.result()
         if outcome in {SendOutcome.DELIVERED, SendOutcome.NOT_RUN}:
             target.record_success()
@@ -275,7 +275,7 @@
         self,
         plan: Plan,
         server: BackendServer,
-        attempt: Attempt,
+        attempt: ServerAttempt,
     ) -> None:
         """Record whether the request may have crashed the server."""
         crashes, call = self._state.crashes, self._call
@@ -295,7 +295,7 @@
         self,
         server: BackendServer,
         connection: ServerConnection,
-        attempt: Attempt,
+        attempt: ServerAttempt,
     ) -> None:
         if attempt.response is not None:
             connection.idle_limit_seconds = attempt.response.idle_seconds
--- a/src/sardinetrack/routing/attempt.py
+++ b/src/sardinetrack/routing/attempt.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class AttemptRecord:
     """One dispatch of a request to a side."""
 
     attempt_id: str
--- a/src/sardinetrack/routing/outcome_handler.py
+++ b/src/sardinetrack/routing/outcome_handler.py
@@ -12,7 +12,7 @@
     EntryEffect,
     SendToEntries,
 )
-from sardinetrack.routing.attempt import Attempt, rejection_for
+from sardinetrack.routing.attempt import AttemptRecord, rejection_for
 from sardinetrack.routing.pool import PoolRouter
 from sardinetrack.routing.shared import SharedState
 from sardinetrack.routing.strikes import STRIKE_TTL_SECONDS
@@ -32,7 +32,7 @@
         self,
         now: float,
         pool: PoolRouter,
-        attempt: Attempt,
+        attempt: AttemptRecord,
         end: AttemptOutcome,
         *,
         answered: bool,
@@ -64,7 +64,7 @@
         breaker.request_failed(now, attempt.generation)
         return self._handle_failure(now, pool, attempt, end, answered=answered)
 
-    def _clear_strikes(self, attempt: Attempt) -> Sequence[EntryEffect]:
+    def _clear_strikes(self, attempt: AttemptRecord) -> Sequence[EntryEffect]:
         """Clear the strikes of a request that completed, at all entries.
 
         Another entry would count a crash that the request did not cause
@@ -78,7 +78,7 @@
         self,
         now: float,
         pool: PoolRouter,
-        attempt: Attempt,
+        attempt: AttemptRecord,
     ) -> Sequence[EntryEffect]:
         """Count the freed slot as free unless queued requests will get it."""
         side = pool.sides.find(attempt.side)
@@ -91,7 +91,7 @@
         self,
         now: float,
         pool: PoolRouter,
-        attempt: Attempt,
+        attempt: AttemptRecord,
     ) -> Sequence[EntryEffect]:
         queued = attempt.queued
         side = pool.sides.find(attempt.side)
@@ -114,7 +114,7 @@
         self,
         now: float,
         pool: PoolRouter,
-        attempt: Attempt,
+        attempt: AttemptRecord,
         end: AttemptOutcome,
         *,
         answered: bool,
@@ -141,7 +141,7 @@
         return effects
 
     def _record_strike(
-        self, now: float, attempt: Attempt
+        self, now: float, attempt: AttemptRecord
     ) -> Sequence[EntryEffect]:
         """Record a strike against a request whose server failed.
 
--- a/src/sardinetrack/routing/pool.py
+++ b/src/sardinetrack/routing/pool.py
@@ -22,7 +22,7 @@
     RoutedRequest,
     SendToSide,
 )
-from sardinetrack.routing.attempt import Attempt, rejection_for
+from sardinetrack.routing.attempt import AttemptRecord, rejection_for
 from sardinetrack.routing.queue import QueuedRequest, RequestQueues
 from sardinetrack.routing.reporting import Reporter
 from sardinetrack.routing.scheduler import Scheduler
@@ -52,7 +52,7 @@
         self.ledger = Ledger()
         self.queue = RequestQueues()
         self.sides = SideTable(shared.rng)
-        self.attempts: dict[str, Attempt] = {}
+        self.attempts: dict[str, AttemptRecord] = {}
         self.open_requests = 0
         """Accepted requests without a response; each is queued or runs."""
         self._name = name
@@ -270,7 +270,7 @@
     ) -> Dispatch:
         work = queued.work
         queued.attempts += 1
-        attempt = Attempt(
+        attempt = AttemptRecord(
             self._shared.attempt_id(),
             queued,
             side.info.side,
--- a/src/sardinetrack/routing/scheduler.py
+++ b/src/sardinetrack/routing/scheduler.py
@@ -11,7 +11,7 @@
 from sardinetrack.fairness.ledger import Ledger
 from sardinetrack.messages.api import BidRow, Bids
 from sardinetrack.routing.api import RoutedRequest, WaitNotice, WaitReason
-from sardinetrack.routing.attempt import Attempt
+from sardinetrack.routing.attempt import AttemptRecord
 from sardinetrack.routing.queue import QueuedRequest, RequestQueues
 from sardinetrack.routing.shared import SharedState
 from sardinetrack.routing.sides import Side, SideTable
@@ -29,7 +29,7 @@
         ledger: Ledger,
         queue: RequestQueues,
         sides: SideTable,
-        attempts: Mapping[str, Attempt],
+        attempts: Mapping[str, AttemptRecord],
     ) -> None:
         self._shared = shared
         self._ledger = ledger
--- a/src/sardinetrack/side/attempt.py
+++ b/src/sardinetrack/side/attempt.py
@@ -23,7 +23,7 @@
 _OWNER_ENDED: Final = (anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
-class Attempt:
+class SideAttempt:
     """Submits a run request to the owner task and reports how it ended."""
 
     def __init__(self, run_request: RunRequest, owner: SideEvents) -> None:
--- a/src/sardinetrack/side/backend_run.py
+++ b/src/sardinetrack/side/backend_run.py
@@ -16,7 +16,7 @@
 )
 from sardinetrack.logs.lines import ComponentLogger, LogComponent
 from sardinetrack.messages.run import AttemptStatus, RunResult
-from sardinetrack.side.attempt import Attempt
+from sardinetrack.side.attempt import SideAttempt
 from sardinetrack.side.backend_watch import request_probe
 from sardinetrack.side.costs import meter_for
 from sardinetrack.side.events import Started
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        attempt: Attempt,
+        attempt: SideAttempt,
         exchange: HttpExchange,
         pool: Pool,
         dependencies: RunDependencies,
--- a/src/sardinetrack/side/run_endpoint.py
+++ b/src/sardinetrack/side/run_endpoint.py
@@ -18,7 +18,7 @@
     RunResult,
 )
 from sardinetrack.messages.run_codec import decode_run_request
-from sardinetrack.side.attempt import Attempt
+from sardinetrack.side.attempt import SideAttempt
 from sardinetrack.side.backend_run import BackendRun
 from sardinetrack.side.refusals import DaemonRefusal
 from sardinetrack.side.responses import send_result
@@ -69,7 +69,9 @@
             status = error_response_for(error.kind).status
             await self._refuse(exchange, run_request, error.kind, status)
             return
-        async with Attempt(run_request, self._dependencies.owner) as attempt:
+        async with SideAttempt(
+            run_request, self._dependencies.owner
+        ) as attempt:
             backend_run = BackendRun(
                 attempt, exchange, pool, self._dependencies
             )
--- a/src/sardinetrack/side/run_task.py
+++ b/src/sardinetrack/side/run_task.py
@@ -6,7 +6,7 @@
 
 from sardinetrack.http.asgi import HttpExchange
 from sardinetrack.messages.run import AttemptStatus, RunResult
-from sardinetrack.side.attempt import Attempt
+from sardinetrack.side.attempt import SideAttempt
 from sardinetrack.side.backend_run import BackendRun
 from sardinetrack.side.events import Refused, Started
 from sardinetrack.side.responses import send_result
@@ -22,7 +22,7 @@
     def __init__(
         self,
         exchange: HttpExchange,
-        attempt: Attempt,
+        attempt: SideAttempt,
         max_run_seconds: float,
     ) -> None:
         """Create the task of a submitted run request.
