--- a/src/sardinetrack/once/draft.py
+++ b/src/sardinetrack/once/head_update.py
@@ -49,7 +49,7 @@
         return cls(version, head, by_key)
 
 
-class Draft:
+class HeadUpdate:
     """The result of operations on one head, not written yet."""
 
     def __init__(
--- a/src/sardinetrack/once/log.py
+++ b/src/sardinetrack/once/log.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from sardinetrack.once.draft import (
+from sardinetrack.once.head_update import (
     CachedHead,
-    Draft,
+    HeadUpdate,
     encode_head,
     is_definitely_valid,
 )
@@ -69,7 +69,7 @@
         self._foreign_fraction: float = 0
         self._uncertain_version: int | None = None
 
-    async def commit(self, operations: Sequence[Operation]) -> Draft:
+    async def commit(self, operations: Sequence[Operation]) -> HeadUpdate:
         """Write a batch.
 
         :return: the draft whose results are now valid.
@@ -95,7 +95,7 @@
         self,
         cached: CachedHead,
         operations: Sequence[Operation],
-    ) -> Draft:
+    ) -> HeadUpdate:
         now = self._wall_clock()
         sealed_keys = {
             operation.key
@@ -105,11 +105,11 @@
         sealed = await self._segments.find(
             cached.head.segments, sealed_keys, now
         )
-        draft = Draft(cached, sealed, now, self._retention_seconds)
+        draft = HeadUpdate(cached, sealed, now, self._retention_seconds)
         draft.apply(operations)
         return draft
 
-    def _needs_write(self, draft: Draft) -> bool:
+    def _needs_write(self, draft: HeadUpdate) -> bool:
         # A write whose response was lost may still be on its way. Another
         # write at its version, even without changes, keeps it from taking
         # effect after its claims were reported as "not claimed".
@@ -143,7 +143,7 @@
         decayed = self._foreign_fraction * _CONTENTION_DECAY
         self._foreign_fraction = decayed + seen * (1 - _CONTENTION_DECAY)
 
-    async def _write(self, cached: CachedHead, draft: Draft) -> bool:
+    async def _write(self, cached: CachedHead, draft: HeadUpdate) -> bool:
         """Try to write the head that follows a cached one.
 
         :return: whether it was written; if not, a newer head is cached.
@@ -184,7 +184,7 @@
     async def _seal_head(
         self,
         cached: CachedHead,
-        draft: Draft,
+        draft: HeadUpdate,
         remaining: tuple[Segment, ...],
     ) -> ShardHead:
         number = cached.head.next_segment
--- a/src/sardinetrack/once/segments.py
+++ b/src/sardinetrack/once/segments.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from sardinetrack.once.draft import CLOCK_SKEW_SECONDS
+from sardinetrack.once.head_update import CLOCK_SKEW_SECONDS
 from sardinetrack.once.record import ClaimRecord, Segment, segment_key
 from sardinetrack.store.api import (
     ConflictError,
--- a/src/sardinetrack/once/shard.py
+++ b/src/sardinetrack/once/shard.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from sardinetrack.once.draft import Draft
+from sardinetrack.once.head_update import HeadUpdate
 from sardinetrack.once.log import ShardLog
 from sardinetrack.once.operations import (
     ClaimOperation,
@@ -147,7 +147,9 @@
             self._backoff.reset()
             self._complete(operations, draft)
 
-    def _complete(self, operations: Sequence[Operation], draft: Draft) -> None:
+    def _complete(
+        self, operations: Sequence[Operation], draft: HeadUpdate
+    ) -> None:
         for operation in operations:
             if isinstance(operation, EndOperation):
                 operation.done.set()
--- a/tests/chaos/steps/virtual_steps.py
+++ b/tests/chaos/steps/virtual_steps.py
@@ -10,14 +10,14 @@
 from benchmarks.chaos.virtual.run import run_seed
 
 from sardinetrack.admission.slots import SlotAdmission
-from sardinetrack.once.draft import Draft
+from sardinetrack.once.head_update import HeadUpdate
 
 _SEED = 5
 
 
 @given('each idempotency key counts as free')
 def given_no_claims(context: Any) -> None:
-    _patch(context, Draft, '_is_free', lambda *_: True)
+    _patch(context, HeadUpdate, '_is_free', lambda *_: True)
 
 
 @given('every {nth:d}th end of a request is dropped')
