--- a/src/sardinetrack/emulator/api.py
+++ b/src/sardinetrack/emulator/api.py
@@ -14,7 +14,7 @@
     """Decides in which order a request tries the servers."""
 
     name: ClassVar[str]
-    guests_hurry: ClassVar[bool] = False
+    limits_recompute_wait: ClassVar[bool] = False
     """Whether a request's maximum wait is shorter at a server that computes its
     shared prefix again."""
 
--- a/src/sardinetrack/emulator/policies.py
+++ b/src/sardinetrack/emulator/policies.py
@@ -16,7 +16,7 @@
     """The product's own policy: by the request's estimated cost."""
 
     name = 'home'
-    guests_hurry = True
+    limits_recompute_wait = True
 
     def rank(self, candidates: list[Candidate]) -> list[Candidate]:
         """Return the candidates unchanged."""
--- a/src/sardinetrack/emulator/simulation.py
+++ b/src/sardinetrack/emulator/simulation.py
@@ -106,7 +106,9 @@
         attempt.tried.append(name)
         request = attempt.request
         remaining_wait = attempt.remaining_wait_seconds(self._shape, now)
-        recomputes = candidate.recomputes_prefix and self._policy.guests_hurry
+        recomputes = (
+            candidate.recomputes_prefix and self._policy.limits_recompute_wait
+        )
         ask = AdmissionRequest(
             f'{request.name}.{int(request.is_retry)}.{len(attempt.tried)}',
             request.workspace,
--- a/src/sardinetrack/entry/idempotent_runs.py
+++ b/src/sardinetrack/entry/idempotent_runs.py
@@ -117,13 +117,13 @@
             ),
         )
         try:
-            answer = await self._claims.claim(request)
+            claim_result = await self._claims.claim(request)
         except ClaimStoreUnavailableError as error:
             raise RequestError(
                 ErrorKind.NOT_RUN_PLATFORM_DOWN,
                 retry_after_seconds=error.retry_after_seconds,
             ) from error
-        return _require_claimed(answer)
+        return _require_claimed(claim_result)
 
     async def _settle(self, claimed: Claimed, end: ClaimOutcome | None) -> None:
         # Shielded, because a caller that disconnected may resend the request
@@ -143,7 +143,7 @@
     return ClaimOutcome.FINISHED
 
 
-def _require_claimed(answer: ClaimResult) -> Claimed:
-    if isinstance(answer, Claimed):
-        return answer
-    raise RequestError(_REFUSALS[type(answer)])
+def _require_claimed(claim_result: ClaimResult) -> Claimed:
+    if isinstance(claim_result, Claimed):
+        return claim_result
+    raise RequestError(_REFUSALS[type(claim_result)])
--- a/src/sardinetrack/store/memory.py
+++ b/src/sardinetrack/store/memory.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Change:
+class _RecordedChange:
     at_seconds: float
     stored: StoredObject
 
@@ -44,7 +44,7 @@
         :param history_events: number of changes kept for watches.
         """
         self._objects: dict[str, StoredObject] = {}
-        self._changes: deque[_Change] = deque()
+        self._changes: deque[_RecordedChange] = deque()
         self._history_events = history_events
         self._discarded_revision = _INITIAL_REVISION
         self._instance_lists: deque[_InstanceList] = deque()
@@ -158,7 +158,7 @@
 
     def _append_change(self, now: float, stored: StoredObject) -> None:
         self.revision = stored.version
-        self._changes.append(_Change(now, stored))
+        self._changes.append(_RecordedChange(now, stored))
         if len(self._changes) > self._history_events:
             oldest = self._changes.popleft()
             self._discarded_revision = oldest.stored.version
--- a/src/sardinetrack/topology/servers.py
+++ b/src/sardinetrack/topology/servers.py
@@ -62,7 +62,7 @@
     """The servers that may get requests, by instance; reads no clock."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without servers."""
         self._listed: dict[str, BackendServer] = {}
         self._missing: dict[str, float] = {}
         self._misaddressed: dict[str, float] = {}
