--- a/src/sardinetrack/cli/catalogue_actions.py
+++ b/src/sardinetrack/cli/catalogue_actions.py
@@ -117,7 +117,7 @@
             self.entry,
             expected_version=self.version,
         )
-        outcome = 'written' if edit.changed else 'stands there already'
+        outcome = 'written' if edit.changed else 'unchanged'
         _print_line(f'{_short_key(edit.key)}: version {edit.version} {outcome}')
         return await _report_rollout(context, edit, self.wait_seconds)
 
--- a/src/sardinetrack/cli/report.py
+++ b/src/sardinetrack/cli/report.py
@@ -51,7 +51,7 @@
         lines = chain.from_iterable(read_logs(options.logs))
         summary = summarise(lines, options.objective_seconds)
         if not summary.outcomes:
-            raise CommandError('no line tells of the end of a request')
+            raise CommandError('no log line has the end of a request')
         try:
             page = import_module('sardinetrack.reports.page')
         except ModuleNotFoundError as error:
--- a/src/sardinetrack/cli/status.py
+++ b/src/sardinetrack/cli/status.py
@@ -120,4 +120,4 @@
     try:
         return json.loads(raw)
     except ValueError as error:
-        raise CommandError(f'{source}: the answer is no JSON') from error
+        raise CommandError(f'{source}: the response is not JSON') from error
--- a/src/sardinetrack/cli/status_pages.py
+++ b/src/sardinetrack/cli/status_pages.py
@@ -76,10 +76,10 @@
     try:
         return _decode_either(raw)
     except msgspec.ValidationError as error:
-        reason = 'the answer is no status page of this version'
+        reason = 'the response is not a status page of this version'
         raise StatusUnavailableError(reason) from error
     except msgspec.DecodeError as error:
-        raise StatusUnavailableError('the answer is no JSON') from error
+        raise StatusUnavailableError('the response is not JSON') from error
 
 
 def _decode_either(raw: bytes) -> StatusPage:
@@ -111,9 +111,9 @@
         with anyio.fail_after(_READ_TIMEOUT_SECONDS):
             http_response = await client.call('GET', url, headers=headers)
     except (RequestNotSentError, ConnectionBrokenError) as error:
-        raise StatusUnavailableError(f'no answer: {error}') from error
+        raise StatusUnavailableError(f'no response: {error}') from error
     except TimeoutError as error:
-        reason = f'no answer within {_READ_TIMEOUT_SECONDS} seconds'
+        reason = f'no response within {_READ_TIMEOUT_SECONDS} seconds'
         raise StatusUnavailableError(reason) from error
     if http_response.status != HTTPStatus.OK:
         raise StatusUnavailableError(
--- a/tests/cli/catalogue.feature
+++ b/tests/cli/catalogue.feature
@@ -35,7 +35,7 @@
     Then the output mentions "// workspace/pilots at version 1"
     When the output is applied as an entry file
     Then the exit code is 0
-    And the output mentions "version 1 stands there already"
+    And the output mentions "version 1 unchanged"
 
   Scenario: A conflicting edit is refused with both versions
     Two operators edit the same entry, and the second edit is based on the
--- a/tests/cli/processes.feature
+++ b/tests/cli/processes.feature
@@ -45,16 +45,16 @@
     And the error output mentions "<reason>"
 
     Examples:
-      | status | text  | reason     |
-      | 200    | hello | no JSON    |
-      | 200    | {}    | no status page |
-      | 503    | {}    | status 503 |
+      | status | text  | reason            |
+      | 200    | hello | not JSON          |
+      | 200    | {}    | not a status page |
+      | 503    | {}    | status 503        |
 
   Scenario: The operator port is closed
     Given a closed port
     When "sardinetrack status --url http://127.0.0.1:PORT" is run
     Then the exit code is 1
-    And the error output mentions "no answer"
+    And the error output mentions "no response"
     And there is no traceback
 
   Scenario: A load tool on a local fleet is not rate limited
--- a/tests/cli/status.feature
+++ b/tests/cli/status.feature
@@ -32,9 +32,9 @@
     Then the exit code is 0
     And the output mentions "entry-1"
     And the output mentions "side-9"
-    And the output mentions "the answer is no status page of this version"
+    And the output mentions "the response is not a status page of this version"
     And the output mentions "side-8"
-    And the output mentions "no answer"
+    And the output mentions "no response"
 
   Scenario: A refused catalogue entry is shown with its reason
     Given the entry "entry-1" that rejects "catalogue/pool/x" because "models: taken"
@@ -48,7 +48,7 @@
     When "sardinetrack status OPERATOR --json" is run
     Then the exit code is 0
     And the output lists "entry-1" with a page at revision 7
-    And the output lists "side-8" with the problem "no answer"
+    And the output lists "side-8" with the problem "no response"
 
   Scenario: An entry shows the sides that are linked with it
     Given the entry "entry-1" at revision 7 with 3 waiting and 2 running requests in pool "ice-llm"
--- a/tests/reports/report.feature
+++ b/tests/reports/report.feature
@@ -25,7 +25,7 @@
   Scenario: Lines without a finished request are an error
     Given the log lines of a run without requests
     When its report is written
-    Then the command fails with "no line tells of the end of a request"
+    Then the command fails with "no log line has the end of a request"
 
   Scenario: HTML in a reason is escaped
     Given the log lines of a run whose request ended with "<script>"
