--- a/tests/system/crashes.feature
+++ b/tests/system/crashes.feature
@@ -29,7 +29,7 @@
     Then at most 2 engines have run it
     And it is rejected as crashes_servers when it is sent again
 
-  Scenario: other requests on a crashed engine get a true response
+  Scenario: requests that ran beside it are told the truth
     Harmless requests fill all engines when the marked one arrives. Those on an
     engine that crashes get a true error, or are tried again; none is rejected
     later, when its caller sends it again.
--- a/tests/system/leaving.feature
+++ b/tests/system/leaving.feature
@@ -22,7 +22,7 @@
     And all callers have complete responses
     And no slot of engine-1 is lost
 
-  Scenario: an entry drains under load
+  Scenario: an entry is asked to end under load
     The entry responds "not run" or refuses connections while it drains, as the
     balancer expects, and completes the requests that it has accepted. Callers
     move to the other entry.
