--- a/benchmarks/policy/carrier.py
+++ b/benchmarks/policy/carrier.py
@@ -232,7 +232,7 @@
     def _finish(self, side: SideNode, running: Running) -> None:
         if running.ended:
             return
-        self._world.stop(side, running, whole=True)
+        self._world.stop(side, running, is_complete=True)
         self._world.meter.counts['whole'] += 1
         self._respond(
             side,
--- a/benchmarks/policy/faults.py
+++ b/benchmarks/policy/faults.py
@@ -83,7 +83,7 @@
     side: SideNode,
 ) -> dict[str, float]:
     return {
-        running.attempt_id: world.stop(side, running, whole=False)
+        running.attempt_id: world.stop(side, running, is_complete=False)
         for running in list(side.running.values())
         if running.entry == node.name
     }
--- a/benchmarks/policy/world.py
+++ b/benchmarks/policy/world.py
@@ -139,7 +139,9 @@
         side.run_requests.pop(attempt_id, None)
         self._timed(side.admission.resolve_status, attempt_id, cancel=True)
 
-    def stop(self, side: SideNode, running: Running, *, whole: bool) -> float:
+    def stop(
+        self, side: SideNode, running: Running, *, is_complete: bool
+    ) -> float:
         """Free a slot and count the service that it delivered."""
         self.account()
         running.ended = True
@@ -151,7 +153,7 @@
             side.epoch,
             side.admission.finished,
             running.attempt_id,
-            whole=whole,
+            is_complete=is_complete,
             cost=cost,
         )
         return cost
